--- a/cmd/thornwalk/barred.go
+++ b/cmd/thornwalk/barred.go
@@ -38,15 +38,15 @@
 				return err
 			}
 			var rows [][]string
-			for _, barred := range status.Barred {
+			for _, barred := range status.Blocked {
 				var lives []string
-				for _, life := range barred.Lives {
+				for _, life := range barred.Incarnations {
 					lives = append(lives, string(life))
 				}
 				unchanged := time.Duration(barred.Unchanged) * time.Millisecond
-				rows = append(rows, []string{barred.Content.String(), barred.Service, barred.Route, strings.Join(lives, " "), fmt.Sprint(barred.Trials), unchanged.String()})
+				rows = append(rows, []string{barred.Fingerprint.String(), barred.Service, barred.Route, strings.Join(lives, " "), fmt.Sprint(barred.Trials), unchanged.String()})
 			}
-			return o.print(status.Barred, []string{"content", "service", "route", "replicas that ended", "trials", "unchanged for"}, rows)
+			return o.print(status.Blocked, []string{"content", "service", "route", "replicas that ended", "trials", "unchanged for"}, rows)
 		},
 	}
 }
--- a/cmd/thornwalk/evacuations.go
+++ b/cmd/thornwalk/evacuations.go
@@ -21,10 +21,10 @@
 			var rows [][]string
 			for _, told := range status.Evacuations {
 				state := "taken back"
-				if told.Emptied {
+				if told.Evacuated {
 					state = "emptied"
 				}
-				rows = append(rows, []string{told.Zone, state, told.Place.String(), fmt.Sprint(told.InProgress)})
+				rows = append(rows, []string{told.Zone, state, told.Position.String(), fmt.Sprint(told.InProgress)})
 			}
 			return o.print(status.Evacuations, []string{"zone", "state", "since", "requests of this node there"}, rows)
 		},
--- a/cmd/thornwalk/inspect.go
+++ b/cmd/thornwalk/inspect.go
@@ -76,7 +76,7 @@
 			var rows [][]string
 			for _, backend := range backends {
 				rows = append(rows, []string{
-					string(backend.Replica.ID), backend.Replica.Service, backend.Replica.Zone, backend.Replica.Generation,
+					string(backend.Replica.ID), backend.Replica.Service, backend.Replica.Zone, backend.Replica.HardwareGeneration,
 					fmt.Sprintf("%d+%d/%d", backend.Report.Running, backend.Report.Waiting, backend.Report.Slots), fmt.Sprint(backend.InFlight),
 					fmt.Sprint(time.Duration(backend.AgeMS) * time.Millisecond), fmt.Sprintf("%.2f", backend.Slowdown), stateText(backend.Replica.Leaving, backend.Closed, backend.Suspended),
 				})
--- a/cmd/thornwalk/rollout.go
+++ b/cmd/thornwalk/rollout.go
@@ -36,10 +36,10 @@
 		{"service", told.Service}, {"target version", told.Target}, {"step", told.Step}, {"why", told.Reason},
 		{"time left, ms", fmt.Sprint(told.Left)}, {"requests since the order", fmt.Sprint(told.Requests)},
 		{"of these to the target at most, until judged", fmt.Sprint(told.Exposed)},
-		{"versions not used", fmt.Sprint(told.Barred)}, {"stepped by", status.Scheduler},
+		{"versions not used", fmt.Sprint(told.Excluded)}, {"stepped by", status.Scheduler},
 	}
 	if status.Scheduler == status.Name {
-		rows = append(rows, []string{"evidence against the target", fmt.Sprintf("%.2f of 1, most on route %s", told.Doubt, told.DoubtRoute)})
+		rows = append(rows, []string{"evidence against the target", fmt.Sprintf("%.2f of 1, most on route %s", told.RegressionScore, told.RegressionRoute)})
 	}
 	for _, line := range told.Evidence {
 		rows = append(rows, []string{"answers on route", line})
--- a/cmd/thornwalk/store.go
+++ b/cmd/thornwalk/store.go
@@ -33,6 +33,6 @@
 	return [][]string{
 		{"node", status.Name}, {"era", fmt.Sprint(status.Era)}, {"revision", fmt.Sprint(status.Revision)},
 		{"came back from a copy just now", restored}, {"away", fmt.Sprint(status.StoreDown)},
-		{"age of the latest news, ms", fmt.Sprint(status.NewsAge)}, {"configuration", fmt.Sprint(status.Version)},
+		{"age of the latest news, ms", fmt.Sprint(status.UpdatesAge)}, {"configuration", fmt.Sprint(status.Version)},
 	}
 }
--- a/cmd/thornwalkd/entry.go
+++ b/cmd/thornwalkd/entry.go
@@ -45,8 +45,8 @@
 	outsideNetwork := network.TCP{SilenceLimit: silenceLimit}
 	directory := platform.NewDirectory(network.Bounded{Network: outsideNetwork, Limit: silenceLimit}, settings.Store)
 	node := entry.New(settings, entry.Dependencies{
-		Network: outsideNetwork, Datagrams: outsideNetwork, Directory: directory, Revisions: directory, Rollouts: directory, Contents: directory,
-		Headers: platform.Headers(), ReadAnswer: platform.ReadAnswer, ReadyPath: platform.ReadyPath, Now: steady.Now, Log: log, Incarnation: rand.Uint64(),
+		Network: outsideNetwork, Datagrams: outsideNetwork, Directory: directory, Revisions: directory, Rollouts: directory, PoisonRecords: directory,
+		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Now: steady.Now, Log: log, Incarnation: rand.Uint64(),
 	})
 	if err := node.Start(); err != nil {
 		return err
--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -53,11 +53,11 @@
 	failures float64
 	// versions says which versions get requests, and trial what those get that are judged.
 	versions rollouts.VersionPolicy
-	trial    *rollout.Exposure
+	trial    *rollout.CanaryBudget
 	// routes has what is known of the lengths of answers by route.
 	routes map[string]*sizes
 	// warming bounds what cold replicas get; nil means that it is not known.
-	warming *Warming
+	warming *SlowStart
 }
 
 // Scheduler holds the queues and the places of all services.
@@ -77,7 +77,7 @@
 	options []option
 	// contents says which requests replicas ended under, and running counts the places of
 	// the requests that ask for the same.
-	contents *poison.Ledger
+	contents *poison.Tracker
 	running  map[fingerprint.Fingerprint]int
 	// regions has the region of each zone; a zone that it lacks is one by itself.
 	regions map[string]string
@@ -97,14 +97,14 @@
 // New returns an empty scheduler that bars no request.
 func New() *Scheduler {
 	return &Scheduler{
-		contents: poison.NewLedger(poison.Policy{}), running: map[fingerprint.Fingerprint]int{},
+		contents: poison.NewTracker(poison.Policy{}), running: map[fingerprint.Fingerprint]int{},
 		services: map[string]*service{}, places: map[string]*place{}, waits: map[string]*waiting{},
 		states: map[string]*replicaState{}, pauses: map[asker]pauses{}, foreign: map[string]map[string]int{}, doubts: map[string]*doubtList{},
 	}
 }
 
 // SetContents has the scheduler go by the ledger of requests that replicas ended under.
-func (s *Scheduler) SetContents(contents *poison.Ledger) { s.contents = contents }
+func (s *Scheduler) SetPoisonTracker(contents *poison.Tracker) { s.contents = contents }
 
 // SetRegions tells which region each zone is in.
 func (s *Scheduler) SetRegions(regions map[string]string) { s.regions = regions }
@@ -130,10 +130,10 @@
 	}
 	for _, replica := range all {
 		state := s.state(replica.ID)
-		if state.replica.ID != "" && !state.replica.IsSameLife(replica) {
+		if state.replica.ID != "" && !state.replica.IsSameIncarnation(replica) {
 			state.forget() // nothing that was learned of the life before holds
 		}
-		if state.replica.Revision != replica.Revision {
+		if state.replica.Position != replica.Position {
 			state.warmth.until = now + replica.Warmup
 		}
 		state.replica, state.listed = replica, true
@@ -152,19 +152,19 @@
 // replicas had started again, 4 to 9 arrived so, and none since, in the test of whole nodes.
 // Both stay listed, as the newer entry may vanish first.
 func (s *Scheduler) supersede() {
-	newest := map[string]structs.Place{}
+	newest := map[string]structs.StorePosition{}
 	for _, state := range s.states {
 		if address := state.replica.Address; state.listed && address != "" {
-			newest[address] = max(newest[address], state.replica.Revision)
+			newest[address] = max(newest[address], state.replica.Position)
 		}
 	}
 	for _, state := range s.states {
-		state.superseded = state.listed && state.replica.Revision < newest[state.replica.Address]
+		state.superseded = state.listed && state.replica.Position < newest[state.replica.Address]
 	}
 }
 
 // SetAvoided replaces the replicas that no request is sent to.
-func (s *Scheduler) SetAvoided(ids map[string]bool) {
+func (s *Scheduler) SetEjected(ids map[string]bool) {
 	for id, state := range s.states {
 		state.avoided = ids[id]
 	}
@@ -172,7 +172,7 @@
 
 // SetForeign records how many requests the node has in progress at each replica
 // that were not placed by this scheduler.
-func (s *Scheduler) SetForeign(node string, counts map[string]int) {
+func (s *Scheduler) SetExternalInFlight(node string, counts map[string]int) {
 	before := s.foreign[node]
 	delete(s.foreign, node)
 	if len(counts) > 0 {
@@ -189,7 +189,7 @@
 
 // DropNode forgets the requests of a node that ended.
 func (s *Scheduler) DropNode(node string) {
-	s.SetForeign(node, nil)
+	s.SetExternalInFlight(node, nil)
 	delete(s.doubts, node)
 	s.dropPauses(node)
 	for id, held := range s.places {
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -66,11 +66,11 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, pool(2))
-	s.SetForeign("other", map[string]int{"r0": 1})
+	s.SetExternalInFlight("other", map[string]int{"r0": 1})
 	s.Submit(0, request("a", 0))
 	s.Submit(0, request("b", 0))
 	g.Expect(placedIDs(s.Decide(0))).To(gomega.Equal([]string{"a"}))
-	s.SetForeign("other", nil)
+	s.SetExternalInFlight("other", nil)
 	g.Expect(placedIDs(s.Decide(ms))).To(gomega.Equal([]string{"b"}))
 }
 
@@ -81,7 +81,7 @@
 	s.SetReplicas(0, pool(3))
 	s.Submit(0, request("a", 0))
 	s.Decide(0)
-	s.Begun(10*ms, "a", 3)
+	s.RecordFirstEvent(10*ms, "a", 3)
 	s.Submit(10*ms, request("b", 0))
 	g.Expect(placedIDs(s.Decide(10 * ms))).To(gomega.BeEmpty())
 	g.Expect(placedIDs(s.Decide(10*ms + hiddenMemory))).To(gomega.Equal([]string{"b"}))
@@ -142,7 +142,7 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, pool(4, 4, 4))
-	s.SetAvoided(map[string]bool{"r1": true, "r2": true})
+	s.SetEjected(map[string]bool{"r1": true, "r2": true})
 	now := structs.Instant(0)
 	for i := range 4 {
 		id := fmt.Sprint("f", i)
@@ -150,11 +150,11 @@
 		s.Decide(now)
 		s.Finish(now, id, Observation{Failed: true})
 	}
-	s.SetAvoided(nil)
+	s.SetEjected(nil)
 	s.Submit(now, request("next", 0))
 	g.Expect(s.Decide(now)[0].Replica.ID).NotTo(gomega.Equal("r0"))
 	later := now + firstAside + ms
-	s.SetAvoided(map[string]bool{"r1": true, "r2": true})
+	s.SetEjected(map[string]bool{"r1": true, "r2": true})
 	s.Submit(later, request("trial", 0))
 	s.Submit(later, request("second", 0))
 	g.Expect(placedIDs(s.Decide(later))).To(gomega.Equal([]string{"trial"}))
@@ -242,12 +242,12 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, pool(4, 4, 4))
-	s.SetAvoided(map[string]bool{"r1": true, "r2": true})
+	s.SetEjected(map[string]bool{"r1": true, "r2": true})
 	for i := range 4 {
 		s.Submit(0, request(fmt.Sprint("silent", i), 0))
 	}
 	s.Decide(0)
-	s.SetAvoided(nil)
+	s.SetEjected(nil)
 	s.Sweep(overdueAfter + ms)
 	s.Submit(overdueAfter+ms, request("next", 0))
 	g.Expect(s.Decide(overdueAfter + ms)[0].Replica.ID).NotTo(gomega.Equal("r0"))
@@ -263,7 +263,7 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, pool(4, 4))
-	s.SetAvoided(map[string]bool{"r1": true})
+	s.SetEjected(map[string]bool{"r1": true})
 	for i := range 4 {
 		id := fmt.Sprint("f", i)
 		s.Submit(0, request(id, 0))
@@ -366,18 +366,18 @@
 func TestAReplicaThatStartsAgainUnderItsIDIsJudgedAnew(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	first := replicas.Replica{ID: "a", Service: "s", Slots: 4, Born: 1}
-	other := replicas.Replica{ID: "b", Service: "s", Slots: 4, Born: 1}
+	first := replicas.Replica{ID: "a", Service: "s", Slots: 4, StartedAt: 1}
+	other := replicas.Replica{ID: "b", Service: "s", Slots: 4, StartedAt: 1}
 	s.SetReplicas(0, []replicas.Replica{first, other})
 	for range 20 {
 		s.judge(time.Second, "s", "a", true)
 	}
 	s.learn(&place{service: "s", replica: "a"}, Observation{Duration: time.Minute})
 	g.Expect(s.state("a").isAside(time.Second)).To(gomega.BeTrue())
-	first.Revision = 2
+	first.Position = 2
 	s.SetReplicas(0, []replicas.Replica{first, other})
 	g.Expect(s.state("a").isAside(time.Second)).To(gomega.BeTrue(), "the same life")
-	first.Born = 2
+	first.StartedAt = 2
 	s.SetReplicas(0, []replicas.Replica{first, other})
 	g.Expect(s.state("a").isAside(time.Second)).To(gomega.BeFalse())
 	g.Expect(s.state("a").speed).To(gomega.Equal(speed{}))
@@ -387,9 +387,9 @@
 func TestAReplicaWhoseAddressPassedToAnotherGetsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	old := replicas.Replica{ID: "a", Service: "s", Slots: 4, Address: "h:1", Revision: 5}
-	fresh := replicas.Replica{ID: "b", Service: "other", Slots: 4, Address: "h:1", Revision: 9}
-	beside := replicas.Replica{ID: "c", Service: "s", Slots: 4, Address: "h:2", Revision: 6}
+	old := replicas.Replica{ID: "a", Service: "s", Slots: 4, Address: "h:1", Position: 5}
+	fresh := replicas.Replica{ID: "b", Service: "other", Slots: 4, Address: "h:1", Position: 9}
+	beside := replicas.Replica{ID: "c", Service: "s", Slots: 4, Address: "h:2", Position: 6}
 	offered := func(all ...replicas.Replica) []string {
 		s.SetReplicas(0, all)
 		var ids []string
--- a/coordination/admission/content.go
+++ b/coordination/admission/content.go
@@ -15,14 +15,14 @@
 // decideContent decides what follows from the replicas that ended under the request. If it
 // is not done, the decision's reason says whether the request has to wait for another try.
 func (s *Scheduler) decideContent(now structs.Instant, held *waiting) (Decision, bool) {
-	standing, comeBack := s.contents.Standing(now, held.Content)
+	standing, comeBack := s.contents.State(now, held.Content)
 	if standing == poison.Clear {
 		return Decision{}, false
 	}
 	decision := Decision{ID: held.ID, Waited: now - held.arrived, RetryAfter: max(comeBack, minimumRetry)}
 	isRunning := s.running[held.Content] > 0
 	switch {
-	case standing == poison.Barred, standing == poison.OnTrial && isRunning:
+	case standing == poison.Blocked, standing == poison.OnTrial && isRunning:
 		decision.Reason = ReasonBarred
 		return decision, true
 	case standing == poison.Suspect && isRunning:
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -98,7 +98,7 @@
 }
 
 func (s *Scheduler) decideOne(now structs.Instant, held *waiting, room *room, ahead int) (Decision, bool) {
-	decision := Decision{ID: held.ID, Waited: now - held.arrived, Ahead: ahead, Free: room.free, Expected: room.wait(ahead)}
+	decision := Decision{ID: held.ID, Waited: now - held.arrived, QueuedAhead: ahead, Free: room.free, Expected: room.wait(ahead)}
 	if chosen := s.chooseTrial(now, held, room, held.Deadline-decision.Waited); chosen != nil {
 		s.place(now, held, chosen, &decision)
 		return decision, true
@@ -156,12 +156,12 @@
 func (s *Scheduler) give(now structs.Instant, held *waiting, chosen *option) bool {
 	chosen.used++
 	chosen.unread += held.Prompt
-	standing, _ := s.contents.Standing(now, held.Content)
+	standing, _ := s.contents.State(now, held.Content)
 	if standing == poison.OnTrial {
-		s.contents.Try(now, held.Content)
+		s.contents.RecordTrial(now, held.Content)
 	}
 	s.occupy(held.ID, &place{
-		content: held.Content, node: held.Node, service: held.Service, route: held.Route, replica: chosen.state.replica.ID, born: chosen.state.replica.Born, version: chosen.state.replica.Version,
+		content: held.Content, node: held.Node, service: held.Service, route: held.Route, replica: chosen.state.replica.ID, born: chosen.state.replica.StartedAt, version: chosen.state.replica.Version,
 		prompt: held.Prompt, since: now, isCold: chosen.isCold,
 	})
 	if chosen.isCold {
--- a/coordination/admission/decide_bench_test.go
+++ b/coordination/admission/decide_bench_test.go
@@ -23,7 +23,7 @@
 	}
 	s.SetReplicas(0, all)
 	for i := range nodes {
-		s.SetForeign(fmt.Sprint("node", i), map[string]int{all[i%len(all)].ID: 1})
+		s.SetExternalInFlight(fmt.Sprint("node", i), map[string]int{all[i%len(all)].ID: 1})
 	}
 	for i, replica := range all {
 		for event := range 10 {
@@ -115,7 +115,7 @@
 						failing[id] = true
 					}
 					if doubt.byMany {
-						s.SetAvoided(failing)
+						s.SetEjected(failing)
 					}
 					emptyReplicas(s, failing)
 					for i := range waiting {
--- a/coordination/admission/doubt_test.go
+++ b/coordination/admission/doubt_test.go
@@ -19,7 +19,7 @@
 		s := New()
 		s.SetReplicas(0, pool(slices.Repeat([]int{2}, count)...))
 		for round := range 3 {
-			s.SetAvoided(map[string]bool{id.Draw(t, "avoided"): true})
+			s.SetEjected(map[string]bool{id.Draw(t, "avoided"): true})
 			for i := range rapid.IntRange(0, 6).Draw(t, "requests") {
 				asked := request(fmt.Sprint(round, "-", i), 1)
 				asked.Node = fmt.Sprint("n", i%2)
--- a/coordination/admission/messages.go
+++ b/coordination/admission/messages.go
@@ -50,7 +50,7 @@
 }
 
 // After returns the request as it is once so much time has passed.
-func (r Request) After(passed time.Duration) Request {
+func (r Request) WithElapsed(passed time.Duration) Request {
 	r.Deadline = max(r.Deadline-passed, 0)
 	r.Target = max(r.Target-passed, 0)
 	r.Patience = max(r.Patience-passed, 0)
@@ -88,7 +88,7 @@
 	Replica replicas.Replica
 	// Limit is what is known of the replica's rate limit. If there is one, the place counts
 	// against it.
-	Limit pushback.Known
+	Limit pushback.TimedLimit
 	// Reason is empty if the replica was given.
 	Reason Reason
 	// Trial is true if the request is barred and was given the replica all the same.
@@ -98,8 +98,8 @@
 	Waited     time.Duration
 	// Ahead is how many requests were before it, Free the places that were free and
 	// Expected the wait that was predicted.
-	Ahead, Free int
-	Expected    time.Duration
+	QueuedAhead, Free int
+	Expected          time.Duration
 }
 
 // Observation is how a request with a place ended.
--- a/coordination/admission/pauses.go
+++ b/coordination/admission/pauses.go
@@ -16,7 +16,7 @@
 type pauses map[string]structs.Instant
 
 // SetPauses replaces the pauses of a node at the replicas of a service.
-func (s *Scheduler) SetPauses(now structs.Instant, node, service string, notes []pushback.Note) {
+func (s *Scheduler) SetPauses(now structs.Instant, node, service string, notes []pushback.Report) {
 	who := asker{node, service}
 	delete(s.pauses, who)
 	for _, note := range notes {
--- a/coordination/admission/pauses_test.go
+++ b/coordination/admission/pauses_test.go
@@ -11,8 +11,8 @@
 )
 
 // pauseAt is what a node tells of a replica that asked it to pause.
-func pauseAt(replica string, left time.Duration) []pushback.Note {
-	return []pushback.Note{{Life: pushback.Life{Replica: replica}, Pause: left}}
+func pauseAt(replica string, left time.Duration) []pushback.Report {
+	return []pushback.Report{{Life: pushback.Incarnation{Replica: replica}, Pause: left}}
 }
 
 // from is a request of the node.
@@ -60,7 +60,7 @@
 	placed := replicasOf(s.Decide(0))
 	s.Submit(0, from("a", "waits"))
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
-	s.Said(0, "first", pushback.Statement{Pause: 3 * time.Second})
+	s.ApplyPushback(0, "first", pushback.Signals{Pause: 3 * time.Second})
 	s.Finish(0, "first", Observation{Left: true})
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty(), "the free replica has asked its node to pause")
 	s.Finish(0, "second", Observation{Left: true})
--- a/coordination/admission/places.go
+++ b/coordination/admission/places.go
@@ -12,7 +12,7 @@
 // Begun records that the answer to a request began. Load is the number of
 // requests that the replica then said to have, or negative; what exceeds the
 // known ones is work that no node reports.
-func (s *Scheduler) Begun(now structs.Instant, id string, load int) {
+func (s *Scheduler) RecordFirstEvent(now structs.Instant, id string, load int) {
 	held, found := s.places[id]
 	if !found {
 		return
@@ -26,7 +26,7 @@
 }
 
 // Ended is a request with a place that ended.
-type Ended struct {
+type Completion struct {
 	Content                 fingerprint.Fingerprint
 	Service, Route, Replica string
 	// Version is the replica's.
@@ -39,12 +39,12 @@
 
 // Finish frees the place of a request and learns from how it ended. It returns false if
 // the request had no place here.
-func (s *Scheduler) Finish(now structs.Instant, id string, seen Observation) (Ended, bool) {
+func (s *Scheduler) Finish(now structs.Instant, id string, seen Observation) (Completion, bool) {
 	held, found := s.places[id]
 	if !found {
-		return Ended{}, false
+		return Completion{}, false
 	}
-	ended := Ended{Content: held.content, Service: held.service, Route: held.route, Replica: held.replica, Version: held.version, Prompt: held.prompt, Placed: held.since}
+	ended := Completion{Content: held.content, Service: held.service, Route: held.route, Replica: held.replica, Version: held.version, Prompt: held.prompt, Placed: held.since}
 	s.release(id)
 	if !seen.Left && !held.overdue {
 		s.judge(now, held.service, held.replica, seen.Failed)
--- a/coordination/admission/ratelimit.go
+++ b/coordination/admission/ratelimit.go
@@ -37,7 +37,7 @@
 
 // rateLimit is what is known of the rate that a replica takes.
 type rateLimit struct {
-	known pushback.Known
+	known pushback.TimedLimit
 	// since is when it was named first; nothing was counted before.
 	since structs.Instant
 	bank  bank
@@ -56,7 +56,7 @@
 
 // SetPart tells which part of all nodes follows this scheduler; zero if it does not lead. When it
 // begins to lead, all banks are empty.
-func (s *Scheduler) SetPart(now structs.Instant, part float64) {
+func (s *Scheduler) SetFollowerShare(now structs.Instant, part float64) {
 	if s.part == 0 && part > 0 {
 		s.leadsSince = now
 	}
@@ -65,9 +65,9 @@
 
 // Hear enters what a replica said to a node. What it tells of lives that are not listed is told again
 // once they are.
-func (s *Scheduler) Hear(now structs.Instant, note pushback.Note) {
+func (s *Scheduler) ApplyPushbackReport(now structs.Instant, note pushback.Report) {
 	state, found := s.states[note.Life.Replica]
-	if !found || !state.listed || pushback.LifeOf(state.replica) != note.Life {
+	if !found || !state.listed || pushback.IncarnationOf(state.replica) != note.Life {
 		return
 	}
 	state.leaving = state.leaving || note.Leaving
@@ -76,7 +76,7 @@
 
 // Said enters what the answer to a request with a place says of its replica. An answer ends a limit
 // only if its request was placed after that was heard.
-func (s *Scheduler) Said(now structs.Instant, id string, said pushback.Statement) {
+func (s *Scheduler) ApplyPushback(now structs.Instant, id string, said pushback.Signals) {
 	held, found := s.places[id]
 	if !found {
 		return
@@ -88,15 +88,15 @@
 	if said.Pause > 0 {
 		s.pause(asker{held.node, held.service}, held.replica, now+said.Pause)
 	}
-	if state := s.state(held.replica); state.replica.Born == held.born {
+	if state := s.state(held.replica); state.replica.StartedAt == held.born {
 		state.leaving = state.leaving || said.Leaving
 		state.hearLimit(now, said.Limit, asOf)
 	}
 }
 
 func (r *replicaState) hearLimit(now structs.Instant, limit pushback.Limit, asOf structs.Instant) {
-	wasNamed := r.limit.known.IsNamed()
-	if r.limit.known.Put(limit, asOf) && !wasNamed {
+	wasNamed := r.limit.known.IsSet()
+	if r.limit.known.Update(limit, asOf) && !wasNamed {
 		r.limit.since = now
 	}
 }
--- a/coordination/admission/ratelimit_test.go
+++ b/coordination/admission/ratelimit_test.go
@@ -13,15 +13,15 @@
 )
 
 func named(perSecond float64) pushback.Limit {
-	return pushback.Limit{State: pushback.LimitNamed, PerSecond: perSecond}
+	return pushback.Limit{State: pushback.LimitSet, PerSecond: perSecond}
 }
 
 // limitedScheduler leads for all nodes, and its only replica names the limit.
 func limitedScheduler(now structs.Instant, perSecond float64) *Scheduler {
 	s := New()
 	s.SetReplicas(now, coldPool(1, 0))
-	s.SetPart(now, 1)
-	s.Hear(now, pushback.Note{Life: pushback.Life{Replica: "r0"}, Limit: named(perSecond)})
+	s.SetFollowerShare(now, 1)
+	s.ApplyPushbackReport(now, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: named(perSecond)})
 	return s
 }
 
@@ -40,9 +40,9 @@
 func TestAScheduleThatDoesNotLeadGivesNothingToALimitedReplica(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := limitedScheduler(0, 10)
-	s.SetPart(time.Second, 0)
+	s.SetFollowerShare(time.Second, 0)
 	g.Expect(ask(s, 2*time.Second, 10)).To(gomega.BeZero())
-	s.SetPart(3*time.Second, 0.5)
+	s.SetFollowerShare(3*time.Second, 0.5)
 	g.Expect(ask(s, 3*time.Second, 10)).To(gomega.BeZero(), "it begins to lead with empty banks")
 	g.Expect(placedIDs(s.Decide(4 * time.Second))).NotTo(gomega.BeEmpty())
 }
@@ -82,16 +82,16 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, coldPool(1, 0))
-	s.SetPart(0, 1)
+	s.SetFollowerShare(0, 1)
 	s.Submit(time.Second, request("before", 0))
 	g.Expect(placedIDs(s.Decide(time.Second))).To(gomega.ConsistOf("before"))
-	s.Hear(2*time.Second, pushback.Note{Life: pushback.Life{Replica: "r0"}, Limit: named(1), Age: 100 * ms})
-	s.Said(3*time.Second, "before", pushback.Statement{Limit: pushback.Limit{State: pushback.LimitNone}})
+	s.ApplyPushbackReport(2*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: named(1), Age: 100 * ms})
+	s.ApplyPushback(3*time.Second, "before", pushback.Signals{Limit: pushback.Limit{State: pushback.LimitNone}})
 	g.Expect(ask(s, 3*time.Second, 5)).To(gomega.BeZero(), "the limit holds")
-	s.Hear(5*time.Second, pushback.Note{Life: pushback.Life{Replica: "r0"}, Limit: pushback.Limit{State: pushback.LimitNone}, Age: time.Second})
-	g.Expect(s.states["r0"].limit.known.IsNamed()).To(gomega.BeFalse())
-	s.Hear(6*time.Second, pushback.Note{Life: pushback.Life{Replica: "r0"}, Limit: named(1), Age: 4 * time.Second})
-	g.Expect(s.states["r0"].limit.known.IsNamed()).To(gomega.BeFalse(), "older than the end")
+	s.ApplyPushbackReport(5*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: pushback.Limit{State: pushback.LimitNone}, Age: time.Second})
+	g.Expect(s.states["r0"].limit.known.IsSet()).To(gomega.BeFalse())
+	s.ApplyPushbackReport(6*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: named(1), Age: 4 * time.Second})
+	g.Expect(s.states["r0"].limit.known.IsSet()).To(gomega.BeFalse(), "older than the end")
 }
 
 // A replica that starts again is another one, and one that is not listed names nothing.
@@ -99,10 +99,10 @@
 	g := gomega.NewWithT(t)
 	s := limitedScheduler(0, 1)
 	again := coldPool(1, 0)
-	again[0].Born, again[0].Revision = 7, 9
+	again[0].StartedAt, again[0].Position = 7, 9
 	s.SetReplicas(time.Second, again)
-	g.Expect(s.states["r0"].limit.known.IsNamed()).To(gomega.BeFalse())
-	s.Hear(time.Second, pushback.Note{Life: pushback.Life{Replica: "elsewhere"}, Limit: named(1)})
+	g.Expect(s.states["r0"].limit.known.IsSet()).To(gomega.BeFalse())
+	s.ApplyPushbackReport(time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "elsewhere"}, Limit: named(1)})
 	g.Expect(s.states).NotTo(gomega.HaveKey("elsewhere"))
 }
 
@@ -151,7 +151,7 @@
 // start starts the scheduler anew. Who follows it tells so at once.
 func (f *limitedFleet) start(which int) {
 	f.schedulers[which] = limitedScheduler(f.now, f.perSecond)
-	f.schedulers[which].SetPart(f.now, 0)
+	f.schedulers[which].SetFollowerShare(f.now, 0)
 	clear(f.counted[which])
 	for node, follows := range f.follows {
 		if follows == which {
@@ -187,7 +187,7 @@
 		if f.believes && count > 0 {
 			part = 1
 		}
-		scheduler.SetPart(f.now, part)
+		scheduler.SetFollowerShare(f.now, part)
 	}
 }
 
@@ -272,14 +272,14 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, coldPool(2, 0))
-	s.Hear(0, pushback.Note{Life: pushback.Life{Replica: "r0"}, Leaving: true})
-	s.Hear(time.Second, pushback.Note{Life: pushback.Life{Replica: "r0"}})
+	s.ApplyPushbackReport(0, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Leaving: true})
+	s.ApplyPushbackReport(time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}})
 	g.Expect(ask(s, time.Second, 20)).To(gomega.Equal(20))
 	g.Expect(s.states["r0"].used).To(gomega.BeZero())
 	again := coldPool(2, 0)
-	again[0].Born, again[0].Revision = 7, 9
+	again[0].StartedAt, again[0].Position = 7, 9
 	s.SetReplicas(2*time.Second, again)
-	s.Hear(2*time.Second, pushback.Note{Life: pushback.Life{Replica: "r0"}, Leaving: true}) // of the life before
+	s.ApplyPushbackReport(2*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Leaving: true}) // of the life before
 	ask(s, 2*time.Second, 20)
 	g.Expect(s.states["r0"].used).NotTo(gomega.BeZero())
 }
--- a/coordination/admission/room.go
+++ b/coordination/admission/room.go
@@ -65,12 +65,12 @@
 		s.options = make([]option, len(pool.replicas))
 	}
 	for i, state := range pool.replicas {
-		use := pool.versions.Use(state.replica.Version)
+		use := pool.versions.AccessFor(state.replica.Version)
 		if s.emptied[state.replica.Zone] {
 			measured.emptied++
 			continue
 		}
-		if state.superseded || state.leaving || state.replica.Draining || use == rollouts.UseBarred || use == rollouts.UseBudgeted && !onTrial {
+		if state.superseded || state.leaving || state.replica.Draining || use == rollouts.AccessDenied || use == rollouts.AccessBudgeted && !onTrial {
 			continue
 		}
 		isCold := state.isCold(now, pool)
@@ -81,7 +81,7 @@
 			state: state, places: state.replica.Slots + pool.onTheWay(state.replica.Slots), used: state.usage(now),
 			unread: state.unread(now), slow: learned.slowness(fastest), step: learned.step,
 			readTime: readTime, fixedTime: learned.reading.fixed(readTime),
-			doubted: state.avoided || state.isAside(now), isCold: isCold, isLimited: state.limit.known.IsNamed(),
+			doubted: state.avoided || state.isAside(now), isCold: isCold, isLimited: state.limit.known.IsSet(),
 		}
 		if state.onTrial() {
 			choice.places = 1
@@ -92,7 +92,7 @@
 		if choice.isLimited {
 			choice.places = min(choice.places, choice.used+s.limitedRoom(now, state))
 		}
-		if use == rollouts.UseBudgeted {
+		if use == rollouts.AccessBudgeted {
 			measured.trials = append(measured.trials, choice)
 			continue
 		}
--- a/coordination/admission/trial.go
+++ b/coordination/admission/trial.go
@@ -28,17 +28,17 @@
 }
 
 // SetTrial replaces what the replicas of the service get that are judged; nil means nothing.
-func (s *Scheduler) SetTrial(service string, trial *rollout.Exposure) {
+func (s *Scheduler) SetCanaryBudget(service string, trial *rollout.CanaryBudget) {
 	s.service(service).trial = trial
 }
 
 // HeldAt counts the requests with a place at replicas of the service whose version gets no
 // new ones.
-func (s *Scheduler) HeldAt(service string) int {
+func (s *Scheduler) InFlightAt(service string) int {
 	pool := s.service(service)
 	count := 0
 	for _, state := range pool.replicas {
-		if pool.versions.Use(state.replica.Version) == rollouts.UseBarred {
+		if pool.versions.AccessFor(state.replica.Version) == rollouts.AccessDenied {
 			count += state.reported()
 		}
 	}
--- a/coordination/admission/warming.go
+++ b/coordination/admission/warming.go
@@ -15,7 +15,7 @@
 // empty when it starts to lead: whoever led before gave from a bank of its own.
 
 // Warming bounds what each cold replica of a service gets. The zero value is no bound.
-type Warming struct {
+type SlowStart struct {
 	// Rate is paid into the replica's bank, in requests a second, and Burst is what it holds.
 	Rate, Burst float64
 	// Time is how long a replica counts as cold whose zone is taken back.
@@ -31,17 +31,17 @@
 
 // NewWarming returns the bound of one scheduler where all nodes together may send a cold replica
 // so many requests in any second; zero means any. A share too small for a whole request is none.
-func NewWarming(allowed float64, coldTime time.Duration) Warming {
+func NewSlowStart(allowed float64, coldTime time.Duration) SlowStart {
 	if allowed <= 0 {
-		return Warming{}
+		return SlowStart{}
 	}
 	share := allowed / concurrentSchedulers
 	burst := max(burstPart*share, 1)
-	return Warming{Rate: max(share-burst, 0), Burst: min(burst, share), Time: coldTime}
+	return SlowStart{Rate: max(share-burst, 0), Burst: min(burst, share), Time: coldTime}
 }
 
 // isBound returns whether cold replicas are spared at all.
-func (w Warming) isBound() bool { return w.Burst > 0 }
+func (w SlowStart) isBound() bool { return w.Burst > 0 }
 
 // warmth is what is known of how cold a replica is.
 type warmth struct {
@@ -53,22 +53,22 @@
 
 // SetWarming replaces the bound for the service's cold replicas. Until it was called they get
 // nothing: how much they bear is not known.
-func (s *Scheduler) SetWarming(service string, warming Warming) {
+func (s *Scheduler) SetSlowStart(service string, warming SlowStart) {
 	s.service(service).warming = &warming
 }
 
 // SetWarms tells whether this scheduler may send to cold replicas. Each call empties all banks, so
 // it is made when that begins or ends.
-func (s *Scheduler) SetWarms(now structs.Instant, warms bool) {
+func (s *Scheduler) SetColdTrafficAllowed(now structs.Instant, warms bool) {
 	s.warms, s.warmsSince = warms, now
 }
 
 // Warms returns whether this scheduler may send to cold replicas.
-func (s *Scheduler) Warms() bool { return s.warms }
+func (s *Scheduler) ColdTrafficAllowed() bool { return s.warms }
 
 // SetEmptied replaces the zones whose replicas get nothing. The replicas of one that is taken back
 // count as cold for a while: they may have started meanwhile and not have told so yet.
-func (s *Scheduler) SetEmptied(now structs.Instant, zones map[string]bool) {
+func (s *Scheduler) SetEvacuatedZones(now structs.Instant, zones map[string]bool) {
 	for _, state := range s.states {
 		if zone := state.replica.Zone; s.emptied[zone] && !zones[zone] {
 			state.warmth.returns = now + s.service(state.replica.Service).coldTime()
--- a/coordination/admission/warming_test.go
+++ b/coordination/admission/warming_test.go
@@ -13,13 +13,13 @@
 )
 
 // warming is the bound of a service whose cold replicas bear 19 requests in a second.
-var warming = NewWarming(19, 3*time.Second)
+var warming = NewSlowStart(19, 3*time.Second)
 
 // coldPool returns replicas that say to stay cold for so long, in the zone "east".
 func coldPool(count int, left time.Duration) []replicas.Replica {
 	all := pool(make([]int, count)...)
 	for i := range all {
-		all[i].Slots, all[i].Zone, all[i].Warmup, all[i].Revision = 1000, "east", left, structs.Place(i+1)
+		all[i].Slots, all[i].Zone, all[i].Warmup, all[i].Position = 1000, "east", left, structs.StorePosition(i+1)
 	}
 	return all
 }
@@ -35,10 +35,10 @@
 func TestAColdReplicaGetsFewRequestsUntilItIsWarm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetWarming("s", warming)
+	s.SetSlowStart("s", warming)
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
 	g.Expect(ask(s, 0, 50)).To(gomega.BeZero(), "this scheduler does not lead")
-	s.SetWarms(0, true)
+	s.SetColdTrafficAllowed(0, true)
 	given := 0
 	for now := structs.Instant(0); now < time.Second; now += 10 * ms {
 		given += len(placedIDs(s.Decide(now)))
@@ -51,18 +51,18 @@
 func TestAColdReplicaGetsNothingWhileItsBoundIsNotKnown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetWarms(0, true)
+	s.SetColdTrafficAllowed(0, true)
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
 	g.Expect(ask(s, time.Second, 10)).To(gomega.BeZero())
-	s.SetWarming("s", Warming{})
+	s.SetSlowStart("s", SlowStart{})
 	g.Expect(placedIDs(s.Decide(time.Second))).To(gomega.HaveLen(10), "there is none")
 }
 
 func TestWarmReplicasTakeTheRest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetWarming("s", warming)
-	s.SetWarms(0, true)
+	s.SetSlowStart("s", warming)
+	s.SetColdTrafficAllowed(0, true)
 	all := coldPool(2, 2*time.Second)
 	all[1].Warmup = 0
 	s.SetReplicas(0, all)
@@ -74,16 +74,16 @@
 func TestAnEmptiedZoneGetsNothingAndComesBackCold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetWarming("s", warming)
-	s.SetWarms(0, true)
+	s.SetSlowStart("s", warming)
+	s.SetColdTrafficAllowed(0, true)
 	s.SetReplicas(0, coldPool(1, 0))
-	s.SetEmptied(0, map[string]bool{"east": true, "nowhere": true})
+	s.SetEvacuatedZones(0, map[string]bool{"east": true, "nowhere": true})
 	s.Submit(0, request("a", 0))
 	decisions := s.Decide(0)
 	g.Expect(decisions).To(gomega.HaveLen(1))
 	g.Expect(decisions[0].Reason).To(gomega.Equal(ReasonEmptied), "it is refused at once")
 	back := time.Minute
-	s.SetEmptied(back, map[string]bool{"nowhere": true})
+	s.SetEvacuatedZones(back, map[string]bool{"nowhere": true})
 	g.Expect(ask(s, back, 50)).To(gomega.BeNumerically("<=", warming.Burst), "the banks were idle")
 	g.Expect(ask(s, back+warming.Time-ms, 50)).To(gomega.BeNumerically("<=", warming.Burst))
 	g.Expect(ask(s, back+warming.Time, 10)).To(gomega.Equal(58), "it is warm")
@@ -93,7 +93,7 @@
 func TestTheSpeedOfAColdReplicaIsLearnedApart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetWarming("s", warming)
+	s.SetSlowStart("s", warming)
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
 	s.Observe(time.Second, "s", "r0", 0, Observation{Duration: 900 * ms})
 	g.Expect(s.states["r0"].speed.step).To(gomega.BeZero())
@@ -125,7 +125,7 @@
 
 func (f *coldFleet) create() *Scheduler {
 	s := New()
-	s.SetWarming("s", warming)
+	s.SetSlowStart("s", warming)
 	s.SetReplicas(f.now, coldPool(1, time.Hour))
 	return s
 }
@@ -133,7 +133,7 @@
 // begin has the scheduler lead.
 func (f *coldFleet) begin(which int) {
 	held := f.schedulers[which].states["r0"].warmth
-	f.schedulers[which].SetWarms(f.now, true)
+	f.schedulers[which].SetColdTrafficAllowed(f.now, true)
 	if f.keeps {
 		f.schedulers[which].warmsSince = 0
 		f.schedulers[which].states["r0"].warmth = held
@@ -142,7 +142,7 @@
 
 func (f *coldFleet) lead(which int) {
 	for _, other := range f.leading {
-		f.schedulers[other].SetWarms(f.now, false)
+		f.schedulers[other].SetColdTrafficAllowed(f.now, false)
 	}
 	f.begin(which)
 	f.leading = []int{which}
--- a/coordination/limits/limits.go
+++ b/coordination/limits/limits.go
@@ -52,7 +52,7 @@
 }
 
 // Slice is the part of a limit that a node may use.
-type Slice struct {
+type Allocation struct {
 	Tenant      string  `msgpack:"t"`
 	Rate        float64 `msgpack:"r"`
 	Concurrency int     `msgpack:"c"`
@@ -60,7 +60,7 @@
 
 // Grant answers a Report.
 type Grant struct {
-	Slices []Slice `msgpack:"s"`
+	Slices []Allocation `msgpack:"s"`
 }
 
 // Owner divides limits among nodes. It is not safe for concurrent use.
@@ -71,7 +71,7 @@
 // share is a node's demand and what it was given.
 type share struct {
 	demand Demand
-	slice  Slice
+	slice  Allocation
 	at     structs.Instant
 }
 
@@ -79,7 +79,7 @@
 func NewOwner() *Owner { return &Owner{tenants: map[string]map[string]*share{}} }
 
 // Divide records the report and returns the slices of its sender.
-func (o *Owner) Divide(now structs.Instant, report Report, limit func(tenant string) Limit) Grant {
+func (o *Owner) Allocate(now structs.Instant, report Report, limit func(tenant string) Limit) Grant {
 	var grant Grant
 	for _, demand := range report.Demands {
 		shares, found := o.tenants[demand.Tenant]
@@ -93,7 +93,7 @@
 }
 
 // divide gives the node its part by demand, out of what is not given to others.
-func divide(now structs.Instant, shares map[string]*share, from string, demand Demand, limit Limit) Slice {
+func divide(now structs.Instant, shares map[string]*share, from string, demand Demand, limit Limit) Allocation {
 	for name, other := range shares {
 		if now-other.at > ownerLease {
 			delete(shares, name)
@@ -117,7 +117,7 @@
 	}
 	even := limit.Rate / nodes
 	wanted := headroom*even + (1-headroom)*limit.Rate*fraction(demand.Rate, demand.Rate+wantedRate, nodes)
-	mine.slice = Slice{
+	mine.slice = Allocation{
 		Tenant: demand.Tenant,
 		Rate:   max(0, min(wanted, limit.Rate-givenRate)),
 	}
@@ -147,7 +147,7 @@
 	open      int
 	arrivals  float64
 	demand    float64
-	slice     Slice
+	slice     Allocation
 	grantedAt structs.Instant
 	granted   bool
 	usedAt    structs.Instant
@@ -202,11 +202,11 @@
 
 // effective is the slice in force: the owner's while it is fresh, else the
 // equal share, but never less than one open request in all nodes but few.
-func (m *Member) effective(now structs.Instant, entry *bucket, limit Limit) Slice {
+func (m *Member) effective(now structs.Instant, entry *bucket, limit Limit) Allocation {
 	if entry.granted && now-entry.grantedAt <= grantLease {
 		return entry.slice
 	}
-	return Slice{Rate: limit.Rate / float64(m.liveNodes), Concurrency: (limit.Concurrency + m.liveNodes - 1) / m.liveNodes}
+	return Allocation{Rate: limit.Rate / float64(m.liveNodes), Concurrency: (limit.Concurrency + m.liveNodes - 1) / m.liveNodes}
 }
 
 // Reports returns the demands by owner since the last call.
--- a/coordination/limits/limits_test.go
+++ b/coordination/limits/limits_test.go
@@ -16,14 +16,14 @@
 func TestSlicesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owner := NewOwner()
-		latest := map[string]Slice{}
+		latest := map[string]Allocation{}
 		heard := map[string]time.Duration{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond
 			node := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "node"))
 			demand := Demand{Tenant: "t", Rate: rapid.Float64Range(0, 200).Draw(t, "rate"), Open: rapid.IntRange(0, 20).Draw(t, "open")}
-			grant := owner.Divide(now, Report{From: node, Demands: []Demand{demand}}, func(string) Limit { return limit })
+			grant := owner.Allocate(now, Report{From: node, Demands: []Demand{demand}}, func(string) Limit { return limit })
 			latest[node], heard[node] = grant.Slices[0], now
 			rate, open := 0.0, 0
 			for other, slice := range latest {
--- a/coordination/liveness/candidates.go
+++ b/coordination/liveness/candidates.go
@@ -16,9 +16,9 @@
 // Candidates returns the names of the nodes that may do work for all: those that do
 // not leave and are about as strong as the strongest of them, of these the ones with
 // about the widest link. The beats are of live nodes, this one's included.
-func Candidates(beats []*Beat) []string {
-	strong := strongest(beats, func(beat *Beat) float64 { return beat.Cores })
-	strong = strongest(strong, func(beat *Beat) float64 { return beat.Link })
+func EligibleNodes(beats []*Heartbeat) []string {
+	strong := strongest(beats, func(beat *Heartbeat) float64 { return beat.Cores })
+	strong = strongest(strong, func(beat *Heartbeat) float64 { return beat.LinkMbps })
 	names := make([]string, 0, len(strong))
 	for _, beat := range strong {
 		names = append(names, beat.Name)
@@ -29,15 +29,15 @@
 
 // Schedulers returns the first of the candidates in the order in which they schedule, as far as
 // the count.
-func Schedulers(beats []*Beat, count int) []string {
-	return rendezvous.Choose(Candidates(beats), rendezvous.Key(schedulerKey), count)
+func TopEligible(beats []*Heartbeat, count int) []string {
+	return rendezvous.Top(EligibleNodes(beats), rendezvous.Key(schedulerKey), count)
 }
 
 // Order returns the names of the nodes with the beats in the order in which they do work for all,
 // as far as the count: the candidates first.
-func Order(beats []*Beat, count int) []string {
-	strong := Candidates(beats)
-	order := rendezvous.Choose(strong, rendezvous.Key(schedulerKey), count)
+func RankNodes(beats []*Heartbeat, count int) []string {
+	strong := EligibleNodes(beats)
+	order := rendezvous.Top(strong, rendezvous.Key(schedulerKey), count)
 	if len(order) == count || len(strong) == len(beats) {
 		return order
 	}
@@ -51,12 +51,12 @@
 			weak = append(weak, beat.Name)
 		}
 	}
-	return append(order, rendezvous.Choose(weak, rendezvous.Key(schedulerKey), count-len(order))...)
+	return append(order, rendezvous.Top(weak, rendezvous.Key(schedulerKey), count-len(order))...)
 }
 
 // FirstCalm returns the first of the ordered nodes that is not slow, or the first of all if
 // every one is. It is empty if there is none.
-func FirstCalm(order []string, beats []*Beat) string {
+func FirstNotSlow(order []string, beats []*Heartbeat) string {
 	slow := map[string]bool{}
 	for _, beat := range beats {
 		slow[beat.Name] = beat.Slow
@@ -73,14 +73,14 @@
 }
 
 // strongest returns the beats of nodes that do not leave and have about the most.
-func strongest(beats []*Beat, strength func(*Beat) float64) []*Beat {
+func strongest(beats []*Heartbeat, strength func(*Heartbeat) float64) []*Heartbeat {
 	most := 0.0
 	for _, beat := range beats {
 		if !beat.Leaving {
 			most = max(most, strength(beat))
 		}
 	}
-	var strong []*Beat
+	var strong []*Heartbeat
 	for _, beat := range beats {
 		if !beat.Leaving && strength(beat) >= most*strongShare {
 			strong = append(strong, beat)
@@ -90,10 +90,10 @@
 }
 
 // Beats returns the latest heartbeats of the members.
-func Beats(members []*Member) []*Beat {
-	beats := make([]*Beat, 0, len(members))
+func Heartbeats(members []*Member) []*Heartbeat {
+	beats := make([]*Heartbeat, 0, len(members))
 	for _, member := range members {
-		beats = append(beats, &member.Beat)
+		beats = append(beats, &member.Heartbeat)
 	}
 	return beats
 }
--- a/coordination/liveness/delegates.go
+++ b/coordination/liveness/delegates.go
@@ -38,13 +38,13 @@
 
 // ToldFleet returns how many nodes the fleet has as its delegates tell. One of them alone may be
 // wrong: of two or more the second largest number counts.
-func ToldFleet(members []*Member) int {
+func ReportedFleetSize(members []*Member) int {
 	largest, second := 0, 0
 	for _, member := range Delegates(members) {
-		if member.Fleet > largest {
-			largest, second = member.Fleet, largest
+		if member.FleetSize > largest {
+			largest, second = member.FleetSize, largest
 		} else {
-			second = max(second, member.Fleet)
+			second = max(second, member.FleetSize)
 		}
 	}
 	if second == 0 {
@@ -57,7 +57,7 @@
 func Delegates(members []*Member) []*Member {
 	var core []*Member
 	for _, member := range members {
-		if !member.Ordinary {
+		if !member.NonDelegate {
 			core = append(core, member)
 		}
 	}
@@ -66,19 +66,19 @@
 
 // IsDelegate returns whether the node with the beat speaks for its zone in a large fleet, given
 // the delegates that it hears.
-func IsDelegate(own *Beat, heard []*Member) bool {
-	zone := []*Beat{own}
+func IsDelegate(own *Heartbeat, heard []*Member) bool {
+	zone := []*Heartbeat{own}
 	for _, member := range Delegates(heard) {
 		if member.Zone == own.Zone {
-			zone = append(zone, &member.Beat)
+			zone = append(zone, &member.Heartbeat)
 		}
 	}
-	return slices.Contains(Order(zone, delegates), own.Name)
+	return slices.Contains(RankNodes(zone, delegates), own.Name)
 }
 
 // Names returns what a node of the zone is told of the fleet: the delegates of each zone, and some
 // more nodes of its own.
-func Names(live []*Member, zone string) []Peer {
+func PeersForZone(live []*Member, zone string) []Peer {
 	zones := map[string][]*Member{}
 	for _, member := range live {
 		zones[member.Zone] = append(zones[member.Zone], member)
@@ -95,7 +95,7 @@
 	for _, member := range members {
 		byName[member.Name] = member
 	}
-	wanted := Order(Beats(Delegates(members)), delegates)
+	wanted := RankNodes(Heartbeats(Delegates(members)), delegates)
 	if ownZone {
 		for _, member := range members[:min(len(members), namesOfOwnZone)] {
 			if !slices.Contains(wanted, member.Name) {
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -17,7 +17,7 @@
 )
 
 // Beat is the content of a heartbeat.
-type Beat struct {
+type Heartbeat struct {
 	Name    string `msgpack:"n"`
 	Zone    string `msgpack:"z"`
 	Address string `msgpack:"a"`
@@ -25,54 +25,54 @@
 	Cores float64 `msgpack:"c"`
 	// Link is the bandwidth of the sender's machine in megabits a second; zero means
 	// that it is not known.
-	Link float64 `msgpack:"m"`
+	LinkMbps float64 `msgpack:"m"`
 	// Interval is the time to the sender's next heartbeat, in milliseconds. Nodes
 	// that others wait for beat more often than the rest.
-	Interval int64 `msgpack:"b"`
+	IntervalMS int64 `msgpack:"b"`
 	// Incarnation differs for each start of the node's process.
 	Incarnation uint64 `msgpack:"i"`
 	// Term rises when the process forgot what it had scheduled.
 	Term    uint64 `msgpack:"t"`
 	Leaving bool   `msgpack:"l"`
 	// Follows is the node that schedules for the sender.
-	Follows string `msgpack:"fo,omitempty"`
+	Scheduler string `msgpack:"fo,omitempty"`
 	// Slow is true if the node is too slow to schedule for others.
 	Slow bool `msgpack:"sl,omitempty"`
 	// Storeless is true if the node can't reach the store.
-	Storeless bool `msgpack:"s"`
+	StoreUnreachable bool `msgpack:"s"`
 	// Version is the configuration's and Latest the revision of the latest
 	// change of the replicas that the node knows.
-	Version int64         `msgpack:"v"`
-	Latest  structs.Place `msgpack:"r"`
+	Version        int64                 `msgpack:"v"`
+	LatestPosition structs.StorePosition `msgpack:"r"`
 	// Era is the store's present era as far as the sender knows. If the store came back from a
 	// copy lately, Restored tells of it, and RestoredAge for how long the sender has known so, in
 	// milliseconds.
-	Era         int64             `msgpack:"er,omitempty"`
-	Restored    *structs.Restored `msgpack:"rs,omitempty"`
-	RestoredAge int64             `msgpack:"ra,omitempty"`
+	Era           int64                  `msgpack:"er,omitempty"`
+	RestoreWindow *structs.RestoreWindow `msgpack:"rs,omitempty"`
+	RestoreAgeMS  int64                  `msgpack:"ra,omitempty"`
 	// Unread is the age of the latest complete read of the store that the sender
 	// has the result of, by itself or from another node, in milliseconds. It is
 	// negative if there was none.
-	Unread int64 `msgpack:"u"`
+	ReplicasAgeMS int64 `msgpack:"u"`
 	// ConfigurationUnread is the same for the configuration, which is read more rarely.
-	ConfigurationUnread int64 `msgpack:"x"`
+	ConfigurationAgeMS int64 `msgpack:"x"`
 	// Held counts the node's requests in progress by replica.
-	Held map[string]Held `msgpack:"h"`
+	InFlight map[string]InFlightCount `msgpack:"h"`
 	// Steady is for how long the sender has followed the store without any trouble,
 	// in milliseconds; zero if it does not follow it.
-	Steady int64 `msgpack:"w"`
+	StoreHealthyMS int64 `msgpack:"w"`
 	// Failing names replicas that fail for this node.
-	Failing []string `msgpack:"f"`
+	FailingReplicas []string `msgpack:"f"`
 	// Levels tells, if the sender schedules or did until just now, what tenants may take at once,
 	// of those that are not near their full burst. Who takes over goes on from there. Nil means
 	// that nothing is told. To a newcomer it is what the sender heard LevelsAge milliseconds ago.
-	Levels    map[string]float64 `msgpack:"q"`
-	LevelsAge int64              `msgpack:"qa,omitempty"`
+	BucketLevels      map[string]float64 `msgpack:"q"`
+	BucketLevelsAgeMS int64              `msgpack:"qa,omitempty"`
 	// Ledger tells, if the sender schedules or did until just now, what it handed out of tenants'
 	// quotas; nil means that nothing is told.
-	Ledger *LedgerView `msgpack:"lg,omitempty"`
+	Usage *QuotaUsage `msgpack:"lg,omitempty"`
 	// Known is how many other nodes the sender knows by name or is just being told of.
-	Known int `msgpack:"k"`
+	KnownNodes int `msgpack:"k"`
 	// Peers are a few nodes that the sender knows.
 	Peers []Peer `msgpack:"p"`
 	// Rollouts tells how far the sender knows each roll-out that is not at its end, by
@@ -82,42 +82,42 @@
 	Evacuations []evacuations.Order `msgpack:"ev,omitempty"`
 	// Contents marks what the sender knows of requests that replicas ended under; nil if it
 	// knows none.
-	Contents *ContentsMark `msgpack:"ct,omitempty"`
+	Poison *PoisonSummary `msgpack:"ct,omitempty"`
 	// Ordinary is true if the sender does no work for all: others of its zone are its delegates.
-	Ordinary bool `msgpack:"od,omitempty"`
+	NonDelegate bool `msgpack:"od,omitempty"`
 	// ZoneLive and ZoneKnown are how many nodes of its zone the sender hears, and knows.
 	ZoneLive  int `msgpack:"zl,omitempty"`
 	ZoneKnown int `msgpack:"zk,omitempty"`
 	// Fleet is how many nodes the sender takes the fleet to have.
-	Fleet int `msgpack:"fl,omitempty"`
+	FleetSize int `msgpack:"fl,omitempty"`
 	// Relays is true if the sender passes heartbeats on to its zone when it is asked to.
-	Relays bool `msgpack:"e,omitempty"`
+	CanRelay bool `msgpack:"e,omitempty"`
 	// PassOn asks the receiver to send the heartbeat to all nodes of its zone.
-	PassOn bool `msgpack:"y,omitempty"`
+	RelayRequested bool `msgpack:"y,omitempty"`
 	// Passed is true if the heartbeat came from a node that passed it on.
-	Passed bool `msgpack:"o,omitempty"`
+	Relayed bool `msgpack:"o,omitempty"`
 	// Reached makes this the confirmation of a heartbeat that was to be passed on: it
 	// counts the nodes of the sender's zone that have it now, the sender included.
-	Reached int `msgpack:"j,omitempty"`
+	RelayedTo int `msgpack:"j,omitempty"`
 	// Asks is true if the sender wants a heartbeat sent straight back, and AsksNames if that is to
 	// name other nodes.
-	Asks      bool `msgpack:"d,omitempty"`
-	AsksNames bool `msgpack:"dn,omitempty"`
+	WantsReply bool `msgpack:"d,omitempty"`
+	WantsPeers bool `msgpack:"dn,omitempty"`
 }
 
 // Held counts requests in progress at one replica.
-type Held struct {
+type InFlightCount struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	// Total is all of them and Foreign those that the node's present scheduler
 	// did not place.
-	Total   int `msgpack:"t"`
-	Foreign int `msgpack:"f"`
+	Total    int `msgpack:"t"`
+	External int `msgpack:"f"`
 }
 
 // ContentsMark tells whether two nodes know the same of requests that replicas ended under.
-type ContentsMark struct {
+type PoisonSummary struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -127,7 +127,7 @@
 }
 
 // LedgerView is what a node handed out of tenants' quotas since it began to schedule.
-type LedgerView struct {
+type QuotaUsage struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -145,8 +145,8 @@
 	_msgpack struct{} `msgpack:",as_array"`
 
 	// Order is the store's revision of the order and Phase the phase that the node goes by.
-	Order structs.Place `msgpack:"o"`
-	Phase uint8         `msgpack:"p"`
+	OrderPosition structs.StorePosition `msgpack:"o"`
+	Phase         uint8                 `msgpack:"p"`
 	// Busy counts the node's requests at replicas that get no new ones.
 	Busy int `msgpack:"b"`
 }
@@ -159,7 +159,7 @@
 
 // Member is what is known of another node.
 type Member struct {
-	Beat
+	Heartbeat
 	heard     structs.Instant
 	suspected bool
 	known     bool
@@ -174,11 +174,11 @@
 )
 
 // Patience is the silence after which the member is taken for dead.
-func (m *Member) Patience() time.Duration {
-	if m.Interval <= 0 {
+func (m *Member) FailureTimeout() time.Duration {
+	if m.IntervalMS <= 0 {
 		return missedBeats * defaultInterval
 	}
-	return missedBeats * time.Duration(m.Interval) * time.Millisecond
+	return missedBeats * time.Duration(m.IntervalMS) * time.Millisecond
 }
 
 // forgetAfter is how long a silent node is still sent to and counted.
@@ -200,22 +200,22 @@
 // Heard applies a heartbeat. It returns true if the node was silent, unknown or
 // another process before. A suspected node stays suspected until it is heard of without
 // a relay between: the relay may reach it while this node does not.
-func (t *Table) Heard(now structs.Instant, beat Beat) bool {
+func (t *Table) Observe(now structs.Instant, beat Heartbeat) bool {
 	if beat.Name == t.self || beat.Name == "" {
 		return false
 	}
 	member, found := t.members[beat.Name]
 	if !found {
-		member = &Member{Beat: Beat{Name: beat.Name}}
+		member = &Member{Heartbeat: Heartbeat{Name: beat.Name}}
 		t.add(member)
 	}
 	sameProcess := found && member.Incarnation == beat.Incarnation
-	stillSuspected := sameProcess && member.suspected && beat.Passed
+	stillSuspected := sameProcess && member.suspected && beat.Relayed
 	news := !sameProcess || !stillSuspected && !member.live(now, 1)
 	if found && !member.known {
 		t.learned--
 	}
-	member.Beat, member.heard, member.suspected, member.known = beat, now, stillSuspected, true
+	member.Heartbeat, member.heard, member.suspected, member.known = beat, now, stillSuspected, true
 	return news
 }
 
@@ -224,7 +224,7 @@
 const mostLearned = 1024
 
 // Learn enters a node that another one told of. It returns true if it was unknown.
-func (t *Table) Learn(now structs.Instant, peer Peer) bool {
+func (t *Table) AddPeer(now structs.Instant, peer Peer) bool {
 	if peer.Name == t.self || peer.Name == "" {
 		return false
 	}
@@ -232,7 +232,7 @@
 		return false
 	}
 	t.learned++
-	t.add(&Member{Beat: Beat{Name: peer.Name, Address: peer.Address}, learned: now})
+	t.add(&Member{Heartbeat: Heartbeat{Name: peer.Name, Address: peer.Address}, learned: now})
 	return true
 }
 
@@ -267,7 +267,7 @@
 
 // live returns whether the member was heard of within so many times its patience.
 func (m *Member) live(now structs.Instant, times int) bool {
-	return m.known && !m.suspected && now-m.heard < m.Patience()*time.Duration(times)
+	return m.known && !m.suspected && now-m.heard < m.FailureTimeout()*time.Duration(times)
 }
 
 // Live returns the members that are not taken for dead, by name.
@@ -275,7 +275,7 @@
 
 // NotLost returns the members that are live or were until a while ago: their
 // processes may still be at work.
-func (t *Table) NotLost(now structs.Instant) []*Member { return t.within(now, lostFactor) }
+func (t *Table) PossiblyRunning(now structs.Instant) []*Member { return t.within(now, lostFactor) }
 
 // lostFactor is how many times its patience a member may be silent until its
 // process is reckoned to have ended.
@@ -304,7 +304,7 @@
 }
 
 // Some returns up to so many members, others with each number.
-func (t *Table) Some(number, count int) []Peer {
+func (t *Table) PeerSample(number, count int) []Peer {
 	var peers []Peer
 	for i := range min(count, len(t.ordered)) {
 		member := t.ordered[(number+i)%len(t.ordered)]
@@ -327,4 +327,4 @@
 }
 
 // Silence returns for how long the member has not been heard of.
-func (m *Member) Silence(now structs.Instant) time.Duration { return now - m.heard }
+func (m *Member) SinceHeartbeat(now structs.Instant) time.Duration { return now - m.heard }
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -20,36 +20,36 @@
 func TestSilentSuspectedAndUnheardNodesAreNotLive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
-	g.Expect(table.Heard(0, Beat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
-	g.Expect(table.Heard(100*time.Millisecond, Beat{Name: "a", Incarnation: 1})).To(gomega.BeFalse())
-	g.Expect(table.Heard(0, Beat{Name: "self"})).To(gomega.BeFalse())
-	table.Learn(0, Peer{Name: "b", Address: "x"})
+	g.Expect(table.Observe(0, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
+	g.Expect(table.Observe(100*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeFalse())
+	g.Expect(table.Observe(0, Heartbeat{Name: "self"})).To(gomega.BeFalse())
+	table.AddPeer(0, Peer{Name: "b", Address: "x"})
 	g.Expect(names(table.Live(200 * time.Millisecond))).To(gomega.Equal([]string{"a"}))
 	g.Expect(names(table.All(0))).To(gomega.Equal([]string{"a", "b"}))
 	table.Suspect("a")
 	g.Expect(table.Live(200 * time.Millisecond)).To(gomega.BeEmpty())
-	g.Expect(table.Heard(300*time.Millisecond, Beat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
+	g.Expect(table.Observe(300*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
 	g.Expect(table.Live(300*time.Millisecond + dead)).To(gomega.BeEmpty())
-	g.Expect(table.Heard(time.Second, Beat{Name: "a", Incarnation: 2})).To(gomega.BeTrue())
+	g.Expect(table.Observe(time.Second, Heartbeat{Name: "a", Incarnation: 2})).To(gomega.BeTrue())
 	g.Expect(table.All(2 * forgetAfter)).To(gomega.BeEmpty())
 }
 
 // A weak node that schedules for all can't keep up in a burst.
 func TestWeakAndLeavingNodesDoNotSchedule(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(Candidates([]*Beat{{Name: "weak", Cores: 0.2}, {Name: "b", Cores: 0.7}, {Name: "a", Cores: 0.8}, {Name: "left", Cores: 4, Leaving: true}})).To(gomega.Equal([]string{"a", "b"}))
-	g.Expect(Candidates([]*Beat{{Name: "a"}, {Name: "b"}})).To(gomega.Equal([]string{"a", "b"}))
-	g.Expect(Candidates([]*Beat{{Name: "a", Leaving: true}})).To(gomega.BeEmpty())
+	g.Expect(EligibleNodes([]*Heartbeat{{Name: "weak", Cores: 0.2}, {Name: "b", Cores: 0.7}, {Name: "a", Cores: 0.8}, {Name: "left", Cores: 4, Leaving: true}})).To(gomega.Equal([]string{"a", "b"}))
+	g.Expect(EligibleNodes([]*Heartbeat{{Name: "a"}, {Name: "b"}})).To(gomega.Equal([]string{"a", "b"}))
+	g.Expect(EligibleNodes([]*Heartbeat{{Name: "a", Leaving: true}})).To(gomega.BeEmpty())
 }
 
 // With 83 nodes a dead scheduling node was noticed after four seconds.
 func TestEachNodeIsJudgedByItsOwnInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
-	table.Heard(0, Beat{Name: "often", Interval: 250})
-	table.Heard(0, Beat{Name: "rarely", Interval: 1000})
+	table.Observe(0, Heartbeat{Name: "often", IntervalMS: 250})
+	table.Observe(0, Heartbeat{Name: "rarely", IntervalMS: 1000})
 	g.Expect(names(table.Live(900 * time.Millisecond))).To(gomega.Equal([]string{"often", "rarely"}))
 	g.Expect(names(table.Live(1100 * time.Millisecond))).To(gomega.Equal([]string{"rarely"}))
-	g.Expect(names(table.NotLost(1100 * time.Millisecond))).To(gomega.Equal([]string{"often", "rarely"}))
+	g.Expect(names(table.PossiblyRunning(1100 * time.Millisecond))).To(gomega.Equal([]string{"often", "rarely"}))
 	g.Expect(table.Live(4 * time.Second)).To(gomega.BeEmpty())
 }
--- a/coordination/liveness/relay.go
+++ b/coordination/liveness/relay.go
@@ -54,18 +54,18 @@
 }
 
 // Routes says whom a heartbeat goes to: directly, or to be passed on to their zone.
-type Routes struct {
-	Direct, PassOn []string
+type Recipients struct {
+	Direct, Relays []string
 }
 
 // Routes returns the addresses for one heartbeat from a node of the zone to the live
 // members. In a large fleet the delegates of a zone are its relays, which alone know all its
 // nodes; a zone where none is heard of is sent to directly.
-func (r *Relays) Routes(now structs.Instant, own string, live []*Member, isLarge bool) Routes {
-	var routes Routes
+func (r *Relays) Recipients(now structs.Instant, own string, live []*Member, isLarge bool) Recipients {
+	var routes Recipients
 	zones := map[string][]*Member{}
 	for _, member := range live {
-		if member.Zone == own || !member.Relays {
+		if member.Zone == own || !member.CanRelay {
 			routes.Direct = append(routes.Direct, member.Address)
 			continue
 		}
@@ -80,7 +80,7 @@
 			routes.Direct = append(routes.Direct, addresses(members)...)
 			continue
 		}
-		routes.PassOn = append(routes.PassOn, addresses(r.choose(now, zone, relays))...)
+		routes.Relays = append(routes.Relays, addresses(r.choose(now, zone, relays))...)
 	}
 	return routes
 }
@@ -128,7 +128,7 @@
 // is full of other things loses heartbeats of many.
 func widest(members []*Member) []string {
 	var names []string
-	for _, beat := range strongest(Beats(members), func(beat *Beat) float64 { return beat.Link }) {
+	for _, beat := range strongest(Heartbeats(members), func(beat *Heartbeat) float64 { return beat.LinkMbps }) {
 		names = append(names, beat.Name)
 	}
 	return names
@@ -147,7 +147,7 @@
 			recent = append(recent, member)
 		}
 	}
-	slices.SortStableFunc(recent, func(a, b *Member) int { return int(a.Silence(now) - b.Silence(now)) })
+	slices.SortStableFunc(recent, func(a, b *Member) int { return int(a.SinceHeartbeat(now) - b.SinceHeartbeat(now)) })
 	recent = recent[:min(max(relayCandidates, len(members)/recentShare), len(recent))]
 	drawn := r.draw(wide, 1)
 	return append(drawn, r.draw(recent, relayCandidates-len(drawn))...)
--- a/coordination/liveness/relay_test.go
+++ b/coordination/liveness/relay_test.go
@@ -17,7 +17,7 @@
 	table := NewTable("self")
 	for i := range 2 {
 		name := fmt.Sprint("own", i)
-		table.Heard(0, Beat{Name: name, Address: name, Zone: "own", Relays: true, Interval: 1000})
+		table.Observe(0, Heartbeat{Name: name, Address: name, Zone: "own", CanRelay: true, IntervalMS: 1000})
 	}
 	for i := range others {
 		name := fmt.Sprintf("other%02d", i)
@@ -25,7 +25,7 @@
 		if i < wide {
 			link = 200
 		}
-		table.Heard(structs.Instant(i)*time.Millisecond, Beat{Name: name, Address: name, Zone: "other", Link: link, Relays: true, Interval: 1000})
+		table.Observe(structs.Instant(i)*time.Millisecond, Heartbeat{Name: name, Address: name, Zone: "other", LinkMbps: link, CanRelay: true, IntervalMS: 1000})
 	}
 	return table
 }
@@ -38,60 +38,60 @@
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
 	relays := NewRelays(last)
 	now := 100 * time.Millisecond
-	first := relays.Routes(now, "own", live, false)
+	first := relays.Recipients(now, "own", live, false)
 	g.Expect(first.Direct).To(gomega.ConsistOf("own0", "own1"))
-	g.Expect(first.PassOn).To(gomega.HaveLen(relayCandidates))
-	g.Expect(first.PassOn).To(gomega.ContainElement("other00"), "the one with a wide link")
-	relays.Confirmed("other", first.PassOn[1], 20)
-	g.Expect(relays.Routes(now, "own", live, false).PassOn).To(gomega.Equal(first.PassOn[1:2]))
-	again := relays.Routes(now, "own", live, false).PassOn
+	g.Expect(first.Relays).To(gomega.HaveLen(relayCandidates))
+	g.Expect(first.Relays).To(gomega.ContainElement("other00"), "the one with a wide link")
+	relays.Confirmed("other", first.Relays[1], 20)
+	g.Expect(relays.Recipients(now, "own", live, false).Relays).To(gomega.Equal(first.Relays[1:2]))
+	again := relays.Recipients(now, "own", live, false).Relays
 	g.Expect(again).To(gomega.HaveLen(relayCandidates), "the relay did not confirm")
-	g.Expect(again).NotTo(gomega.ContainElement(first.PassOn[1]))
+	g.Expect(again).NotTo(gomega.ContainElement(first.Relays[1]))
 }
 
 func TestARelayWithAWideLinkIsPreferred(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
 	relays := NewRelays(last)
-	tried := relays.Routes(0, "own", live, false).PassOn
+	tried := relays.Recipients(0, "own", live, false).Relays
 	narrow := tried[slices.IndexFunc(tried, func(name string) bool { return name != "other00" })]
 	relays.Confirmed("other", narrow, 20)
 	relays.Confirmed("other", "other00", 20)
 	relays.Confirmed("other", narrow, 20)
-	g.Expect(relays.Routes(0, "own", live, false).PassOn).To(gomega.Equal([]string{"other00"}))
+	g.Expect(relays.Recipients(0, "own", live, false).Relays).To(gomega.Equal([]string{"other00"}))
 }
 
 func TestARelayThatReachesFewIsNotUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
 	relays := NewRelays(last)
-	relays.Routes(0, "own", live, false)
+	relays.Recipients(0, "own", live, false)
 	relays.Confirmed("other", "other00", 9)
-	g.Expect(relays.Routes(0, "own", live, false).PassOn).To(gomega.HaveLen(relayCandidates))
+	g.Expect(relays.Recipients(0, "own", live, false).Relays).To(gomega.HaveLen(relayCandidates))
 	relays.Confirmed("elsewhere", "x", 100) // of a zone that nothing was sent to
 }
 
 func TestSmallZonesAndNodesThatDoNotRelayAreSentToDirectly(t *testing.T) {
 	g := gomega.NewWithT(t)
-	small := NewRelays(last).Routes(0, "own", relayTable(relayFrom-1, 1).Live(0), false)
-	g.Expect(small.PassOn).To(gomega.BeEmpty())
+	small := NewRelays(last).Recipients(0, "own", relayTable(relayFrom-1, 1).Live(0), false)
+	g.Expect(small.Relays).To(gomega.BeEmpty())
 	g.Expect(small.Direct).To(gomega.HaveLen(2 + relayFrom - 1))
 	table := relayTable(20, 1)
-	table.Heard(0, Beat{Name: "older", Address: "older", Zone: "other", Interval: 1000})
-	g.Expect(NewRelays(last).Routes(0, "own", table.Live(0), false).Direct).To(gomega.ConsistOf("own0", "own1", "older"))
+	table.Observe(0, Heartbeat{Name: "older", Address: "older", Zone: "other", IntervalMS: 1000})
+	g.Expect(NewRelays(last).Recipients(0, "own", table.Live(0), false).Direct).To(gomega.ConsistOf("own0", "own1", "older"))
 }
 
 // A relay may reach a node that this one does not reach.
 func TestASuspectedNodeStaysSuspectedWhileOnlyARelayHearsIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
-	table.Heard(0, Beat{Name: "a", Incarnation: 1})
+	table.Observe(0, Heartbeat{Name: "a", Incarnation: 1})
 	table.Suspect("a")
-	g.Expect(table.Heard(10*time.Millisecond, Beat{Name: "a", Incarnation: 1, Passed: true})).To(gomega.BeFalse())
+	g.Expect(table.Observe(10*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1, Relayed: true})).To(gomega.BeFalse())
 	g.Expect(table.Live(10 * time.Millisecond)).To(gomega.BeEmpty())
-	g.Expect(table.Heard(20*time.Millisecond, Beat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
+	g.Expect(table.Observe(20*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
 	g.Expect(names(table.Live(20 * time.Millisecond))).To(gomega.Equal([]string{"a"}))
 	table.Suspect("a")
-	g.Expect(table.Heard(30*time.Millisecond, Beat{Name: "a", Incarnation: 2, Passed: true})).To(gomega.BeTrue(), "another process")
+	g.Expect(table.Observe(30*time.Millisecond, Heartbeat{Name: "a", Incarnation: 2, Relayed: true})).To(gomega.BeTrue(), "another process")
 	g.Expect(names(table.Live(30 * time.Millisecond))).To(gomega.Equal([]string{"a"}))
 }
--- a/coordination/liveness/slowness.go
+++ b/coordination/liveness/slowness.go
@@ -44,10 +44,10 @@
 )
 
 // LagInterval is the time from one measurement to the next.
-const LagInterval = 20 * time.Millisecond
+const TimerLagInterval = 20 * time.Millisecond
 
 // Slowness tells whether a node is too slow to schedule. The zero value is one that is not.
-type Slowness struct {
+type SlowNodeDetector struct {
 	lag time.Duration
 	// works are the latest times of the work, usual the usual one in nanoseconds, and pace
 	// how many times longer it takes.
@@ -62,7 +62,7 @@
 
 // Observe enters how late a timer was and how long the fixed work took, and returns whether
 // Slow changed. Work of no time is one that was not measured.
-func (s *Slowness) Observe(now structs.Instant, late, work time.Duration) bool {
+func (s *SlowNodeDetector) Observe(now structs.Instant, late, work time.Duration) bool {
 	late = min(max(late, 0), mostLag)
 	s.lag += time.Duration(lagWeight * float64(late-s.lag))
 	s.observeWork(work)
@@ -77,7 +77,7 @@
 	return false
 }
 
-func (s *Slowness) observeWork(work time.Duration) {
+func (s *SlowNodeDetector) observeWork(work time.Duration) {
 	if work <= 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *Slowness) turnSlow(now structs.Instant) {
+func (s *SlowNodeDetector) turnSlow(now structs.Instant) {
 	if s.hold == 0 || now-s.since > s.hold+forgiveAfter {
 		s.hold = firstHold
 	} else {
@@ -109,10 +109,10 @@
 }
 
 // Slow returns whether the node is slow.
-func (s *Slowness) Slow() bool { return s.slow }
+func (s *SlowNodeDetector) Slow() bool { return s.slow }
 
 // Lag returns the mean lateness of timers.
-func (s *Slowness) Lag() time.Duration { return s.lag }
+func (s *SlowNodeDetector) TimerLag() time.Duration { return s.lag }
 
 // Pace returns how many times longer than usual the fixed work takes.
-func (s *Slowness) Pace() float64 { return s.pace }
+func (s *SlowNodeDetector) Slowdown() float64 { return s.pace }
--- a/coordination/liveness/slowness_test.go
+++ b/coordination/liveness/slowness_test.go
@@ -11,7 +11,7 @@
 
 // machine measures the lateness of timers, and the work, on one that changes its speed.
 type machine struct {
-	Slowness
+	SlowNodeDetector
 	now  structs.Instant
 	work time.Duration
 }
@@ -21,7 +21,7 @@
 func (m *machine) run(passed, late time.Duration) time.Duration {
 	begun := m.now
 	for m.now-begun < passed {
-		m.now += LagInterval
+		m.now += TimerLagInterval
 		if m.Observe(m.now, late, m.work) {
 			return m.now - begun
 		}
@@ -48,7 +48,7 @@
 	m := &machine{work: 3 * time.Microsecond}
 	for i := range 500 {
 		m.work = time.Duration(1800+i*i%7*1000) * time.Nanosecond
-		m.run(LagInterval, 0)
+		m.run(TimerLagInterval, 0)
 	}
 	g.Expect(m.Slow()).To(gomega.BeFalse(), "work that takes up to four times as long at times")
 	m.work = 17 * time.Microsecond
@@ -68,7 +68,7 @@
 		if i%10 == 0 {
 			m.work = 10 * time.Millisecond
 		}
-		m.run(LagInterval, 0)
+		m.run(TimerLagInterval, 0)
 		g.Expect(m.Slow()).To(gomega.BeFalse())
 	}
 }
@@ -77,7 +77,7 @@
 	g := gomega.NewWithT(t)
 	m := &machine{}
 	for range 100 {
-		m.run(LagInterval, time.Second)
+		m.run(TimerLagInterval, time.Second)
 		m.run(2*time.Second, 100*time.Microsecond)
 		g.Expect(m.Slow()).To(gomega.BeFalse())
 	}
@@ -108,11 +108,11 @@
 
 func TestSlowNodesAreChosenOnlyIfAllAreSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	beats := []*Beat{{Name: "a", Cores: 1, Slow: true}, {Name: "b", Cores: 1}, {Name: "c", Cores: 1}, {Name: "weak", Cores: 0.2}}
-	order := Candidates(beats)
+	beats := []*Heartbeat{{Name: "a", Cores: 1, Slow: true}, {Name: "b", Cores: 1}, {Name: "c", Cores: 1}, {Name: "weak", Cores: 0.2}}
+	order := EligibleNodes(beats)
 	g.Expect(order).To(gomega.Equal([]string{"a", "b", "c"}), "calls of the store stay with the same nodes")
-	g.Expect(FirstCalm(order, beats)).To(gomega.Equal("b"))
+	g.Expect(FirstNotSlow(order, beats)).To(gomega.Equal("b"))
 	beats[1].Slow, beats[2].Slow = true, true
-	g.Expect(FirstCalm(order, beats)).To(gomega.Equal("a"), "a weak node is no better than a slow one")
-	g.Expect(FirstCalm(nil, beats)).To(gomega.BeEmpty())
+	g.Expect(FirstNotSlow(order, beats)).To(gomega.Equal("a"), "a weak node is no better than a slow one")
+	g.Expect(FirstNotSlow(nil, beats)).To(gomega.BeEmpty())
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -94,7 +94,7 @@
 type Table struct {
 	self    Member
 	members map[string]*entry
-	rumors  *gossip.Queue[string, Rumor]
+	rumors  *gossip.BroadcastQueue[string, Rumor]
 	random  *rand.Rand
 	ring    []string
 	// deadAfter is the time from suspicion to death.
@@ -104,7 +104,7 @@
 
 // NewTable returns a table that knows only the node itself.
 func NewTable(self Member, deadAfter time.Duration, random *rand.Rand) *Table {
-	table := &Table{self: self, members: map[string]*entry{}, rumors: gossip.NewQueue[string, Rumor](maximumRumors, gossip.SpreadSurely), random: random, deadAfter: deadAfter}
+	table := &Table{self: self, members: map[string]*entry{}, rumors: gossip.NewBroadcastQueue[string, Rumor](maximumRumors, gossip.RetransmitReliable), random: random, deadAfter: deadAfter}
 	table.rumors.Put(self.Name, Rumor{Member: self, Status: Alive})
 	return table
 }
@@ -212,7 +212,7 @@
 
 // Targets returns the members to probe next: up to count, in a random order
 // that visits each live member once before any twice.
-func (t *Table) Targets(count int) []Member {
+func (t *Table) ProbeTargets(count int) []Member {
 	var targets []Member
 	refilled := false
 	for len(targets) < count {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -55,7 +55,7 @@
 	}
 	seen := map[string]int{}
 	for range 2 {
-		for _, target := range a.Targets(2) {
+		for _, target := range a.ProbeTargets(2) {
 			seen[target.Name]++
 		}
 	}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -60,7 +60,7 @@
 }
 
 // World is what a coordinator sees when it plans. It is taken anew each time.
-type World struct {
+type ClusterState struct {
 	Demands []Demand
 	Engines []Engine
 	// ReadRate is the loads a second that the weight store allows the zone.
@@ -69,7 +69,7 @@
 
 // Plan returns the orders that bring the engines nearer to the demands: each
 // model goes to the usable engines with the least running work that lack it.
-func Plan(world World, pending map[string]time.Duration) []Order {
+func Plan(world ClusterState, pending map[string]time.Duration) []Order {
 	var orders []Order
 	for _, demand := range world.Demands {
 		holders := 0
@@ -116,9 +116,9 @@
 	Service string
 	Node    string
 	// Now is monotonic time, which goes on while the process is paused.
-	Now    func() time.Duration
-	World  func() World
-	Faults faultpoint.Injector
+	Now          func() time.Duration
+	ClusterState func() ClusterState
+	Faults       faultpoint.Injector
 	// Log is told each order and its result.
 	Log func(Order, error)
 
@@ -144,7 +144,7 @@
 	if err := c.hold(ctx); err != nil {
 		return
 	}
-	world := c.World()
+	world := c.ClusterState()
 	c.expirePending(world)
 	for _, order := range Plan(world, c.pending) {
 		if c.lastOrder != 0 && world.ReadRate > 0 && c.Now()-c.lastOrder < time.Duration(float64(time.Second)/world.ReadRate) {
@@ -243,7 +243,7 @@
 }
 
 // expirePending drops orders that took effect or had their time.
-func (c *Coordinator) expirePending(world World) {
+func (c *Coordinator) expirePending(world ClusterState) {
 	for key, at := range c.pending {
 		if c.Now()-at > pendingTimeout {
 			delete(c.pending, key)
--- a/coordination/poison/judgement_test.go
+++ b/coordination/poison/judgement_test.go
@@ -21,27 +21,29 @@
 
 // judge is one of the ways.
 type judge interface {
-	standing(now structs.Instant, of contents.Record) Standing
+	standing(now structs.Instant, of contents.Record) State
 	began(now structs.Instant, of contents.Record)
-	ended(now structs.Instant, of contents.Record, life contents.Life, placed structs.Instant)
+	ended(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant)
 	answered(now structs.Instant, of contents.Record)
 }
 
 // byCount is the ledger.
-type byCount struct{ *Ledger }
+type byCount struct{ *Tracker }
 
-func (j byCount) standing(now structs.Instant, of contents.Record) Standing {
+func (j byCount) standing(now structs.Instant, of contents.Record) State {
 	return j.standingAt(now, of)
 }
 func (j byCount) began(now structs.Instant, of contents.Record) {
 	if j.standingAt(now, of) == OnTrial {
-		j.Try(now, of.Content)
+		j.RecordTrial(now, of.Fingerprint)
 	}
 }
-func (j byCount) ended(now structs.Instant, of contents.Record, life contents.Life, placed structs.Instant) {
-	_, _ = j.Ended(now, of, life, placed)
+func (j byCount) ended(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant) {
+	_, _ = j.RecordCrash(now, of, life, placed)
+}
+func (j byCount) answered(now structs.Instant, of contents.Record) {
+	j.RecordSuccess(now, of.Fingerprint)
 }
-func (j byCount) answered(now structs.Instant, of contents.Record) { j.Answered(now, of.Content) }
 
 // byLikelihood bars at a sum of log-likelihoods that an innocent request reaches once in ten
 // thousand.
@@ -56,22 +58,22 @@
 	likelihoodBar = 9.2
 )
 
-func (j *byLikelihood) standing(_ structs.Instant, of contents.Record) Standing {
-	switch sum := j.sums[of.Content]; {
+func (j *byLikelihood) standing(_ structs.Instant, of contents.Record) State {
+	switch sum := j.sums[of.Fingerprint]; {
 	case sum >= likelihoodBar:
-		return Barred
+		return Blocked
 	case sum > 0:
 		return Suspect
 	}
 	return Clear
 }
 func (j *byLikelihood) began(structs.Instant, contents.Record) {}
-func (j *byLikelihood) ended(_ structs.Instant, of contents.Record, _ contents.Life, _ structs.Instant) {
-	j.sums[of.Content] += math.Log(deadlyShare / max(j.share, 0.01))
+func (j *byLikelihood) ended(_ structs.Instant, of contents.Record, _ contents.Incarnation, _ structs.Instant) {
+	j.sums[of.Fingerprint] += math.Log(deadlyShare / max(j.share, 0.01))
 	j.share += 0.01 * (1 - j.share)
 }
 func (j *byLikelihood) answered(_ structs.Instant, of contents.Record) {
-	j.sums[of.Content] = max(0, j.sums[of.Content]+math.Log((1-deadlyShare)/(1-j.share)))
+	j.sums[of.Fingerprint] = max(0, j.sums[of.Fingerprint]+math.Log((1-deadlyShare)/(1-j.share)))
 	j.share -= 0.01 * j.share
 }
 
@@ -121,15 +123,15 @@
 	running := 0
 	for i := range w.replicas {
 		for _, held := range w.replicas[i].runs {
-			if held.of.Content == of.Content {
+			if held.of.Fingerprint == of.Fingerprint {
 				running++
 			}
 		}
 	}
-	if standing == Barred || standing == OnTrial && running > 0 {
+	if standing == Blocked || standing == OnTrial && running > 0 {
 		if !deadly && w.isUp() {
 			w.refused++
-			w.verdicts[of.Content] = true
+			w.verdicts[of.Fingerprint] = true
 		}
 		return
 	}
@@ -153,7 +155,7 @@
 	at.life++
 	at.backAt = w.now + downTime
 	for _, held := range at.runs {
-		w.judge.ended(w.now, held.of, contents.Life(fmt.Sprint(number, "/", at.life)), held.placed)
+		w.judge.ended(w.now, held.of, contents.Incarnation(fmt.Sprint(number, "/", at.life)), held.placed)
 		if held.deadly {
 			w.ends++
 		}
@@ -231,7 +233,7 @@
 			w.step(trouble, deadly)
 		}
 		ends += w.ends
-		if w.ends > DefaultPolicy().Ends+DefaultPolicy().Trials {
+		if w.ends > DefaultPolicy().CrashThreshold+DefaultPolicy().Trials {
 			missed++
 		}
 		innocents += len(w.verdicts)
--- a/coordination/poison/ledger.go
+++ b/coordination/poison/ledger.go
@@ -14,7 +14,7 @@
 // Policy says when a request is barred.
 type Policy struct {
 	// Ends is how many lives end under a request until it is barred; zero bars none.
-	Ends int
+	CrashThreshold int
 	// Trials is how often a barred request is sent all the same, and FirstTrial and
 	// NextTrial the times until the first one and from one to the next.
 	Trials                int
@@ -27,26 +27,26 @@
 // reason of their own bar what runs at three of them; a trial that finds no replica that is up
 // goes on until it does. The second is late enough for what struck the first to be over.
 func DefaultPolicy() Policy {
-	return Policy{Ends: 3, Trials: contents.MostTrials, FirstTrial: 500 * time.Millisecond, NextTrial: 10 * time.Second}
+	return Policy{CrashThreshold: 3, Trials: contents.MaxTrials, FirstTrial: 500 * time.Millisecond, NextTrial: 10 * time.Second}
 }
 
 // Standing is what may be done with a request.
-type Standing int
+type State int
 
 // The standings.
 const (
 	// Clear means that nothing speaks against the request.
-	Clear Standing = iota
+	Clear State = iota
 	// Suspect means that it may run at one replica at a time.
 	Suspect
 	// OnTrial means that it is barred and may be sent once.
 	OnTrial
 	// Barred means that it must not be sent.
-	Barred
+	Blocked
 )
 
 // String names the standing in logs.
-func (s Standing) String() string { return [...]string{"clear", "suspect", "on-trial", "barred"}[s] }
+func (s State) String() string { return [...]string{"clear", "suspect", "on-trial", "barred"}[s] }
 
 // Bounds of the ledger.
 const (
@@ -89,40 +89,40 @@
 }
 
 // Ledger holds the records of one node. It is not safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	policy  Policy
 	entries map[fingerprint.Fingerprint]*entry
 	// tries is false while this node must not try barred requests: another one may do so.
 	tries bool
 	// mark is of all records that others are told, unless it is stale.
-	mark  contents.Mark
+	mark  contents.Summary
 	stale bool
 }
 
 // NewLedger returns an empty ledger that tries nothing until SetTries.
-func NewLedger(policy Policy) *Ledger {
-	return &Ledger{policy: policy, entries: map[fingerprint.Fingerprint]*entry{}}
+func NewTracker(policy Policy) *Tracker {
+	return &Tracker{policy: policy, entries: map[fingerprint.Fingerprint]*entry{}}
 }
 
 // SetPolicy takes another policy into force.
-func (l *Ledger) SetPolicy(policy Policy) { l.policy = policy }
+func (l *Tracker) SetPolicy(policy Policy) { l.policy = policy }
 
 // SetTries records whether this node may try barred requests: the node that schedules for
 // more than half of all nodes does. Parts of a fleet that are cut off from each other would
 // else try each for itself, and end a replica with each.
-func (l *Ledger) SetTries(tries bool) { l.tries = tries }
+func (l *Tracker) SetTrialsAllowed(tries bool) { l.tries = tries }
 
 // Ended enters that the life ended while it ran the request that was placed then, and
 // returns the request's standing and whether that is news. A request that was placed after
 // the life's end was known cannot have run in that life: the replica had started again under
 // its id, and this node has not heard of it.
-func (l *Ledger) Ended(now structs.Instant, of contents.Record, life contents.Life, placed structs.Instant) (Standing, bool) {
-	if l.policy.Ends <= 0 || of.Content.IsZero() {
+func (l *Tracker) RecordCrash(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant) (State, bool) {
+	if l.policy.CrashThreshold <= 0 || of.Fingerprint.IsZero() {
 		return Clear, false
 	}
 	held := l.get(now, of)
-	if slices.Contains(held.Lives, life) && placed > held.endedAt {
-		life += contents.Life("+" + strconv.Itoa(len(held.Lives)))
+	if slices.Contains(held.Incarnations, life) && placed > held.endedAt {
+		life += contents.Incarnation("+" + strconv.Itoa(len(held.Incarnations)))
 	}
 	if !held.Add(life) {
 		return l.standing(held), false
@@ -134,9 +134,9 @@
 
 // Answered enters that a replica gave its whole answer to the request, and returns whether
 // that cleared it.
-func (l *Ledger) Answered(now structs.Instant, content fingerprint.Fingerprint) bool {
+func (l *Tracker) RecordSuccess(now structs.Instant, content fingerprint.Fingerprint) bool {
 	held, found := l.entries[content]
-	if !found || len(held.Lives) == 0 {
+	if !found || len(held.Incarnations) == 0 {
 		return false
 	}
 	l.clear(now, held)
@@ -144,52 +144,52 @@
 }
 
 // Lift clears a request as the operators ask. It returns false if nothing is known of it.
-func (l *Ledger) Lift(now structs.Instant, content fingerprint.Fingerprint) bool {
-	return l.Answered(now, content)
+func (l *Tracker) Unblock(now structs.Instant, content fingerprint.Fingerprint) bool {
+	return l.RecordSuccess(now, content)
 }
 
-func (l *Ledger) clear(now structs.Instant, held *entry) {
+func (l *Tracker) clear(now structs.Instant, held *entry) {
 	held.Record.Clear()
 	held.changed, held.nextTrial, held.open = now, 0, false
 	l.stale = true
 }
 
 // IsEmpty returns whether nothing speaks against any request.
-func (l *Ledger) IsEmpty() bool { return len(l.entries) == 0 }
+func (l *Tracker) IsEmpty() bool { return len(l.entries) == 0 }
 
 // Standing returns what may be done with the request, and, if it is barred, when its caller
 // should come back.
-func (l *Ledger) Standing(now structs.Instant, content fingerprint.Fingerprint) (Standing, time.Duration) {
+func (l *Tracker) State(now structs.Instant, content fingerprint.Fingerprint) (State, time.Duration) {
 	held, found := l.entries[content]
-	if !found || l.policy.Ends <= 0 {
+	if !found || l.policy.CrashThreshold <= 0 {
 		return Clear, 0
 	}
 	standing := l.standing(held)
 	switch {
-	case standing != Barred:
+	case standing != Blocked:
 		return standing, 0
 	case held.open:
 		return OnTrial, 0
 	case held.Trials >= l.policy.Trials:
-		return Barred, barredRetry
+		return Blocked, barredRetry
 	case !l.tries || now < held.nextTrial:
-		return Barred, max(held.nextTrial-now, l.policy.FirstTrial)
+		return Blocked, max(held.nextTrial-now, l.policy.FirstTrial)
 	}
 	return OnTrial, 0
 }
 
-func (l *Ledger) standing(held *entry) Standing {
+func (l *Tracker) standing(held *entry) State {
 	switch {
-	case len(held.Lives) == 0:
+	case len(held.Incarnations) == 0:
 		return Clear
-	case len(held.Lives) < l.policy.Ends:
+	case len(held.Incarnations) < l.policy.CrashThreshold:
 		return Suspect
 	}
-	return Barred
+	return Blocked
 }
 
 // Try enters that a barred request is being sent.
-func (l *Ledger) Try(now structs.Instant, content fingerprint.Fingerprint) {
+func (l *Tracker) RecordTrial(now structs.Instant, content fingerprint.Fingerprint) {
 	held, found := l.entries[content]
 	if !found {
 		return
@@ -204,38 +204,38 @@
 
 // NotTried enters that a trial came to no replica: the one that was chosen was down. The same
 // trial may go on at another.
-func (l *Ledger) NotTried(content fingerprint.Fingerprint) {
+func (l *Tracker) CancelTrial(content fingerprint.Fingerprint) {
 	if held, found := l.entries[content]; found {
-		held.open = held.Trials > 0 && l.standing(held) == Barred
+		held.open = held.Trials > 0 && l.standing(held) == Blocked
 	}
 }
 
 // get returns the request's entry, which may be a new one.
-func (l *Ledger) get(now structs.Instant, of contents.Record) *entry {
-	held, found := l.entries[of.Content]
+func (l *Tracker) get(now structs.Instant, of contents.Record) *entry {
+	held, found := l.entries[of.Fingerprint]
 	if !found {
 		l.makeRoom()
-		held = &entry{Record: contents.Record{Content: of.Content, Service: of.Service, Route: of.Route}, changed: now}
-		l.entries[of.Content] = held
+		held = &entry{Record: contents.Record{Fingerprint: of.Fingerprint, Service: of.Service, Route: of.Route}, changed: now}
+		l.entries[of.Fingerprint] = held
 	}
 	return held
 }
 
 // settle enters what follows from a change of the record's lives.
-func (l *Ledger) settle(now structs.Instant, held *entry) {
+func (l *Tracker) settle(now structs.Instant, held *entry) {
 	l.stale = true
-	held.told = held.told || held.Kept || len(held.Lives) >= toldLives
+	held.told = held.told || held.Persistent || len(held.Incarnations) >= toldLives
 	switch {
-	case l.standing(held) != Barred:
+	case l.standing(held) != Blocked:
 		held.nextTrial = 0
 	case held.nextTrial == 0:
-		held.Kept, held.nextTrial = true, now+l.policy.FirstTrial
+		held.Persistent, held.nextTrial = true, now+l.policy.FirstTrial
 	}
 }
 
 // Merge enters what another node or the store tells, and returns the requests that are
 // barred since.
-func (l *Ledger) Merge(now structs.Instant, records []contents.Record) []contents.Record {
+func (l *Tracker) Merge(now structs.Instant, records []contents.Record) []contents.Record {
 	var barred []contents.Record
 	for i := range records {
 		if !l.takes(&records[i]) {
@@ -252,7 +252,7 @@
 		held.changed = now - min(time.Duration(records[i].Age)*time.Millisecond, recordMemory)
 		held.endedAt, held.told = now, true
 		l.settle(now, held)
-		if before != Barred && l.standing(held) == Barred {
+		if before != Blocked && l.standing(held) == Blocked {
 			barred = append(barred, held.copy())
 		}
 	}
@@ -262,18 +262,18 @@
 // takes returns whether the record is to be merged. One that this node does not have and
 // that is about to be forgotten by all is left out: nodes would else have it from each other
 // for ever.
-func (l *Ledger) takes(record *contents.Record) bool {
-	if record.Content.IsZero() || l.policy.Ends <= 0 {
+func (l *Tracker) takes(record *contents.Record) bool {
+	if record.Fingerprint.IsZero() || l.policy.CrashThreshold <= 0 {
 		return false
 	}
-	if _, found := l.entries[record.Content]; found || record.Kept && len(record.Lives) >= l.policy.Ends {
+	if _, found := l.entries[record.Fingerprint]; found || record.Persistent && len(record.Incarnations) >= l.policy.CrashThreshold {
 		return true
 	}
 	return time.Duration(record.Age)*time.Millisecond < recordMemory-forgettingTime
 }
 
 // Get returns the request's record.
-func (l *Ledger) Get(content fingerprint.Fingerprint) (contents.Record, bool) {
+func (l *Tracker) Get(content fingerprint.Fingerprint) (contents.Record, bool) {
 	held, found := l.entries[content]
 	if !found {
 		return contents.Record{}, false
@@ -284,9 +284,9 @@
 // Recent returns the request's record if something spoke against it lately. Whoever asks for
 // a place passes it on: the scheduling node may have died before it told what it knew. What
 // is older was told since, or made up for by an answer that this node did not see.
-func (l *Ledger) Recent(now structs.Instant, content fingerprint.Fingerprint) *contents.Record {
+func (l *Tracker) Recent(now structs.Instant, content fingerprint.Fingerprint) *contents.Record {
 	held, found := l.entries[content]
-	if !found || len(held.Lives) == 0 || now-held.endedAt > recentMemory {
+	if !found || len(held.Incarnations) == 0 || now-held.endedAt > recentMemory {
 		return nil
 	}
 	record := held.copy()
@@ -296,18 +296,18 @@
 // copy returns the record without what is shared.
 func (e *entry) copy() contents.Record {
 	record := e.Record
-	record.Lives = slices.Clone(record.Lives)
+	record.Incarnations = slices.Clone(record.Incarnations)
 	return record
 }
 
 // Told returns what other nodes are to know.
-func (l *Ledger) Told(now structs.Instant) []contents.Record {
+func (l *Tracker) Shared(now structs.Instant) []contents.Record {
 	return l.pick(now, func(held *entry) bool { return held.told })
 }
 
 // Lasting returns what has to outlive all nodes; of too many, the ones that changed last.
-func (l *Ledger) Lasting(now structs.Instant) []contents.Record {
-	lasting := l.pick(now, func(held *entry) bool { return held.Kept })
+func (l *Tracker) Persistent(now structs.Instant) []contents.Record {
+	lasting := l.pick(now, func(held *entry) bool { return held.Persistent })
 	if len(lasting) <= maximumLasting {
 		return lasting
 	}
@@ -316,12 +316,12 @@
 }
 
 // Barred returns the requests that are barred.
-func (l *Ledger) Barred(now structs.Instant) []contents.Record {
-	return l.pick(now, func(held *entry) bool { return l.standing(held) == Barred })
+func (l *Tracker) Blocked(now structs.Instant) []contents.Record {
+	return l.pick(now, func(held *entry) bool { return l.standing(held) == Blocked })
 }
 
 // pick returns the records for which the function is true, in the order of their contents.
-func (l *Ledger) pick(now structs.Instant, picks func(*entry) bool) []contents.Record {
+func (l *Tracker) pick(now structs.Instant, picks func(*entry) bool) []contents.Record {
 	var picked []contents.Record
 	for _, held := range l.entries {
 		if !picks(held) {
@@ -331,14 +331,14 @@
 		record.Age = (now - held.changed).Milliseconds()
 		picked = append(picked, record)
 	}
-	slices.SortFunc(picked, func(a, b contents.Record) int { return slices.Compare(a.Content[:], b.Content[:]) })
+	slices.SortFunc(picked, func(a, b contents.Record) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return picked
 }
 
 // Mark returns that of what Told returns.
-func (l *Ledger) Mark() contents.Mark {
+func (l *Tracker) Summary() contents.Summary {
 	if l.stale {
-		l.stale, l.mark = false, contents.Mark{}
+		l.stale, l.mark = false, contents.Summary{}
 		for _, held := range l.entries {
 			if held.told {
 				l.mark.Add(&held.Record)
@@ -350,9 +350,9 @@
 
 // Sweep forgets suspects that were not seen again and what was cleared long ago. A barred
 // request is forgotten only when there is no room for it.
-func (l *Ledger) Sweep(now structs.Instant) {
+func (l *Tracker) Sweep(now structs.Instant) {
 	for content, held := range l.entries {
-		if l.standing(held) != Barred && now-held.changed > recordMemory {
+		if l.standing(held) != Blocked && now-held.changed > recordMemory {
 			delete(l.entries, content)
 			l.stale = true
 		}
@@ -361,7 +361,7 @@
 
 // makeRoom drops the record that says least if there are too many: one that is not barred
 // before one that is, and the oldest of these.
-func (l *Ledger) makeRoom() {
+func (l *Tracker) makeRoom() {
 	if len(l.entries) < maximumRecords {
 		return
 	}
@@ -371,13 +371,13 @@
 			least = held
 		}
 	}
-	delete(l.entries, least.Content)
+	delete(l.entries, least.Fingerprint)
 	l.stale = true
 }
 
 func saysLess(held, other *entry) bool {
-	if held.Kept != other.Kept {
-		return other.Kept
+	if held.Persistent != other.Persistent {
+		return other.Persistent
 	}
 	return held.changed < other.changed
 }
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -62,7 +62,7 @@
 const nearFull = 0.95
 
 // Ledger is a set of buckets, one a tenant. It is not safe for concurrent use.
-type Ledger struct {
+type Buckets struct {
 	buckets map[string]*bucket
 	// start is the share of a burst that a new bucket holds. Until idleUntil it also
 	// holds what came in for the time idle.
@@ -79,8 +79,8 @@
 // NewLedger returns an empty ledger. A ledger that takes over from another one
 // starts its buckets with only a part of the burst, since the rest may have
 // been handed out already.
-func NewLedger(start float64) *Ledger {
-	return &Ledger{buckets: map[string]*bucket{}, start: start, charges: map[string]float64{}}
+func NewBuckets(start float64) *Buckets {
+	return &Buckets{buckets: map[string]*bucket{}, start: start, charges: map[string]float64{}}
 }
 
 // CreditIdle tells that nobody handed out anything for so long. Buckets that are made
@@ -88,13 +88,13 @@
 // from by another scheduling node. A node that starts knows all others by name before it
 // has heard them, and has a small share of each limit until it has: within that time its
 // buckets get the rest of what they start with as the share grows.
-func (l *Ledger) CreditIdle(idle time.Duration, until structs.Instant) {
+func (l *Buckets) CreditDowntime(idle time.Duration, until structs.Instant) {
 	l.idle, l.idleUntil = idle, until
 }
 
 // Take takes the cost from the tenant's bucket. If the bucket holds too little it
 // returns false and the time after which it will hold enough.
-func (l *Ledger) Take(now structs.Instant, tenant string, limit Limit, cost float64) (time.Duration, bool) {
+func (l *Buckets) Take(now structs.Instant, tenant string, limit Limit, cost float64) (time.Duration, bool) {
 	if limit.Rate <= 0 {
 		return 0, true
 	}
@@ -114,7 +114,7 @@
 }
 
 // Return gives back the cost of a request that did not run.
-func (l *Ledger) Return(tenant string, cost float64) {
+func (l *Buckets) Refund(tenant string, cost float64) {
 	if held, found := l.buckets[tenant]; found {
 		held.level += cost
 		held.taken -= cost
@@ -122,11 +122,11 @@
 }
 
 // Level returns what the tenant may take at once.
-func (l *Ledger) Level(now structs.Instant, tenant string, limit Limit) float64 {
+func (l *Buckets) Level(now structs.Instant, tenant string, limit Limit) float64 {
 	return l.refill(now, tenant, limit).level
 }
 
-func (l *Ledger) refill(now structs.Instant, tenant string, limit Limit) *bucket {
+func (l *Buckets) refill(now structs.Instant, tenant string, limit Limit) *bucket {
 	held, found := l.buckets[tenant]
 	if !found {
 		held = &bucket{at: now, level: l.initial(now, limit) - l.charges[tenant], share: limit.share()}
@@ -164,7 +164,7 @@
 )
 
 // initial returns what a new bucket holds.
-func (l *Ledger) initial(now structs.Instant, limit Limit) float64 {
+func (l *Buckets) initial(now structs.Instant, limit Limit) float64 {
 	level := limit.Burst * l.start
 	if now < l.idleUntil {
 		level += limit.Rate * l.idle.Seconds()
@@ -174,7 +174,7 @@
 
 // Levels returns the buckets that are not near their full burst, at most so many. It returns nil
 // if it can't speak for the others: there are more, or the ledger is not settled.
-func (l *Ledger) Levels(now structs.Instant, most int) map[string]float64 {
+func (l *Buckets) Levels(now structs.Instant, most int) map[string]float64 {
 	if now < l.settlesAt {
 		return nil
 	}
@@ -192,11 +192,11 @@
 
 // SettleBy tells that others may have handed out before this ledger was made and may still say
 // so, until then. It is for a process that starts, or that stood still.
-func (l *Ledger) SettleBy(at structs.Instant) { l.settlesAt = at }
+func (l *Buckets) SetAuthoritativeAfter(at structs.Instant) { l.settlesAt = at }
 
 // Seed lets a new ledger go on from what another one held until the time given, at which it may
 // still have handed out. Tenants that are not named start with their full burst.
-func (l *Ledger) Seed(until structs.Instant, levels map[string]float64) {
+func (l *Buckets) Restore(until structs.Instant, levels map[string]float64) {
 	l.start, l.settlesAt = 1, 0
 	for tenant, level := range levels {
 		l.buckets[tenant] = &bucket{level: level, at: until, share: 1}
@@ -207,11 +207,11 @@
 // given, while this one schedules as well: one of them did not know of the other. A ledger that is
 // not settled goes on from the other's, less what it handed out itself; in a settled one each
 // bucket holds what the emptier of both does.
-func (l *Ledger) Adopt(now, until structs.Instant, levels map[string]float64) {
+func (l *Buckets) MergeRemote(now, until structs.Instant, levels map[string]float64) {
 	if now < l.settlesAt {
 		made := l.buckets
 		l.buckets = map[string]*bucket{}
-		l.Seed(until, levels)
+		l.Restore(until, levels)
 		for tenant, held := range made {
 			adopted := l.refill(now, tenant, held.limit)
 			adopted.level -= held.taken
@@ -232,7 +232,7 @@
 
 // Taken returns what was taken from each bucket since it was made, of those that are not near their
 // full burst, at most so many.
-func (l *Ledger) Taken(now structs.Instant, most int) map[string]float64 {
+func (l *Buckets) Taken(now structs.Instant, most int) map[string]float64 {
 	taken := map[string]float64{}
 	for tenant, held := range l.buckets {
 		level := held.level + held.limit.Rate*(now-held.at).Seconds()
@@ -244,7 +244,7 @@
 }
 
 // Handed is what another ledger handed out that did not know of this one.
-type Handed struct {
+type RemoteUsage struct {
 	// Since is when that ledger began.
 	Since structs.Instant
 	// Amounts are by tenant, and Levels what its buckets hold now, of those that it speaks for.
@@ -256,7 +256,7 @@
 // network that is cut and healed again and again would hand out each quota as often as there are sides.
 // A bucket that nothing was taken from for a while since then has only to be as empty as the other one,
 // less what was taken after that.
-func (l *Ledger) Charge(handed Handed) {
+func (l *Buckets) ChargeRemote(handed RemoteUsage) {
 	for tenant, amount := range handed.Amounts {
 		held, found := l.buckets[tenant]
 		if !found {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -13,7 +13,7 @@
 // While a zone was cut off, each side let one large request into debt.
 func TestBucketGoesIntoDebtByItsBoundAtMost(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ledger := NewLedger(1)
+	ledger := NewBuckets(1)
 	limit := Limit{Rate: 100, Burst: 1000, Debt: 50}
 	_, ok := ledger.Take(0, "a", limit, 990)
 	g.Expect(ok).To(gomega.BeTrue())
@@ -31,7 +31,7 @@
 // full: long prompts of the most urgent route were refused twice as often as short ones.
 func TestUnderAConstantExcessLargeRequestsPassAsOftenAsSmallOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ledger := NewLedger(1)
+	ledger := NewBuckets(1)
 	limit := Limit{Rate: 1000, Burst: 1000, Debt: 500}
 	passed := map[float64]int{}
 	for step := range 4000 {
@@ -51,14 +51,14 @@
 
 func TestRequestLargerThanTheBurstIsNotRefusedForEver(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ledger := NewLedger(1)
+	ledger := NewBuckets(1)
 	_, ok := ledger.Take(0, "a", Limit{Rate: 10, Burst: 100}, 5000)
 	g.Expect(ok).To(gomega.BeTrue())
 }
 
 func TestTenantWithoutALimitIsNotHeldBack(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ledger := NewLedger(0)
+	ledger := NewBuckets(0)
 	_, ok := ledger.Take(0, "a", Limit{}, 1e9)
 	g.Expect(ok).To(gomega.BeTrue())
 }
@@ -67,7 +67,7 @@
 func TestTakenStaysUnderTheLimitInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: rapid.Float64Range(1, 1000).Draw(t, "rate"), Burst: rapid.Float64Range(50, 2000).Draw(t, "burst"), Debt: rapid.Float64Range(0, 40).Draw(t, "debt")}
-		ledger := NewLedger(1)
+		ledger := NewBuckets(1)
 		type taken struct {
 			at   structs.Instant
 			cost float64
@@ -99,13 +99,13 @@
 func TestLedgerThatTakesOverGoesOnWhereTheOtherWas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 1000}
-	before := NewLedger(1)
+	before := NewBuckets(1)
 	before.Take(0, "busy", limit, 900)
 	before.Take(0, "idle", limit, 10)
 	levels := before.Levels(time.Second, 10)
 	g.Expect(levels).To(gomega.HaveLen(1))
-	after := NewLedger(0)
-	after.Seed(time.Second, levels)
+	after := NewBuckets(0)
+	after.Restore(time.Second, levels)
 	g.Expect(after.Level(2*time.Second, "busy", limit)).To(gomega.BeNumerically("~", 300, 0.1))
 	g.Expect(after.Level(2*time.Second, "idle", limit)).To(gomega.BeNumerically("~", 1000, 0.1))
 }
@@ -115,12 +115,12 @@
 func TestLedgerOfASystemThatWasDownHoldsWhatCameInMeanwhile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 200}
-	ledger := NewLedger(0.1)
-	ledger.CreditIdle(400*time.Millisecond, time.Second)
+	ledger := NewBuckets(0.1)
+	ledger.CreditDowntime(400*time.Millisecond, time.Second)
 	g.Expect(ledger.Level(0, "a", limit)).To(gomega.BeNumerically("~", 60, 0.001))
 	g.Expect(ledger.Level(2*time.Second, "late", limit)).To(gomega.BeNumerically("~", 20, 0.001), "others may have taken since")
-	full := NewLedger(1)
-	full.CreditIdle(time.Second, time.Second)
+	full := NewBuckets(1)
+	full.CreditDowntime(time.Second, time.Second)
 	g.Expect(full.Level(0, "a", limit)).To(gomega.BeNumerically("~", 200, 0.001), "never more than the burst")
 }
 
@@ -131,8 +131,8 @@
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 1000, Debt: 50}
 	const idle, until = 400 * time.Millisecond, 3 * time.Second
-	ledger := NewLedger(0.1)
-	ledger.CreditIdle(idle, until)
+	ledger := NewBuckets(0.1)
+	ledger.CreditDowntime(idle, until)
 	g.Expect(ledger.Level(0, "a", limit.Scaled(0.1))).To(gomega.BeNumerically("~", 14, 0.001))
 	_, ok := ledger.Take(0, "a", limit.Scaled(0.1), 4)
 	g.Expect(ok).To(gomega.BeTrue())
@@ -142,13 +142,13 @@
 	g.Expect(ledger.Level(0, "a", limit.Scaled(0.5))).To(gomega.BeNumerically("~", 136, 0.001))
 	g.Expect(ledger.Level(0, "a", limit)).To(gomega.BeNumerically("~", 136, 0.001), "not twice")
 
-	late := NewLedger(0.1)
-	late.CreditIdle(idle, until)
+	late := NewBuckets(0.1)
+	late.CreditDowntime(idle, until)
 	late.Level(0, "a", limit.Scaled(0.1))
 	g.Expect(late.Level(until, "a", limit)).To(gomega.BeNumerically("~", 14+300, 0.001), "others may have handed it out since")
 
-	after := NewLedger(0.1)
-	after.Seed(0, map[string]float64{"a": 5})
+	after := NewBuckets(0.1)
+	after.Restore(0, map[string]float64{"a": 5})
 	g.Expect(after.Level(0, "a", limit.Scaled(0.1))).To(gomega.BeNumerically("~", 5, 0.001))
 	g.Expect(after.Level(0, "a", limit)).To(gomega.BeNumerically("~", 5, 0.001), "another node handed out from it")
 }
@@ -159,15 +159,15 @@
 func TestALedgerOfAProcessThatStartsGoesOnFromWhatOthersTellIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 1000}
-	ledger := NewLedger(0.1)
-	ledger.CreditIdle(400*time.Millisecond, 3*time.Second)
-	ledger.SettleBy(time.Second)
+	ledger := NewBuckets(0.1)
+	ledger.CreditDowntime(400*time.Millisecond, 3*time.Second)
+	ledger.SetAuthoritativeAfter(time.Second)
 	_, ok := ledger.Take(0, "busy", limit, 60)
 	g.Expect(ok).To(gomega.BeTrue())
 	_, ok = ledger.Take(0, "idle", limit, 50)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(ledger.Levels(0, 10)).To(gomega.BeNil(), "it can't speak for the others yet")
-	ledger.Adopt(0, 0, map[string]float64{"busy": 20, "other": 5})
+	ledger.MergeRemote(0, 0, map[string]float64{"busy": 20, "other": 5})
 	g.Expect(ledger.Level(0, "busy", limit)).To(gomega.BeNumerically("~", -40, 0.001))
 	g.Expect(ledger.Level(0, "idle", limit)).To(gomega.BeNumerically("~", 950, 0.001), "not named: full")
 	g.Expect(ledger.Level(0, "other", limit)).To(gomega.BeNumerically("~", 5, 0.001))
@@ -180,10 +180,10 @@
 func TestOfTwoLedgersTheEmptierCounts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 1000}
-	ledger := NewLedger(1)
+	ledger := NewBuckets(1)
 	ledger.Take(0, "busy", limit, 100)
 	ledger.Take(0, "own", limit, 900)
-	ledger.Adopt(2*time.Second, 2*time.Second, map[string]float64{"busy": 30, "own": 800, "other": 7})
+	ledger.MergeRemote(2*time.Second, 2*time.Second, map[string]float64{"busy": 30, "own": 800, "other": 7})
 	g.Expect(ledger.Level(2*time.Second, "busy", limit)).To(gomega.BeNumerically("~", 30, 0.001))
 	g.Expect(ledger.Level(2*time.Second, "own", limit)).To(gomega.BeNumerically("~", 300, 0.001))
 	g.Expect(ledger.Level(2*time.Second, "other", limit)).To(gomega.BeNumerically("~", 7, 0.001))
--- a/coordination/refusals/refusals.go
+++ b/coordination/refusals/refusals.go
@@ -16,30 +16,30 @@
 )
 
 // Memory holds the refused requests in two generations. It is not safe for concurrent use.
-type Memory struct {
+type Recent struct {
 	young, old map[fingerprint.Fingerprint]bool
 	turned     structs.Instant
 }
 
 // New returns an empty memory.
-func New() *Memory {
-	return &Memory{young: map[fingerprint.Fingerprint]bool{}, old: map[fingerprint.Fingerprint]bool{}}
+func New() *Recent {
+	return &Recent{young: map[fingerprint.Fingerprint]bool{}, old: map[fingerprint.Fingerprint]bool{}}
 }
 
-func (r *Memory) turn(now structs.Instant) {
+func (r *Recent) turn(now structs.Instant) {
 	if now-r.turned > refusalMemory/2 || len(r.young) > maximumRefusals {
 		r.old, r.young, r.turned = r.young, map[fingerprint.Fingerprint]bool{}, now
 	}
 }
 
 // Add remembers that the request was refused.
-func (r *Memory) Add(now structs.Instant, content fingerprint.Fingerprint) {
+func (r *Recent) Add(now structs.Instant, content fingerprint.Fingerprint) {
 	r.turn(now)
 	r.young[content] = true
 }
 
 // Has returns whether the request was refused lately.
-func (r *Memory) Has(now structs.Instant, content fingerprint.Fingerprint) bool {
+func (r *Recent) Has(now structs.Instant, content fingerprint.Fingerprint) bool {
 	r.turn(now)
 	return r.young[content] || r.old[content]
 }
--- a/coordination/replicahealth/replicahealth.go
+++ b/coordination/replicahealth/replicahealth.go
@@ -22,14 +22,14 @@
 }
 
 // Book is a node's own view of which replicas fail. It is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	replicas map[string]*health
 }
 
 // NewBook returns a book that doubts no replica.
-func NewBook() *Book { return &Book{replicas: map[string]*health{}} }
+func NewTracker() *Tracker { return &Tracker{replicas: map[string]*health{}} }
 
-func (b *Book) get(id string) *health {
+func (b *Tracker) get(id string) *health {
 	held, found := b.replicas[id]
 	if !found {
 		held = &health{}
@@ -39,7 +39,7 @@
 }
 
 // Unreachable records that the replica could not be reached or fell silent.
-func (b *Book) Unreachable(now structs.Instant, id string) {
+func (b *Tracker) RecordUnreachable(now structs.Instant, id string) {
 	held := b.get(id)
 	held.failures++
 	backoff := firstBackoff << min(held.failures-1, 5)
@@ -49,10 +49,10 @@
 // Answered records a whole answer. Whether it was a failure of the replica's own
 // is for the scheduling node to judge, which sees all replicas: some services
 // fail one request in five wherever it goes.
-func (b *Book) Answered(id string) { b.get(id).failures = 0 }
+func (b *Tracker) RecordSuccess(id string) { b.get(id).failures = 0 }
 
 // Broken records an answer that was cut or spoiled.
-func (b *Book) Broken(now structs.Instant, id string) {
+func (b *Tracker) RecordBroken(now structs.Instant, id string) {
 	held := b.get(id)
 	if held.failures++; held.failures > 1 {
 		held.until = now + firstBackoff
@@ -60,10 +60,10 @@
 }
 
 // Renew drops what is known of a replica that started again under its id.
-func (b *Book) Renew(id string) { delete(b.replicas, id) }
+func (b *Tracker) Reset(id string) { delete(b.replicas, id) }
 
 // Failing returns the replicas that should not be tried now.
-func (b *Book) Failing(now structs.Instant) []string {
+func (b *Tracker) Failing(now structs.Instant) []string {
 	var ids []string
 	for id, held := range b.replicas {
 		if now < held.until {
@@ -74,7 +74,7 @@
 }
 
 // Forget drops replicas that are no longer known.
-func (b *Book) Forget(known func(id string) bool) {
+func (b *Tracker) Forget(known func(id string) bool) {
 	for id := range b.replicas {
 		if !known(id) {
 			delete(b.replicas, id)
--- a/coordination/retrybudget/retrybudget.go
+++ b/coordination/retrybudget/retrybudget.go
@@ -61,19 +61,19 @@
 	// reserved counts repeats that were given to requests which wait for a place.
 	reserved int
 	paidAt   structs.Instant
-	use      Use
+	use      Stats
 }
 
 // Use is what a budget counted of one service since the node began to schedule.
-type Use struct {
+type Stats struct {
 	// Requests paid in; Repeats were given and Refused were not.
-	Requests, Repeats, Refused int
+	Requests, Retries, Rejected int
 	// Left may be given now.
 	Left float64
 }
 
 // Repeat is one repeat that was taken out of a bank. The zero value is none.
-type Repeat struct {
+type Permit struct {
 	service string
 	term    uint64
 }
@@ -102,13 +102,13 @@
 
 // Begin tells that this node schedules from now on. It begins with nothing: what its
 // predecessor was paid for may have been given already.
-func (b *Budget) Begin() { b.restart(true) }
+func (b *Budget) Activate() { b.restart(true) }
 
 // End tells that another node schedules from now on.
-func (b *Budget) End() { b.restart(false) }
+func (b *Budget) Deactivate() { b.restart(false) }
 
 // Renew empties the bank of a node that stood still and may have been replaced meanwhile.
-func (b *Budget) Renew() { b.restart(b.schedules) }
+func (b *Budget) Reset() { b.restart(b.schedules) }
 
 func (b *Budget) restart(schedules bool) {
 	b.isFirst = b.isFirst && b.term == 0
@@ -118,7 +118,7 @@
 }
 
 // First counts a request of the service.
-func (b *Budget) First(now structs.Instant, service string) {
+func (b *Budget) RecordRequest(now structs.Instant, service string) {
 	if !b.schedules {
 		return
 	}
@@ -129,34 +129,34 @@
 
 // Reserve takes one repeat out of the bank for a request that waits for a place, or returns false
 // if there is none. It counts against what the bank may hold until Sent or Return.
-func (b *Budget) Reserve(now structs.Instant, service string) (Repeat, bool) {
+func (b *Budget) Reserve(now structs.Instant, service string) (Permit, bool) {
 	if !b.schedules {
-		return Repeat{}, false
+		return Permit{}, false
 	}
 	held := b.bank(now, service)
 	if held.left < whole {
-		held.use.Refused++
-		return Repeat{}, false
+		held.use.Rejected++
+		return Permit{}, false
 	}
 	held.left = max(held.left-1, 0)
 	held.reserved++
-	held.use.Repeats++
-	return Repeat{service: service, term: b.term}, true
+	held.use.Retries++
+	return Permit{service: service, term: b.term}, true
 }
 
 // Sent tells that the request got its place.
-func (b *Budget) Sent(repeat Repeat) { b.settle(repeat) }
+func (b *Budget) Commit(repeat Permit) { b.settle(repeat) }
 
 // Return gives back a repeat whose request got no place.
-func (b *Budget) Return(repeat Repeat) {
+func (b *Budget) Cancel(repeat Permit) {
 	if held := b.settle(repeat); held != nil {
 		held.left++
-		held.use.Repeats--
+		held.use.Retries--
 	}
 }
 
 // settle ends the reservation, unless it is void.
-func (b *Budget) settle(repeat Repeat) *bank {
+func (b *Budget) settle(repeat Permit) *bank {
 	held, found := b.services[repeat.service]
 	if !found || repeat.term != b.term {
 		return nil
@@ -166,8 +166,8 @@
 }
 
 // Uses returns what was counted of each service.
-func (b *Budget) Uses(now structs.Instant) map[string]Use {
-	uses := map[string]Use{}
+func (b *Budget) Stats(now structs.Instant) map[string]Stats {
+	uses := map[string]Stats{}
 	for service := range b.services {
 		held := b.bank(now, service)
 		use := held.use
--- a/coordination/retrybudget/retrybudget_test.go
+++ b/coordination/retrybudget/retrybudget_test.go
@@ -22,7 +22,7 @@
 		if !ok {
 			return given
 		}
-		budget.Sent(repeat)
+		budget.Commit(repeat)
 	}
 	return limit
 }
@@ -30,19 +30,19 @@
 func TestRepeatsAreGivenForRequestsAndFromTheSlack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	budget := New(tenSeconds, false)
-	budget.Begin()
+	budget.Activate()
 	for range 10 {
-		budget.First(0, "s")
+		budget.RecordRequest(0, "s")
 	}
 	g.Expect(give(budget, 0, 20)).To(gomega.Equal(2))
 	g.Expect(give(budget, 10*time.Second, 20)).To(gomega.Equal(2), "time pays a part of the slack")
 	for range 1000 {
-		budget.First(10*time.Second, "s")
+		budget.RecordRequest(10*time.Second, "s")
 	}
 	g.Expect(give(budget, 10*time.Second, 100)).To(gomega.Equal(18), "what a bank holds at most")
 	_, ok := budget.Reserve(10*time.Second, "other")
 	g.Expect(ok).To(gomega.BeFalse())
-	g.Expect(budget.Uses(10 * time.Second)["s"]).To(gomega.Equal(Use{Requests: 1010, Repeats: 22, Refused: 3, Left: 0}))
+	g.Expect(budget.Stats(10 * time.Second)["s"]).To(gomega.Equal(Stats{Requests: 1010, Retries: 22, Rejected: 3, Left: 0}))
 }
 
 func TestANodeGivesNothingBeforeItSchedulesNorFromWhatItHeldBefore(t *testing.T) {
@@ -50,19 +50,19 @@
 	budget := New(tenSeconds, false)
 	pay := func() {
 		for range 50 {
-			budget.First(0, "s")
+			budget.RecordRequest(0, "s")
 		}
 	}
 	pay()
 	g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
-	for _, change := range []func(){budget.Begin, budget.Begin, budget.Renew, func() { budget.End(); budget.Begin() }} {
+	for _, change := range []func(){budget.Activate, budget.Activate, budget.Reset, func() { budget.Deactivate(); budget.Activate() }} {
 		change()
 		g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
 		pay()
 	}
 	g.Expect(give(budget, 0, 20)).To(gomega.Equal(10))
-	budget.End()
-	budget.Renew()
+	budget.Deactivate()
+	budget.Reset()
 	pay()
 	g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
 }
@@ -70,14 +70,14 @@
 func TestARepeatThatWaitsCountsAgainstTheBankUntilItIsSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	budget := New(tenSeconds, false)
-	budget.Begin()
+	budget.Activate()
 	pay := func() {
 		for range 200 {
-			budget.First(0, "s")
+			budget.RecordRequest(0, "s")
 		}
 	}
 	pay()
-	var waiting []Repeat
+	var waiting []Permit
 	for range 18 {
 		repeat, ok := budget.Reserve(0, "s")
 		g.Expect(ok).To(gomega.BeTrue())
@@ -85,21 +85,21 @@
 	}
 	pay()
 	g.Expect(give(budget, 0, 20)).To(gomega.BeZero(), "all that a bank holds is on its way")
-	budget.Return(waiting[0])
+	budget.Cancel(waiting[0])
 	g.Expect(give(budget, 0, 20)).To(gomega.Equal(1))
-	budget.Sent(waiting[1])
+	budget.Commit(waiting[1])
 	pay()
 	g.Expect(give(budget, 0, 20)).To(gomega.Equal(2))
-	budget.Begin()
-	budget.Return(waiting[2])
+	budget.Activate()
+	budget.Cancel(waiting[2])
 	g.Expect(give(budget, 0, 20)).To(gomega.BeZero(), "given in an earlier term")
 }
 
 func TestTheFirstNodeThatEverSchedulesBeginsWithFullBanks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for _, change := range []func(*Budget){func(b *Budget) { b.Begin() }, func(b *Budget) { b.End(); b.Begin() }, (*Budget).Renew} {
+	for _, change := range []func(*Budget){func(b *Budget) { b.Activate() }, func(b *Budget) { b.Deactivate(); b.Activate() }, (*Budget).Reset} {
 		budget := New(tenSeconds, true)
-		budget.Begin()
+		budget.Activate()
 		g.Expect(give(budget, 0, 10)).To(gomega.Equal(10))
 		change(budget)
 		g.Expect(give(budget, 0, 10)).To(gomega.BeZero(), "it may have given already")
@@ -123,7 +123,7 @@
 
 type reservation struct {
 	node   int
-	repeat Repeat
+	repeat Permit
 }
 
 func newFleet(create func() *Budget) *fleet {
@@ -141,7 +141,7 @@
 	for _, other := range f.scheduling {
 		if other != node {
 			kept := maps.Clone(f.budgets[other].services)
-			f.budgets[other].End()
+			f.budgets[other].Deactivate()
 			f.drop(other)
 			if f.keeps {
 				maps.Copy(f.budgets[other].services, kept)
@@ -149,7 +149,7 @@
 		}
 	}
 	kept := maps.Clone(f.budgets[node].services)
-	f.budgets[node].Begin()
+	f.budgets[node].Activate()
 	f.drop(node)
 	f.scheduling = []int{node}
 	if f.keeps {
@@ -165,7 +165,7 @@
 // split has a second node schedule that does not know of the first one.
 func (f *fleet) split(node int) {
 	if len(f.scheduling) == 1 && f.scheduling[0] != node {
-		f.budgets[node].Begin()
+		f.budgets[node].Activate()
 		f.scheduling = append(f.scheduling, node)
 	}
 }
@@ -173,7 +173,7 @@
 // ask is requests that come to a replica for the first time.
 func (f *fleet) ask(at, requests int) {
 	for range requests {
-		f.budgets[f.scheduling[at%len(f.scheduling)]].First(f.now, "s")
+		f.budgets[f.scheduling[at%len(f.scheduling)]].RecordRequest(f.now, "s")
 		f.requests = append(f.requests, f.now)
 	}
 }
@@ -191,7 +191,7 @@
 // send has what waits get its places.
 func (f *fleet) send() {
 	for _, one := range f.waiting {
-		f.budgets[one.node].Sent(one.repeat)
+		f.budgets[one.node].Commit(one.repeat)
 		f.repeats = append(f.repeats, f.now)
 	}
 	f.waiting = nil
@@ -232,7 +232,7 @@
 			f.budgets[node] = f.create()
 			f.lead(node)
 		case 4:
-			f.budgets[node].Renew()
+			f.budgets[node].Reset()
 			f.drop(node)
 		case 5:
 			f.send()
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -51,7 +51,7 @@
 )
 
 // Situation is what a step goes by beside the record.
-type Situation struct {
+type Inputs struct {
 	Order rollouts.Order
 	// Elapsed is the time since the order, at least.
 	Elapsed time.Duration
@@ -71,9 +71,9 @@
 type Controller struct {
 	policy Policy
 	record rollouts.Record
-	judge  *Judge
+	judge  *Analyzer
 	// exposure is what may be sent to the target now.
-	exposure Exposure
+	exposure CanaryBudget
 	// fresh was reported since the last write began, and sent is what that write holds
 	// while its outcome is not known.
 	fresh, sent report
@@ -107,7 +107,7 @@
 	if r.routes == nil {
 		r.routes = map[string]rollouts.Evidence{}
 	}
-	r.routes[route] = before.Plus(evidence)
+	r.routes[route] = before.Add(evidence)
 }
 
 // NewController returns a controller that goes on from the record, which may be empty.
@@ -118,27 +118,27 @@
 }
 
 // Exposure returns what may be sent to the target now.
-func (c *Controller) Exposure() *Exposure { return &c.exposure }
+func (c *Controller) CanaryBudget() *CanaryBudget { return &c.exposure }
 
 // Record returns the record that the controller goes by.
 func (c *Controller) Record() rollouts.Record { return c.record }
 
 // Doubt returns how far the evidence against the target is; from 1 on it is bad.
-func (c *Controller) Doubt() (float64, string) { return c.judge.Doubt() }
+func (c *Controller) RegressionScore() (float64, string) { return c.judge.Doubt() }
 
 // Adopt takes over the record if it is another one than the known.
 func (c *Controller) Adopt(record rollouts.Record) {
-	if record.Revision != c.record.Revision {
+	if record.Position != c.record.Position {
 		c.adopt(record)
 	}
 }
 
 func (c *Controller) adopt(record rollouts.Record) {
-	if record.Order != c.record.Order || c.judge == nil {
+	if record.OrderPosition != c.record.OrderPosition || c.judge == nil {
 		c.judge, c.fresh, c.sent = NewJudge(), report{}, report{}
 		c.exposure.void()
 	}
-	if record.Phase != rollouts.PhaseJudging {
+	if record.Phase != rollouts.PhaseCanary {
 		c.exposure.void()
 	}
 	c.record = record
@@ -146,12 +146,12 @@
 
 // Ended enters the end of a request that reached the service. Told is false if its end
 // says nothing of the replica, as when the caller left.
-func (c *Controller) Ended(answer Answer, told bool) {
+func (c *Controller) RecordResult(answer Sample, told bool) {
 	if answer.Begun < c.countsFrom {
 		return
 	}
 	c.fresh.requests++
-	if !told || c.record.Phase != rollouts.PhaseJudging {
+	if !told || c.record.Phase != rollouts.PhaseCanary {
 		return
 	}
 	bad := c.judge.Observe(answer)
@@ -162,16 +162,16 @@
 	case answer.Target:
 		seen.Good = 1
 	case bad:
-		seen.OldBad = 1
+		seen.BaselineBad = 1
 	default:
-		seen.OldGood = 1
+		seen.BaselineGood = 1
 	}
 	c.fresh.count(answer.Route, seen)
 }
 
 // Propose returns the record that is to be written now, and false if there is none. After
 // true Written, Refused or Unknown has to be called with what became of the write.
-func (c *Controller) Propose(now structs.Instant, seen Situation) (rollouts.Record, bool) {
+func (c *Controller) Propose(now structs.Instant, seen Inputs) (rollouts.Record, bool) {
 	next, due := c.propose(now, seen)
 	if !due {
 		return next, false
@@ -180,25 +180,25 @@
 	return next, true
 }
 
-func (c *Controller) propose(now structs.Instant, seen Situation) (rollouts.Record, bool) {
+func (c *Controller) propose(now structs.Instant, seen Inputs) (rollouts.Record, bool) {
 	next := c.record
-	if seen.Order.Revision > next.Order {
+	if seen.Order.Position > next.OrderPosition {
 		if seen.TargetSlots == 0 || seen.Elapsed >= seen.Order.Duration {
 			return next, false // nothing moves while nobody has the version, or too late
 		}
-		next = rollouts.Begin(seen.Order, c.record, seen.InService)
-		next.Revision, next.Elapsed = c.record.Revision, seen.Elapsed
+		next = rollouts.NewRecord(seen.Order, c.record, seen.InService)
+		next.Position, next.Elapsed = c.record.Position, seen.Elapsed
 		if next.Phase == rollouts.PhaseSwitching {
 			next.Reason = ReasonInService
 		}
 		return next, true
 	}
-	if next.Order == 0 || next.Phase.Ended() {
+	if next.OrderPosition == 0 || next.Phase.IsTerminal() {
 		return next, false
 	}
 	next.Elapsed = seen.Elapsed
 	switch next.Phase {
-	case rollouts.PhaseJudging:
+	case rollouts.PhaseCanary:
 		return c.proposeJudging(now, next, seen)
 	case rollouts.PhaseSwitching:
 		next.Phase = rollouts.PhaseCompleted
@@ -209,16 +209,16 @@
 }
 
 // carries returns whether the target's replicas can serve all requests.
-func (c *Controller) carries(seen Situation) bool {
+func (c *Controller) carries(seen Inputs) bool {
 	return seen.TargetSlots > 0 && float64(seen.TargetSlots) >= carryShare*float64(seen.OtherSlots)
 }
 
 // proposeJudging ends the judgement if it is time, or takes more exposure.
-func (c *Controller) proposeJudging(now structs.Instant, next rollouts.Record, seen Situation) (rollouts.Record, bool) {
+func (c *Controller) proposeJudging(now structs.Instant, next rollouts.Record, seen Inputs) (rollouts.Record, bool) {
 	c.sum(&next)
 	doubt, route := c.judge.Doubt()
 	if doubt >= 1 {
-		next.Phase, next.Reason = rollouts.PhaseReturning, ReasonBad+route
+		next.Phase, next.Reason = rollouts.PhaseRollingBack, ReasonBad+route
 		return next, true
 	}
 	if seen.Elapsed >= c.switchAt(seen) {
@@ -226,7 +226,7 @@
 			next.Phase, next.Reason = rollouts.PhaseSwitching, ReasonGood
 			return next, true
 		} else if seen.Elapsed >= seen.Order.Duration {
-			next.Phase, next.Reason = rollouts.PhaseReturning, reason
+			next.Phase, next.Reason = rollouts.PhaseRollingBack, reason
 			return next, true
 		}
 	}
@@ -240,20 +240,20 @@
 
 // sum adds what was reported since the last write.
 func (c *Controller) sum(next *rollouts.Record) {
-	total := report{requests: next.Requests, routes: maps.Clone(next.Routes)}
+	total := report{requests: next.Requests, routes: maps.Clone(next.EvidenceByRoute)}
 	total.add(c.fresh)
-	next.Requests, next.Routes = total.requests, total.routes
+	next.Requests, next.EvidenceByRoute = total.requests, total.routes
 }
 
 // switchAt is the time since the order at which the target gets every request: late, as a
 // version may turn bad later, but early enough for the longest answers of the others.
-func (c *Controller) switchAt(seen Situation) time.Duration {
+func (c *Controller) switchAt(seen Inputs) time.Duration {
 	longest := time.Duration(mostSwitch * float64(seen.Order.Duration))
 	return seen.Order.Duration - min(leastSwitch+seen.Longest, longest)
 }
 
 // objection returns what speaks against completing the roll-out, or nothing.
-func (c *Controller) objection(next rollouts.Record, seen Situation) string {
+func (c *Controller) objection(next rollouts.Record, seen Inputs) string {
 	if !c.carries(seen) {
 		return ReasonNoCapacity
 	}
@@ -261,9 +261,9 @@
 		return ReasonDoubtful + route
 	}
 	answers, others := 0, 0
-	for _, evidence := range next.Routes {
+	for _, evidence := range next.EvidenceByRoute {
 		answers += evidence.Good + evidence.Bad
-		others += evidence.OldGood + evidence.OldBad
+		others += evidence.BaselineGood + evidence.BaselineBad
 	}
 	if answers < neededAnswers {
 		return ReasonNoEvidence
@@ -271,8 +271,8 @@
 	if seen.OtherSlots == 0 {
 		return "" // nothing is left to compare the routes with
 	}
-	for _, evidence := range next.Routes {
-		if float64(evidence.OldGood+evidence.OldBad) >= usualShare*float64(others) && evidence.Good+evidence.Bad < neededOnRoute {
+	for _, evidence := range next.EvidenceByRoute {
+		if float64(evidence.BaselineGood+evidence.BaselineBad) >= usualShare*float64(others) && evidence.Good+evidence.Bad < neededOnRoute {
 			return ReasonNoEvidence
 		}
 	}
@@ -280,16 +280,16 @@
 }
 
 // Written enters that the store acknowledged the proposed record at the revision.
-func (c *Controller) Written(now structs.Instant, written rollouts.Record, revision structs.Place) {
-	if written.Order != c.record.Order {
+func (c *Controller) WriteCommitted(now structs.Instant, written rollouts.Record, revision structs.StorePosition) {
+	if written.OrderPosition != c.record.OrderPosition {
 		c.countsFrom = now
 	}
 	taken := 0
-	if written.Order == c.record.Order && written.Phase == rollouts.PhaseJudging {
+	if written.OrderPosition == c.record.OrderPosition && written.Phase == rollouts.PhaseCanary {
 		taken = written.Exposed - c.record.Exposed
 	}
 	c.sent, c.wroteAt = report{}, now
-	written.Revision = revision
+	written.Position = revision
 	c.adopt(written)
 	if taken > 0 {
 		c.exposure.take(now, taken)
@@ -297,18 +297,18 @@
 }
 
 // Refused enters that the write surely took no effect: what it held is reported again.
-func (c *Controller) Refused(now structs.Instant) {
+func (c *Controller) WriteRejected(now structs.Instant) {
 	c.fresh.add(c.sent)
 	c.sent, c.wroteAt = report{}, now
 }
 
 // Unknown enters that the write may have taken effect, now or later. What it held is not
 // reported again, as requests that count twice would allow too much exposure.
-func (c *Controller) Unknown(now structs.Instant) {
+func (c *Controller) WriteUnknown(now structs.Instant) {
 	c.sent, c.wroteAt = report{}, now
 }
 
 // Describe tells the evidence on one route to operators.
 func Describe(route string, evidence rollouts.Evidence) string {
-	return fmt.Sprintf("%s: %d of %d bad, %d of %d before", route, evidence.Bad, evidence.Good+evidence.Bad, evidence.OldBad, evidence.OldGood+evidence.OldBad)
+	return fmt.Sprintf("%s: %d of %d bad, %d of %d before", route, evidence.Bad, evidence.Good+evidence.Bad, evidence.BaselineBad, evidence.BaselineGood+evidence.BaselineBad)
 }
--- a/coordination/rollout/controller_test.go
+++ b/coordination/rollout/controller_test.go
@@ -13,16 +13,16 @@
 var testPolicy = Policy{Share: 0.1, Slack: 50}
 
 func testOrder() rollouts.Order {
-	return rollouts.Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Revision: 5}
+	return rollouts.Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Position: 5}
 }
 
 // begun returns a controller whose first record was written.
 func begun(g *gomega.WithT) *Controller {
 	c := NewController(testPolicy, 0, rollouts.Record{})
-	next, due := c.Propose(0, Situation{Order: testOrder(), TargetSlots: 8, OtherSlots: 8})
+	next, due := c.Propose(0, Inputs{Order: testOrder(), TargetSlots: 8, OtherSlots: 8})
 	g.Expect(due).To(gomega.BeTrue())
-	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseJudging))
-	c.Written(0, next, 6)
+	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseCanary))
+	c.WriteCommitted(0, next, 6)
 	return c
 }
 
@@ -30,12 +30,12 @@
 func serve(c *Controller, count int, failed bool) {
 	for i := range count {
 		target := i%10 == 0
-		c.Ended(Answer{Route: "r", Replica: fmt.Sprint(target, i%4), Target: target, Failed: failed && target, Step: 20 * time.Millisecond}, true)
+		c.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(target, i%4), Target: target, Failed: failed && target, Step: 20 * time.Millisecond}, true)
 	}
 }
 
-func at(elapsed time.Duration) Situation {
-	return Situation{Order: testOrder(), Elapsed: elapsed, TargetSlots: 8, OtherSlots: 8, Longest: time.Second, Confirmed: true}
+func at(elapsed time.Duration) Inputs {
+	return Inputs{Order: testOrder(), Elapsed: elapsed, TargetSlots: 8, OtherSlots: 8, Longest: time.Second, Confirmed: true}
 }
 
 func TestAGoodVersionIsCompletedOnceNothingRunsElsewhere(t *testing.T) {
@@ -47,7 +47,7 @@
 	next, due := c.Propose(17*time.Second, at(17*time.Second))
 	g.Expect(due).To(gomega.BeTrue())
 	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseSwitching))
-	c.Written(17*time.Second, next, 9)
+	c.WriteCommitted(17*time.Second, next, 9)
 	busy := at(18 * time.Second)
 	busy.Busy = 1
 	_, due = c.Propose(18*time.Second, busy)
@@ -66,15 +66,15 @@
 	c := begun(g)
 	next, due := c.Propose(time.Second, at(time.Second))
 	g.Expect(due).To(gomega.BeTrue())
-	c.Written(time.Second, next, 7)
-	g.Expect(c.Exposure().Left(time.Second)).To(gomega.BeNumerically(">", 0))
+	c.WriteCommitted(time.Second, next, 7)
+	g.Expect(c.CanaryBudget().Left(time.Second)).To(gomega.BeNumerically(">", 0))
 	serve(c, 400, true)
 	next, due = c.Propose(1100*time.Millisecond, at(1100*time.Millisecond))
 	g.Expect(due).To(gomega.BeTrue())
-	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseReturning))
+	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseRollingBack))
 	g.Expect(next.Reason).To(gomega.Equal(ReasonBad + "r"))
-	c.Written(1200*time.Millisecond, next, 8)
-	g.Expect(c.Exposure().Left(1200 * time.Millisecond)).To(gomega.BeZero())
+	c.WriteCommitted(1200*time.Millisecond, next, 8)
+	g.Expect(c.CanaryBudget().Left(1200 * time.Millisecond)).To(gomega.BeZero())
 	unheard := at(2 * time.Second)
 	unheard.Confirmed = false
 	_, due = c.Propose(2*time.Second, unheard)
@@ -85,9 +85,9 @@
 }
 
 func TestAVersionThatCannotBeJudgedIsGivenUpAtTheDeadline(t *testing.T) {
-	for reason, situation := range map[string]func(*Situation, *Controller){
-		ReasonNoEvidence: func(*Situation, *Controller) {},
-		ReasonNoCapacity: func(seen *Situation, c *Controller) { serve(c, 1000, false); seen.TargetSlots = 4 },
+	for reason, situation := range map[string]func(*Inputs, *Controller){
+		ReasonNoEvidence: func(*Inputs, *Controller) {},
+		ReasonNoCapacity: func(seen *Inputs, c *Controller) { serve(c, 1000, false); seen.TargetSlots = 4 },
 	} {
 		t.Run(reason, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -96,7 +96,7 @@
 			situation(&seen, c)
 			next, due := c.Propose(20*time.Second, seen)
 			g.Expect(due).To(gomega.BeTrue())
-			g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseReturning))
+			g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseRollingBack))
 			g.Expect(next.Reason).To(gomega.Equal(reason))
 		})
 	}
@@ -107,9 +107,9 @@
 func TestRequestsFromBeforeTheOrderAllowNoExposure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := begun(g)
-	early := Answer{Route: "r", Replica: "a", Begun: -time.Second, Step: 20 * time.Millisecond}
+	early := Sample{Route: "r", Replica: "a", Begun: -time.Second, Step: 20 * time.Millisecond}
 	for range 1000 {
-		c.Ended(early, true)
+		c.RecordResult(early, true)
 	}
 	next, due := c.Propose(time.Second, at(time.Second))
 	g.Expect(due).To(gomega.BeTrue())
@@ -120,7 +120,7 @@
 func TestNothingMovesForAVersionThatNobodyHasOrADeadlineThatPassed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewController(testPolicy, 0, rollouts.Record{})
-	_, due := c.Propose(0, Situation{Order: testOrder(), OtherSlots: 8})
+	_, due := c.Propose(0, Inputs{Order: testOrder(), OtherSlots: 8})
 	g.Expect(due).To(gomega.BeFalse())
 	_, due = c.Propose(0, at(testOrder().Duration))
 	g.Expect(due).To(gomega.BeFalse())
@@ -130,32 +130,32 @@
 	g := gomega.NewWithT(t)
 	c := begun(g)
 	later := at(time.Second)
-	later.Order = rollouts.Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}
+	later.Order = rollouts.Order{Service: "s", Target: "v3", Duration: time.Minute, Position: 12}
 	next, due := c.Propose(time.Second, later)
 	g.Expect(due).To(gomega.BeTrue())
-	g.Expect(next.Barred).To(gomega.Equal([]string{"v2"}))
+	g.Expect(next.Excluded).To(gomega.Equal([]string{"v2"}))
 	g.Expect(next.Exposed).To(gomega.BeZero())
 	table := rollouts.NewTable()
-	next.Revision = 13
+	next.Position = 13
 	table.PutRecord(0, next)
 	policy := table.Policy("s", false)
-	g.Expect(policy.Use("v1")).To(gomega.Equal(rollouts.UseFree))
-	g.Expect(policy.Use("v2")).To(gomega.Equal(rollouts.UseBarred))
-	g.Expect(policy.Use("v3")).To(gomega.Equal(rollouts.UseBudgeted))
+	g.Expect(policy.AccessFor("v1")).To(gomega.Equal(rollouts.AccessUnrestricted))
+	g.Expect(policy.AccessFor("v2")).To(gomega.Equal(rollouts.AccessDenied))
+	g.Expect(policy.AccessFor("v3")).To(gomega.Equal(rollouts.AccessBudgeted))
 }
 
 func TestExposureEndsWhereTheStoreIsNotReached(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := begun(g)
 	next, _ := c.Propose(time.Second, at(time.Second))
-	c.Written(time.Second, next, 7)
-	g.Expect(c.Exposure().Left(time.Second + exposureLifetime - 1)).To(gomega.BeNumerically(">", 0))
-	g.Expect(c.Exposure().Left(time.Second + exposureLifetime)).To(gomega.BeZero())
+	c.WriteCommitted(time.Second, next, 7)
+	g.Expect(c.CanaryBudget().Left(time.Second + exposureLifetime - 1)).To(gomega.BeNumerically(">", 0))
+	g.Expect(c.CanaryBudget().Left(time.Second + exposureLifetime)).To(gomega.BeZero())
 }
 
 func TestEachRouteHasItsShareOfTheExposure(t *testing.T) {
 	g := gomega.NewWithT(t)
-	exposure := &Exposure{}
+	exposure := &CanaryBudget{}
 	exposure.take(0, 1000)
 	given := map[string]int{}
 	for i := range 1000 {
@@ -168,7 +168,7 @@
 		}
 	}
 	g.Expect(given["rare"]).To(gomega.BeNumerically("~", 200, 20))
-	greedy := &Exposure{}
+	greedy := &CanaryBudget{}
 	greedy.take(0, 100)
 	for range 100 {
 		greedy.Ask("urgent")
--- a/coordination/rollout/explore_test.go
+++ b/coordination/rollout/explore_test.go
@@ -60,14 +60,14 @@
 	faults   faults
 	nodes    [2]*exploredNode
 	record   rollouts.Record
-	revision structs.Place
+	revision structs.StorePosition
 	now      structs.Instant
 	exposed  int
 	problem  error
 }
 
 func newExploration(faults faults) *exploration {
-	e := &exploration{faults: faults, revision: testOrder().Revision}
+	e := &exploration{faults: faults, revision: testOrder().Position}
 	for i := range e.nodes {
 		e.start(i)
 	}
@@ -89,11 +89,11 @@
 	node.policy = node.table.Policy("s", false)
 }
 
-func (e *exploration) situation(i int) Situation {
+func (e *exploration) situation(i int) Inputs {
 	own, other := e.nodes[i], e.nodes[1-i]
 	record := own.controller.Record()
-	seen := Situation{Order: testOrder(), Elapsed: e.now, TargetSlots: 4, OtherSlots: 4, Busy: e.busy(own)}
-	seen.Confirmed = e.faults.skipConfirmed || other.policy.Order == record.Order && other.policy.Phase == record.Phase
+	seen := Inputs{Order: testOrder(), Elapsed: e.now, TargetSlots: 4, OtherSlots: 4, Busy: e.busy(own)}
+	seen.Confirmed = e.faults.skipConfirmed || other.policy.OrderPosition == record.OrderPosition && other.policy.Phase == record.Phase
 	if seen.Confirmed && !e.faults.skipConfirmed {
 		seen.Busy += e.busy(other)
 	}
@@ -105,7 +105,7 @@
 
 // busy is what the node tells of its requests at replicas that get no new ones.
 func (e *exploration) busy(node *exploredNode) int {
-	if node.policy.Use("v1") == rollouts.UseBarred {
+	if node.policy.AccessFor("v1") == rollouts.AccessDenied {
 		return node.busy
 	}
 	return 0
@@ -113,11 +113,11 @@
 
 // swap writes the record if nobody wrote since, and returns whether it did.
 func (e *exploration) swap(record rollouts.Record) bool {
-	if record.Revision != e.record.Revision {
+	if record.Position != e.record.Position {
 		return false
 	}
 	e.revision++
-	record.Revision = e.revision
+	record.Position = e.revision
 	e.record = record
 	return true
 }
@@ -134,20 +134,20 @@
 	switch how {
 	case actLose:
 		e.swap(next)
-		node.controller.Unknown(e.now)
+		node.controller.WriteUnknown(e.now)
 	case actLinger:
 		if node.lingering != nil {
 			return false
 		}
 		node.lingering = &next
-		node.controller.Unknown(e.now)
+		node.controller.WriteUnknown(e.now)
 	default:
 		if !e.swap(next) {
-			node.controller.Refused(e.now)
+			node.controller.WriteRejected(e.now)
 			e.news(i)
 			break
 		}
-		node.controller.Written(e.now, next, e.record.Revision)
+		node.controller.WriteCommitted(e.now, next, e.record.Position)
 		e.news(i)
 	}
 	return true
@@ -156,15 +156,15 @@
 func (e *exploration) request(i int) bool {
 	node := e.nodes[i]
 	phase := node.policy.Phase
-	if phase == rollouts.PhaseJudging && node.controller.Exposure().Left(e.now) > 0 {
-		node.controller.Exposure().Spend("r")
+	if phase == rollouts.PhaseCanary && node.controller.CanaryBudget().Left(e.now) > 0 {
+		node.controller.CanaryBudget().Spend("r")
 		e.exposed++
 		if e.record.Phase == rollouts.PhaseRolledBack {
 			e.problem = errors.New("a request at the target after the roll-back")
 		}
 		return true
 	}
-	if node.policy.Use("v1") == rollouts.UseFree && node.busy == 0 {
+	if node.policy.AccessFor("v1") == rollouts.AccessUnrestricted && node.busy == 0 {
 		node.busy++
 		if e.record.Phase == rollouts.PhaseCompleted {
 			e.problem = errors.New("a request at a replica that stopped")
@@ -177,12 +177,12 @@
 // answer enters enough answers on both sides to judge by.
 func (e *exploration) answer(i int, failed bool) bool {
 	node := e.nodes[i]
-	if node.answers > 0 || node.controller.Record().Phase != rollouts.PhaseJudging {
+	if node.answers > 0 || node.controller.Record().Phase != rollouts.PhaseCanary {
 		return false
 	}
 	node.answers++
 	for n := range 2 * neededAnswers {
-		node.controller.Ended(Answer{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, Begun: e.now, Failed: failed && n%2 == 0, Step: time.Millisecond}, true)
+		node.controller.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, Begun: e.now, Failed: failed && n%2 == 0, Step: time.Millisecond}, true)
 	}
 	return true
 }
@@ -194,7 +194,7 @@
 	changed := true
 	switch how {
 	case actNews:
-		changed = node.controller.Record().Revision != e.record.Revision
+		changed = node.controller.Record().Position != e.record.Position
 		e.news(i)
 	case actWrite, actLose, actLinger:
 		changed = e.write(i, how)
@@ -236,7 +236,7 @@
 	var text strings.Builder
 	fmt.Fprint(&text, e.record, e.now, e.exposed)
 	for _, node := range e.nodes {
-		doubt, _ := node.controller.Doubt()
+		doubt, _ := node.controller.RegressionScore()
 		fmt.Fprint(&text, node.controller.record, node.controller.exposure.left, node.controller.exposure.until, node.controller.fresh, node.controller.wroteAt,
 			node.policy, node.busy, node.answers, doubt)
 		if node.lingering != nil {
--- a/coordination/rollout/exposure.go
+++ b/coordination/rollout/exposure.go
@@ -8,7 +8,7 @@
 
 // Exposure is what this scheduler may still send to a target that is not judged yet. All of
 // it was acknowledged by the store as taken. It is not safe for concurrent use.
-type Exposure struct {
+type CanaryBudget struct {
 	left int
 	// until is when what is left is void: whoever could not reach the store for so long may
 	// not know that the target was found bad.
@@ -45,7 +45,7 @@
 )
 
 // take adds what the store acknowledged.
-func (e *Exposure) take(now structs.Instant, count int) {
+func (e *CanaryBudget) take(now structs.Instant, count int) {
 	if now >= e.until {
 		e.left = 0
 	}
@@ -54,10 +54,10 @@
 }
 
 // void drops what is left.
-func (e *Exposure) void() { e.left, e.open = 0, false }
+func (e *CanaryBudget) void() { e.left, e.open = 0, false }
 
 // Left returns how many requests may be sent to the target now.
-func (e *Exposure) Left(now structs.Instant) int {
+func (e *CanaryBudget) Left(now structs.Instant) int {
 	if e == nil || now >= e.until {
 		return 0
 	}
@@ -65,7 +65,7 @@
 }
 
 // Open returns whether the next request may go to the target.
-func (e *Exposure) Open(now structs.Instant) bool {
+func (e *CanaryBudget) Open(now structs.Instant) bool {
 	if e == nil {
 		return false
 	}
@@ -78,10 +78,10 @@
 }
 
 // Spent returns whether nothing is left.
-func (e *Exposure) Spent() bool { return e == nil || e.left <= 0 }
+func (e *CanaryBudget) Spent() bool { return e == nil || e.left <= 0 }
 
 // Ask counts a request of the route that might go to the target.
-func (e *Exposure) Ask(route string) {
+func (e *CanaryBudget) Ask(route string) {
 	if e != nil {
 		e.asked.add(route)
 	}
@@ -90,18 +90,18 @@
 // Fair returns whether the route has not had more than its share of what goes to the
 // target: under load the most urgent would else have all of it, and a version that is bad
 // on another route only would not be found.
-func (e *Exposure) Fair(route string) bool {
+func (e *CanaryBudget) Fair(route string) bool {
 	return e.given.byRoute[route]*e.asked.total <= e.asked.byRoute[route]*(e.given.total+burstSize)
 }
 
 // Spend counts one request of the route that is sent to the target.
-func (e *Exposure) Spend(route string) {
+func (e *CanaryBudget) Spend(route string) {
 	e.left--
 	e.given.add(route)
 }
 
 // Turn counts the bursts: each goes to another replica first.
-func (e *Exposure) Turn() int {
+func (e *CanaryBudget) Turn() int {
 	if e == nil {
 		return 0
 	}
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -49,7 +49,7 @@
 )
 
 // Answer is how one request ended, as far as it tells something of the replica.
-type Answer struct {
+type Sample struct {
 	Route   string
 	Replica string
 	// Begun is when the request was placed.
@@ -64,12 +64,12 @@
 
 // Judge compares the answers of two versions on the same routes in the same seconds. The
 // zero value is not usable; it is not safe for concurrent use.
-type Judge struct {
+type Analyzer struct {
 	routes map[string]*routeJudge
 }
 
 // NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge { return &Judge{routes: map[string]*routeJudge{}} }
+func NewJudge() *Analyzer { return &Analyzer{routes: map[string]*routeJudge{}} }
 
 // routeJudge is the judgement on one route.
 type routeJudge struct {
@@ -81,7 +81,7 @@
 }
 
 // Observe enters one answer and returns whether it was bad.
-func (j *Judge) Observe(answer Answer) bool {
+func (j *Analyzer) Observe(answer Sample) bool {
 	route, found := j.routes[answer.Route]
 	if !found {
 		route = &routeJudge{parts: map[string]float64{}}
@@ -127,7 +127,7 @@
 
 // Doubt returns how far the evidence against the target is on the route that shows most:
 // from 1 on it is bad.
-func (j *Judge) Doubt() (doubt float64, route string) {
+func (j *Analyzer) Doubt() (doubt float64, route string) {
 	for name, judged := range j.routes {
 		if found := judged.doubt(); found > doubt || found == doubt && found > 0 && name < route {
 			doubt, route = found, name
--- a/coordination/rollout/judge_test.go
+++ b/coordination/rollout/judge_test.go
@@ -15,7 +15,7 @@
 
 // verdict is what both ways of judging give: from 1 on the target is bad.
 type verdict interface {
-	Observe(answer Answer) bool
+	Observe(answer Sample) bool
 	Doubt() (float64, string)
 }
 
@@ -31,7 +31,7 @@
 
 func newRankJudge() *rankJudge { return &rankJudge{routes: map[string]*rankRoute{}} }
 
-func (j *rankJudge) Observe(answer Answer) bool {
+func (j *rankJudge) Observe(answer Sample) bool {
 	const kept, needed, order = 128, 24, 3
 	route, found := j.routes[answer.Route]
 	if !found {
@@ -197,7 +197,7 @@
 		if p.slowed {
 			took *= 6
 		}
-		answer := Answer{Route: fmt.Sprint("r", p.route), Replica: fmt.Sprint(p.target, p.replica), Target: p.target, Failed: p.failed, Step: time.Duration(took * float64(time.Millisecond))}
+		answer := Sample{Route: fmt.Sprint("r", p.route), Replica: fmt.Sprint(p.target, p.replica), Target: p.target, Failed: p.failed, Step: time.Duration(took * float64(time.Millisecond))}
 		way.Observe(answer)
 		if !p.target {
 			continue
--- a/coordination/routing/filter/filter.go
+++ b/coordination/routing/filter/filter.go
@@ -10,19 +10,19 @@
 )
 
 // Cause says why a replica was ruled out; None means that it may serve.
-type Cause string
+type Rejection string
 
 // The causes.
 const (
-	None      Cause = ""
-	Leaving   Cause = "leaving"
-	Closed    Cause = "closed"
-	Suspended Cause = "suspended"
-	NoModel   Cause = "model"
-	WrongRole Cause = "role"
-	OtherZone Cause = "zone"
-	Memory    Cause = "memory"
-	Excluded  Cause = "excluded"
+	None      Rejection = ""
+	Leaving   Rejection = "leaving"
+	Closed    Rejection = "closed"
+	Suspended Rejection = "suspended"
+	NoModel   Rejection = "model"
+	WrongRole Rejection = "role"
+	OtherZone Rejection = "zone"
+	Memory    Rejection = "memory"
+	Excluded  Rejection = "excluded"
 )
 
 // minimumKVFree is the share of KV memory below which an engine that already
@@ -39,7 +39,7 @@
 }
 
 // Check returns the first cause that rules the replica out.
-func Check(state *backend.State, request *structs.Request, context *Context) Cause {
+func Check(state *backend.ReplicaState, request *structs.Request, context *Context) Rejection {
 	switch {
 	case state.Replica.Leaving:
 		return Leaving
@@ -58,7 +58,7 @@
 	return checkEngine(state, request)
 }
 
-func checkEngine(state *backend.State, request *structs.Request) Cause {
+func checkEngine(state *backend.ReplicaState, request *structs.Request) Rejection {
 	report := &state.Report
 	switch {
 	case request.Model != "" && !slices.Contains(report.Models, modelName(request)):
--- a/coordination/routing/pipeline.go
+++ b/coordination/routing/pipeline.go
@@ -26,14 +26,14 @@
 // Pipeline chooses replicas. It is not safe for concurrent use: it keeps
 // buffers between decisions to save allocations.
 type Pipeline struct {
-	View     *backend.View
+	View     *backend.Table
 	Prefixes prefix.Index
 	Weights  score.Weights
 	// SampleSize is the number of replicas sampled beside the prefix homes.
 	SampleSize int
 	Random     *rand.Rand
 
-	candidates []*backend.State
+	candidates []*backend.ReplicaState
 	estimates  []structs.Candidate
 }
 
@@ -49,7 +49,7 @@
 }
 
 // Question is one request to place.
-type Question struct {
+type Query struct {
 	Request      *structs.Request
 	OutputTokens int
 	MeanWork     time.Duration
@@ -58,7 +58,7 @@
 
 // Choose runs the pipeline. The candidates of the choice are valid until the
 // next call.
-func (p *Pipeline) Choose(question *Question) Choice {
+func (p *Pipeline) Choose(question *Query) Choice {
 	p.gather(question)
 	input := score.Input{
 		Now: question.Context.Now, Request: question.Request, OutputTokens: question.OutputTokens,
@@ -88,7 +88,7 @@
 
 // gather collects the candidates: every replica of a small pool, else the
 // holders of the prefix, its homes and a random sample.
-func (p *Pipeline) gather(question *Question) {
+func (p *Pipeline) gather(question *Query) {
 	p.candidates = p.candidates[:0]
 	pool := p.View.Pool(question.Request.Service)
 	if len(pool.States) <= p.SampleSize+prefixHomes {
@@ -106,7 +106,7 @@
 	p.admitSample(pool, question)
 }
 
-func (p *Pipeline) admit(state *backend.State, question *Question) bool {
+func (p *Pipeline) admit(state *backend.ReplicaState, question *Query) bool {
 	if slices.Contains(p.candidates, state) {
 		return false
 	}
@@ -118,13 +118,13 @@
 }
 
 // admitHomes adds the usable replicas with the highest rendezvous weights.
-func (p *Pipeline) admitHomes(pool *backend.Pool, question *Question) {
+func (p *Pipeline) admitHomes(pool *backend.Pool, question *Query) {
 	chain := question.Request.Prefix
 	if len(chain) == 0 {
 		return
 	}
 	key := chain[min(homeDepth, len(chain)-1)]
-	var homes [prefixHomes]*backend.State
+	var homes [prefixHomes]*backend.ReplicaState
 	var weights [prefixHomes]uint64
 	for _, state := range pool.States {
 		weight := rendezvous.WeightHashed(state.IDHash, key)
@@ -148,7 +148,7 @@
 // admitSample adds random replicas. If none of a full sample may serve, the
 // rest of the pool is tried in order, so that a usable replica is found
 // whenever there is one.
-func (p *Pipeline) admitSample(pool *backend.Pool, question *Question) {
+func (p *Pipeline) admitSample(pool *backend.Pool, question *Query) {
 	for range p.SampleSize {
 		p.admit(pool.States[p.Random.IntN(len(pool.States))], question)
 	}
--- a/coordination/routing/reserve/reserve.go
+++ b/coordination/routing/reserve/reserve.go
@@ -23,13 +23,13 @@
 
 // Ledger holds the reservations of a node by request id.
 type Ledger struct {
-	view         *backend.View
+	view         *backend.Table
 	prefixes     prefix.Index
 	reservations map[string]*Reservation
 }
 
 // NewLedger returns an empty ledger over the view.
-func NewLedger(view *backend.View, prefixes prefix.Index) *Ledger {
+func NewLedger(view *backend.Table, prefixes prefix.Index) *Ledger {
 	return &Ledger{view: view, prefixes: prefixes, reservations: map[string]*Reservation{}}
 }
 
@@ -70,7 +70,7 @@
 	// Connected is false if no byte was sent.
 	Connected bool
 	// Whole is true if the whole answer arrived.
-	Whole        bool
+	Complete     bool
 	OutputTokens int
 }
 
@@ -87,11 +87,11 @@
 	}
 	state.Release(now, id)
 	if !result.Connected {
-		state.ConnectFailed(now)
+		state.RecordConnectFailure(now)
 		return reservation, true
 	}
-	state.Connected()
-	if result.Whole {
+	state.RecordConnectSuccess()
+	if result.Complete {
 		l.learn(now, state, reservation, result.OutputTokens)
 	}
 	return reservation, true
@@ -99,9 +99,9 @@
 
 // learn compares the pace of decoding with what the replica reports. Plain
 // services have no tokens, so the whole call is compared.
-func (l *Ledger) learn(now structs.Instant, state *backend.State, reservation *Reservation, outputTokens int) {
+func (l *Ledger) learn(now structs.Instant, state *backend.ReplicaState, reservation *Reservation, outputTokens int) {
 	if state.Replica.Kind == structs.KindService {
-		state.Learn(reservation.Expected.Completion, now-reservation.At)
+		state.UpdateSlowdown(reservation.Expected.Completion, now-reservation.At)
 		return
 	}
 	const fewTokens = 4
@@ -109,5 +109,5 @@
 		return
 	}
 	expected := time.Duration(outputTokens-1) * l.view.Speed(state).StepTime
-	state.Learn(expected, now-reservation.firstTokenAt)
+	state.UpdateSlowdown(expected, now-reservation.firstTokenAt)
 }
--- a/coordination/routing/score/score.go
+++ b/coordination/routing/score/score.go
@@ -50,7 +50,7 @@
 }
 
 // Predict estimates the request's completion at the replica.
-func Predict(view *backend.View, state *backend.State, input *Input) Estimate {
+func Predict(view *backend.Table, state *backend.ReplicaState, input *Input) Estimate {
 	if state.Replica.Kind == structs.KindService {
 		return predictService(view, state, input)
 	}
@@ -71,7 +71,7 @@
 }
 
 // predictService treats the reported step time as the time of one call.
-func predictService(view *backend.View, state *backend.State, input *Input) Estimate {
+func predictService(view *backend.Table, state *backend.ReplicaState, input *Input) Estimate {
 	call := view.Speed(state).StepTime
 	wait := slotWait(state, call)
 	return Estimate{
@@ -82,7 +82,7 @@
 
 // Wait predicts the time until the replica would take a new request of no
 // prompt: free slots and the prefill that is ahead.
-func Wait(view *backend.View, state *backend.State, now structs.Instant, meanWork time.Duration) time.Duration {
+func Wait(view *backend.Table, state *backend.ReplicaState, now structs.Instant, meanWork time.Duration) time.Duration {
 	if state.Replica.Kind == structs.KindService {
 		return slotWait(state, view.Speed(state).StepTime)
 	}
@@ -90,7 +90,7 @@
 }
 
 // slotWait is the time until enough requests ended that a slot is free.
-func slotWait(state *backend.State, meanWork time.Duration) time.Duration {
+func slotWait(state *backend.ReplicaState, meanWork time.Duration) time.Duration {
 	slots := state.Report.Slots
 	excess := state.Occupancy() - slots + 1
 	if slots <= 0 || excess <= 0 {
@@ -102,7 +102,7 @@
 // staleness grows with the report's age and the fullness of the batch, and
 // keeps nodes that share one old view from choosing the same replica. A
 // replica with no report counts as half full and one interval old.
-func staleness(state *backend.State, input *Input) float64 {
+func staleness(state *backend.ReplicaState, input *Input) float64 {
 	if !state.HasReport || state.Report.Slots <= 0 {
 		return input.Weights.Staleness
 	}
--- a/coordination/scheduler/admission.go
+++ b/coordination/scheduler/admission.go
@@ -31,7 +31,7 @@
 // request is refused at once; otherwise Pump will plan it.
 func (s *Scheduler) Submit(now structs.Instant, request *structs.Request) (structs.Plan, bool) {
 	if request.Rank >= s.Floor(request.Service).RefuseFrom {
-		return refusal(request, structs.ReasonFloor, s.options.FloorHold), true
+		return refusal(request, structs.ReasonFloor, s.options.FloorDemandTTL), true
 	}
 	p := s.pool(request)
 	s.refreshCapacity(now, request.Service)
@@ -115,7 +115,7 @@
 	entry.capacity = sums
 }
 
-func (s *Scheduler) countable(now structs.Instant, state *backend.State) bool {
+func (s *Scheduler) countable(now structs.Instant, state *backend.ReplicaState) bool {
 	context := filter.Context{Now: now, Zones: []string{s.options.Zone}}
 	anything := structs.Request{}
 	return state.HasReport && filter.Check(state, &anything, &context) == filter.None
--- a/coordination/scheduler/floor.go
+++ b/coordination/scheduler/floor.go
@@ -23,9 +23,9 @@
 		if p.key.service != name {
 			continue
 		}
-		for _, request := range p.queue.Below(floor.RefuseFrom - 1) {
+		for _, request := range p.queue.LowerTiers(floor.RefuseFrom - 1) {
 			s.remove(p, request.ID)
-			plans = append(plans, refusal(request, structs.ReasonFloor, s.options.FloorHold))
+			plans = append(plans, refusal(request, structs.ReasonFloor, s.options.FloorDemandTTL))
 		}
 	}
 	return plans
@@ -47,7 +47,7 @@
 		if entry.demand == NoRank {
 			continue
 		}
-		if now-entry.demandAt > s.options.FloorHold {
+		if now-entry.demandAt > s.options.FloorDemandTTL {
 			entry.demand = NoRank
 			continue
 		}
@@ -76,7 +76,7 @@
 		return
 	}
 	entry := s.service(request.Service)
-	stale := now-entry.demandAt > s.options.FloorHold
+	stale := now-entry.demandAt > s.options.FloorDemandTTL
 	if stale || request.Rank <= entry.demand {
 		entry.demand = request.Rank
 		entry.demandAt = now
--- a/coordination/scheduler/pump.go
+++ b/coordination/scheduler/pump.go
@@ -30,7 +30,7 @@
 
 // Pump plans what can start or must be refused now. The driver carries the
 // plans out; a dispatch is already reserved in the ledger.
-func (s *Scheduler) Pump(now structs.Instant) []structs.Plan {
+func (s *Scheduler) Schedule(now structs.Instant) []structs.Plan {
 	var plans []structs.Plan
 	for _, p := range s.order {
 		if p.queue.Len() == 0 {
@@ -104,7 +104,7 @@
 	if now >= request.Deadline {
 		return refusal(request, structs.ReasonExpired, 0), true
 	}
-	question := routing.Question{
+	question := routing.Query{
 		Request:      request,
 		OutputTokens: s.lengths.Percentile(request, s.options.LengthPercentile),
 		MeanWork:     s.service(request.Service).meanWork,
@@ -164,7 +164,7 @@
 }
 
 // overflowPlan looks for room in the zones that may take overflow.
-func (s *Scheduler) overflowPlan(question *routing.Question) (structs.Plan, bool) {
+func (s *Scheduler) overflowPlan(question *routing.Query) (structs.Plan, bool) {
 	for _, zone := range s.overflow(question.Request.Service) {
 		question.Context.Zones = []string{zone}
 		choice := s.pipeline.Choose(question)
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	return refusal(request, structs.ReasonNoReplica, s.options.FloorHold), true
+	return refusal(request, structs.ReasonNoReplica, s.options.FloorDemandTTL), true
 }
 
 // lateOrHold is reached when no candidate has room that ends in time.
@@ -200,7 +200,7 @@
 		return refusal(request, structs.ReasonDeadline, 0), true
 	}
 	if s.sheddable(request) {
-		return refusal(request, structs.ReasonShed, s.options.FloorHold), true
+		return refusal(request, structs.ReasonShed, s.options.FloorDemandTTL), true
 	}
 	// The lateness comes from this request's own length and the pace of the
 	// engines, not from lower tiers, so that the floor would not help it.
@@ -268,7 +268,7 @@
 
 func (s *Scheduler) refuseWaiting(p *pool, request *structs.Request, reason structs.Reason, plans []structs.Plan) []structs.Plan {
 	s.remove(p, request.ID)
-	return append(plans, refusal(request, reason, s.options.FloorHold))
+	return append(plans, refusal(request, reason, s.options.FloorDemandTTL))
 }
 
 // residence returns a function that predicts the time from start to answer, at
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -42,7 +42,7 @@
 	// SampleSize is passed to the pipeline.
 	SampleSize int
 	// FloorHold is how long a demand for the floor stands without renewal.
-	FloorHold time.Duration
+	FloorDemandTTL time.Duration
 	// LengthPercentile is the share of answers that a prediction covers.
 	LengthPercentile float64
 	// Slack is the share of the waiting time that the queue may use up.
@@ -87,7 +87,7 @@
 	return Options{
 		Zone: zone, LowestRank: lowestRank,
 		HoldAhead: defaultHoldAhead, HoldShift: defaultHoldShift, AgingLimit: defaultAgingLimit, QueueLimit: defaultQueueLimit,
-		SampleSize: defaultSampleSize, FloorHold: defaultFloorHold,
+		SampleSize: defaultSampleSize, FloorDemandTTL: defaultFloorHold,
 		LengthPercentile: defaultLengthPercentile,
 		Slack:            defaultSlack, Patience: defaultPatience,
 		Weights: score.DefaultWeights, PrefixCapacity: defaultPrefixCapacity,
@@ -125,7 +125,7 @@
 // Scheduler is the decision core of one node.
 type Scheduler struct {
 	options  Options
-	view     *backend.View
+	view     *backend.Table
 	prefixes prefix.Index
 	ledger   *reserve.Ledger
 	lengths  length.Estimator
@@ -140,10 +140,10 @@
 
 // New returns a scheduler that draws its samples from random.
 func New(options Options, random *rand.Rand) *Scheduler {
-	view := backend.NewView()
+	view := backend.NewTable()
 	prefixes := options.Prefixes
 	if prefixes == nil {
-		prefixes = prefix.NewView(options.PrefixCapacity)
+		prefixes = prefix.NewLRUIndex(options.PrefixCapacity)
 	}
 	lengths := options.Lengths
 	if lengths == nil {
@@ -179,7 +179,7 @@
 func (s *Scheduler) SetOverflow(overflow func(service string) []string) { s.overflow = overflow }
 
 // View returns the view of the replicas; the driver keeps it up to date.
-func (s *Scheduler) View() *backend.View { return s.view }
+func (s *Scheduler) View() *backend.Table { return s.view }
 
 // Prefixes returns the view of the prefix caches.
 func (s *Scheduler) Prefixes() prefix.Index { return s.prefixes }
@@ -256,7 +256,7 @@
 // Finish ends a dispatched request, whatever its end.
 func (s *Scheduler) Finish(now structs.Instant, id string, result reserve.Result) {
 	reservation, found := s.ledger.Release(now, id, result)
-	if !found || !result.Whole {
+	if !found || !result.Complete {
 		return
 	}
 	s.lengths.Observe(reservation.Request, result.OutputTokens)
@@ -290,7 +290,7 @@
 	for _, p := range s.order {
 		for _, request := range p.queue.All() {
 			s.remove(p, request.ID)
-			plans = append(plans, refusal(request, reason, s.options.FloorHold))
+			plans = append(plans, refusal(request, reason, s.options.FloorDemandTTL))
 		}
 	}
 	return plans
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	s := New(DefaultOptions("z", 2), rand.New(rand.NewPCG(1, 1)))
 	for number := range replicas {
 		id := structs.ReplicaID(fmt.Sprintf("e%03d", number))
-		s.View().Upsert(structs.Replica{ID: id, Service: "llm", Zone: "z", Kind: structs.KindEngine, Generation: "g"})
+		s.View().Upsert(structs.Replica{ID: id, Service: "llm", Zone: "z", Kind: structs.KindEngine, HardwareGeneration: "g"})
 		s.View().Observe(0, structs.LoadReport{Replica: id, Age: -1, Slots: slots, KVFree: 1, PrefillRate: 10000, StepTime: 10 * time.Millisecond, Models: []string{"m"}, Role: structs.RoleBoth})
 	}
 	return s
@@ -43,7 +43,7 @@
 	g := gomega.NewWithT(t)
 	s := build(1, 1)
 	submitAll(g, s, 0, request("low", 2, 0, time.Minute), request("high", 0, 0, time.Minute), request("middle", 1, 0, time.Minute))
-	plans := s.Pump(0)
+	plans := s.Schedule(0)
 	g.Expect(plans).NotTo(gomega.BeEmpty())
 	g.Expect(plans[0].Request.ID).To(gomega.Equal("high"))
 }
@@ -52,8 +52,8 @@
 	g := gomega.NewWithT(t)
 	s := build(1, 1)
 	submitAll(g, s, 0, request("a", 0, 0, time.Minute), request("b", 0, 0, time.Minute))
-	s.Pump(0)
-	plans := s.Pump(2 * time.Minute)
+	s.Schedule(0)
+	plans := s.Schedule(2 * time.Minute)
 	g.Expect(plans).To(gomega.HaveLen(1))
 	g.Expect(plans[0].Reason).To(gomega.Equal(structs.ReasonExpired))
 	g.Expect(s.Waiting()).To(gomega.BeZero())
@@ -63,7 +63,7 @@
 	g := gomega.NewWithT(t)
 	s := build(1, 1)
 	submitAll(g, s, 0, request("first", 0, 0, time.Minute), request("low", 2, 0, time.Minute), request("middle", 1, 0, time.Minute))
-	s.Pump(0)
+	s.Schedule(0)
 	plans := s.SetFloor("llm", Floor{RefuseFrom: 2, ShedFrom: 1})
 	g.Expect(plans).To(gomega.HaveLen(1))
 	g.Expect(plans[0].Request.ID).To(gomega.Equal("low"))
@@ -78,14 +78,14 @@
 	for number := range 300 {
 		submitAll(g, s, 0, request(fmt.Sprint(number), 1, 0, 3*time.Second))
 	}
-	s.Pump(0)
-	for _, plan := range s.Pump(100 * time.Millisecond) {
+	s.Schedule(0)
+	for _, plan := range s.Schedule(100 * time.Millisecond) {
 		g.Expect(plan.Verdict).To(gomega.Equal(structs.VerdictDispatch), "nothing of tier 1 may be shed yet")
 	}
 	g.Expect(s.Demands(100 * time.Millisecond)).To(gomega.Equal([]Demand{{Service: "llm", Rank: 1}}))
 	s.SetFloor("llm", Floor{RefuseFrom: 2, ShedFrom: 1})
 	shed := 0
-	for _, plan := range s.Pump(200 * time.Millisecond) {
+	for _, plan := range s.Schedule(200 * time.Millisecond) {
 		if plan.Reason == structs.ReasonShed {
 			shed++
 		}
@@ -97,10 +97,10 @@
 	g := gomega.NewWithT(t)
 	s := build(2, 4)
 	submitAll(g, s, 0, request("a", 0, 0, time.Minute))
-	first := s.Pump(0)[0].Replica.ID
+	first := s.Schedule(0)[0].Replica.ID
 	_, ended := s.Requeue(time.Millisecond, "a")
 	g.Expect(ended).To(gomega.BeFalse())
-	g.Expect(s.Pump(2 * time.Millisecond)[0].Replica.ID).NotTo(gomega.Equal(first))
+	g.Expect(s.Schedule(2 * time.Millisecond)[0].Replica.ID).NotTo(gomega.Equal(first))
 }
 
 func TestLeavingReplicaGetsNothing(t *testing.T) {
@@ -108,7 +108,7 @@
 	s := build(1, 4)
 	s.View().MarkLeaving("e000")
 	submitAll(g, s, 0, request("a", 0, 0, time.Minute))
-	g.Expect(s.Pump(0)[0].Reason).To(gomega.Equal(structs.ReasonNoReplica))
+	g.Expect(s.Schedule(0)[0].Reason).To(gomega.Equal(structs.ReasonNoReplica))
 }
 
 func TestSlowedReplicaLosesWeightInAFewRequests(t *testing.T) {
@@ -119,7 +119,7 @@
 	for number := range 20 {
 		r := request(fmt.Sprint(number), 0, now, time.Minute)
 		submitAll(g, s, now, r)
-		replica := s.Pump(now)[0].Replica.ID
+		replica := s.Schedule(now)[0].Replica.ID
 		if number >= 8 {
 			chosen[replica]++
 		}
@@ -129,7 +129,7 @@
 		}
 		s.FirstToken(now+20*time.Millisecond, r.ID)
 		now += 20*time.Millisecond + 19*pace
-		s.Finish(now, r.ID, reserve.Result{Connected: true, Whole: true, OutputTokens: 20})
+		s.Finish(now, r.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: 20})
 	}
 	g.Expect(chosen["e001"]).To(gomega.BeNumerically(">=", 11))
 }
@@ -162,7 +162,7 @@
 				r.Prefix = chain
 				chain[59] = uint64(number)
 				s.Submit(0, r)
-				if plans := s.Pump(0); len(plans) != 1 {
+				if plans := s.Schedule(0); len(plans) != 1 {
 					b.Fatal("not planned")
 				}
 				s.Finish(0, r.ID, reserve.Result{Connected: true})
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -123,7 +123,7 @@
 }
 
 // Acceptor accepts changes. It is safe for concurrent use.
-type Acceptor struct {
+type Committer struct {
 	Store    outside.Store
 	WallTime func() time.Time
 	Faults   faultpoint.Injector
@@ -134,7 +134,7 @@
 // compile; Conflict if another change was accepted since the base, which the
 // message names; StoreUnavailable if nothing was written; StoreUnknown if the
 // context ended before the outcome was settled.
-func (a *Acceptor) Accept(ctx context.Context, change Change) (ChangeRecord, *Document, error) {
+func (a *Committer) Commit(ctx context.Context, change Change) (ChangeRecord, *Document, error) {
 	written := false
 	for {
 		record, document, settled, err := a.attempt(ctx, change, &written)
@@ -152,7 +152,7 @@
 
 // attempt reads the document, looks for the change in it, and otherwise swaps
 // it in. It is settled unless the store failed.
-func (a *Acceptor) attempt(ctx context.Context, change Change, written *bool) (ChangeRecord, *Document, bool, error) {
+func (a *Committer) attempt(ctx context.Context, change Change, written *bool) (ChangeRecord, *Document, bool, error) {
 	if err := faultpoint.Reach(ctx, a.Faults, faultpoint.ChangeRead, change.ID); err != nil {
 		return ChangeRecord{}, nil, false, err
 	}
@@ -193,7 +193,7 @@
 }
 
 // prepare compiles the change and encodes the document that it leads to.
-func (a *Acceptor) prepare(document *Document, change Change) (ChangeRecord, *Document, []byte, error) {
+func (a *Committer) prepare(document *Document, change Change) (ChangeRecord, *Document, []byte, error) {
 	before := document.Tree()
 	after := change.Apply(before)
 	generation := document.Generation + 1
@@ -239,7 +239,7 @@
 
 // Holder holds the generation in force at a node. It only rises. It is safe
 // for concurrent use; reading takes no lock.
-type Holder struct {
+type Current struct {
 	mutex    sync.Mutex // held while a generation is taken into force
 	state    atomic.Pointer[inForce]
 	onChange func(*settings.Compiled)
@@ -259,25 +259,25 @@
 
 // NewHolder returns a holder in which the document is in force; onChange runs
 // after each rise, one at a time, in order.
-func NewHolder(document *Document, onChange func(*settings.Compiled)) (*Holder, error) {
+func NewCurrent(document *Document, onChange func(*settings.Compiled)) (*Current, error) {
 	compiled, err := document.Tree().Compile(document.Generation)
 	if err != nil {
 		return nil, err
 	}
-	holder := &Holder{onChange: onChange}
+	holder := &Current{onChange: onChange}
 	holder.state.Store(newInForce(document, compiled))
 	return holder, nil
 }
 
 // Compiled returns the settings in force.
-func (h *Holder) Compiled() *settings.Compiled { return h.state.Load().compiled }
+func (h *Current) Compiled() *settings.Compiled { return h.state.Load().compiled }
 
 // Document returns the document in force. It must not be changed.
-func (h *Holder) Document() *Document { return h.state.Load().document }
+func (h *Current) Document() *Document { return h.state.Load().document }
 
 // Newer returns the stored form of the document in force if its generation is higher
 // than the one given, and otherwise nil. It must not be changed.
-func (h *Holder) Newer(generation uint64) ([]byte, error) {
+func (h *Current) EncodedIfNewer(generation uint64) ([]byte, error) {
 	state := h.state.Load()
 	if state.document.Generation <= generation {
 		return nil, nil
@@ -288,7 +288,7 @@
 // Offer takes the document into force if its generation is higher than the one
 // in force, and returns whether it did. The error is of kind InvalidSettings if
 // it does not compile; the one in force then stays.
-func (h *Holder) Offer(document *Document) (bool, error) {
+func (h *Current) InstallIfNewer(document *Document) (bool, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if document.Generation <= h.Document().Generation {
--- a/coordination/shedding/member.go
+++ b/coordination/shedding/member.go
@@ -38,7 +38,7 @@
 
 // Apply records a Set and returns the acknowledgement. The caller must take
 // Floor into force before it sends the acknowledgement.
-func (m *Member) Apply(now structs.Instant, set Set) Ack {
+func (m *Member) Apply(now structs.Instant, set FloorUpdate) Ack {
 	owners, found := m.floors[set.Service]
 	if !found {
 		owners = map[string]heard{}
@@ -98,12 +98,12 @@
 }
 
 // Export returns the marks that a joining node needs before it admits work.
-func (m *Member) Export(now structs.Instant) []Set {
-	var sets []Set
+func (m *Member) Snapshot(now structs.Instant) []FloorUpdate {
+	var sets []FloorUpdate
 	for service, owners := range m.floors {
 		for owner, entry := range owners {
 			if now-entry.refuseAt <= RefuseLease {
-				sets = append(sets, Set{Service: service, Owner: owner, Epoch: entry.epoch, Floor: entry.floor})
+				sets = append(sets, FloorUpdate{Service: service, Owner: owner, Epoch: entry.epoch, Floor: entry.floor})
 			}
 		}
 	}
--- a/coordination/shedding/owner.go
+++ b/coordination/shedding/owner.go
@@ -10,7 +10,7 @@
 )
 
 // Set tells a member the floor of a service.
-type Set struct {
+type FloorUpdate struct {
 	Service string `msgpack:"s"`
 	Owner   string `msgpack:"o"`
 	// Epoch rises with each change made by one owner process.
@@ -38,9 +38,9 @@
 }
 
 // Outgoing is a message to a member.
-type Outgoing struct {
-	To  string
-	Set Set
+type Message struct {
+	To     string
+	Update FloorUpdate
 }
 
 // Times of the protocol.
@@ -70,7 +70,7 @@
 type ownedFloor struct {
 	demands map[string]demandEntry
 	epoch   uint64
-	current Set
+	current FloorUpdate
 	settled bool // every member acknowledged current
 	acked   map[string]bool
 	sentAt  map[string]structs.Instant
@@ -136,7 +136,7 @@
 	owned = &ownedFloor{
 		demands: map[string]demandEntry{}, acked: map[string]bool{}, sentAt: map[string]structs.Instant{},
 		epoch:   1,
-		current: Set{Service: name, Owner: o.self, Epoch: 1, KeepRefuse: true, Floor: scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowest}},
+		current: FloorUpdate{Service: name, Owner: o.self, Epoch: 1, KeepRefuse: true, Floor: scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowest}},
 	}
 	o.services[name] = owned
 	return owned
@@ -144,7 +144,7 @@
 
 // Tick advances the service's floor by at most one mark and returns what has
 // to be sent. Members are the live nodes of the zone, this one included.
-func (o *Owner) Tick(now structs.Instant, name string, members []string) []Outgoing {
+func (o *Owner) Tick(now structs.Instant, name string, members []string) []Message {
 	owned, found := o.services[name]
 	if !found {
 		return nil
@@ -245,8 +245,8 @@
 
 // outgoing lists the members that are due a message: those that have not
 // acknowledged, and all of them at the renewal of the leases.
-func (f *ownedFloor) outgoing(now structs.Instant, members []string) []Outgoing {
-	var messages []Outgoing
+func (f *ownedFloor) outgoing(now structs.Instant, members []string) []Message {
+	var messages []Message
 	for _, member := range members {
 		sentAt, sent := f.sentAt[member]
 		interval := ResendInterval
@@ -257,7 +257,7 @@
 			continue
 		}
 		f.sentAt[member] = now
-		messages = append(messages, Outgoing{To: member, Set: f.current})
+		messages = append(messages, Message{To: member, Update: f.current})
 	}
 	for member := range f.acked {
 		if !slices.Contains(members, member) {
--- a/coordination/shedding/shedding_test.go
+++ b/coordination/shedding/shedding_test.go
@@ -15,7 +15,7 @@
 
 // message is a Set on its way to a member, or an Ack on its way back.
 type message struct {
-	set *Outgoing
+	set *Message
 	ack *Ack
 }
 
@@ -69,7 +69,7 @@
 		owner.Ack(*m.ack)
 		return nil
 	}
-	ack := members[m.set.To].Apply(now, m.set.Set)
+	ack := members[m.set.To].Apply(now, m.set.Update)
 	return &message{ack: &ack}
 }
 
@@ -97,7 +97,7 @@
 			if outgoing.To == "b" && step < 40 {
 				continue // b is not reached
 			}
-			owner.Ack(members[outgoing.To].Apply(now, outgoing.Set))
+			owner.Ack(members[outgoing.To].Apply(now, outgoing.Update))
 		}
 		if shed := members["a"].Floor(now, "s").ShedFrom; step < 40 && shed < lowest {
 			t.Fatalf("rank %d may be shed before b acknowledged", shed)
--- a/coordination/spread/holders.go
+++ b/coordination/spread/holders.go
@@ -19,14 +19,14 @@
 
 // Holders remembers the nodes that have the version in force from this node, to name
 // them to others while this node is busy.
-type Holders struct {
+type Sources struct {
 	mutex   sync.Mutex
 	version int64
 	nodes   []holder
 }
 
 // Note records that the sender of the request was sent all of the version.
-func (h *Holders) Note(version int64, request *Request) {
+func (h *Sources) Add(version int64, request *Request) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if version > h.version {
@@ -40,7 +40,7 @@
 
 // Name returns addresses of some nodes that have a version newer than the sender's,
 // those of its own zone first.
-func (h *Holders) Name(request *Request) []string {
+func (h *Sources) Suggest(request *Request) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.version <= request.Version {
--- a/coordination/spread/library.go
+++ b/coordination/spread/library.go
@@ -15,7 +15,7 @@
 	// Version is the sender's configuration in force; zero means none.
 	Version int64 `msgpack:"v"`
 	// Held names the parts that the sender has.
-	Held []catalog.Hash `msgpack:"h"`
+	HeldParts []catalog.Hash `msgpack:"h"`
 	// Address and Zone are the sender's: it will be named to others that ask.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
@@ -30,17 +30,17 @@
 	// Busy is true if the peer sends to as many others as it may. Nothing else is set
 	// then but Holders, addresses of nodes that have the version from this peer.
 	Busy    bool     `msgpack:"b"`
-	Holders []string `msgpack:"o"`
+	Sources []string `msgpack:"o"`
 }
 
 // entry is one part, as it is used and as it travels.
 type entry struct {
 	part   catalog.Part
-	packed *catalog.Packed
+	packed *catalog.CompressedPart
 }
 
 // Library holds the parts of the configuration in force and of the one being fetched.
-type Library struct {
+type PartStore struct {
 	mutex    sync.Mutex
 	entries  map[catalog.Hash]entry
 	inForce  catalog.Manifest
@@ -49,11 +49,11 @@
 }
 
 // NewLibrary returns a library without a version.
-func NewLibrary() *Library { return &Library{entries: map[catalog.Hash]entry{}} }
+func NewPartStore() *PartStore { return &PartStore{entries: map[catalog.Hash]entry{}} }
 
 // Publish makes the document, which was compiled, the version in force. Parts that are
 // here already are not compressed again.
-func (l *Library) Publish(document *catalog.Document) error {
+func (l *PartStore) Publish(document *catalog.Document) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	parts := catalog.Split(document)
@@ -67,7 +67,7 @@
 		if _, found := l.entries[hash]; found {
 			continue
 		}
-		packed, err := catalog.Pack(hash, content)
+		packed, err := catalog.Compress(hash, content)
 		if err != nil {
 			return err
 		}
@@ -80,7 +80,7 @@
 }
 
 // Adopt makes the version that Take returned the one in force.
-func (l *Library) Adopt(version int64) {
+func (l *PartStore) Activate(version int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.fetching.Version == version && !l.lacks(l.fetching) {
@@ -90,14 +90,14 @@
 
 // Abandon forgets which version is being fetched, as nobody may have all of it any more.
 // The parts that came stay until the next reply tells which of them are needed.
-func (l *Library) Abandon() {
+func (l *PartStore) CancelFetch() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.fetching = catalog.Manifest{}
 }
 
 // adopt takes the manifest into force unless a newer one is. The caller holds the mutex.
-func (l *Library) adopt(manifest catalog.Manifest) {
+func (l *PartStore) adopt(manifest catalog.Manifest) {
 	if manifest.Version <= l.inForce.Version {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // prune drops the parts that no version needs. The caller holds the mutex.
-func (l *Library) prune() {
+func (l *PartStore) prune() {
 	needed := make(map[catalog.Hash]bool, len(l.inForce.Parts))
 	for _, manifest := range []catalog.Manifest{l.inForce, l.fetching} {
 		for _, hash := range manifest.Parts {
@@ -124,7 +124,7 @@
 }
 
 // lacks returns whether some part of the manifest is not here. The caller holds the mutex.
-func (l *Library) lacks(manifest catalog.Manifest) bool {
+func (l *PartStore) lacks(manifest catalog.Manifest) bool {
 	for _, hash := range manifest.Parts {
 		if _, found := l.entries[hash]; !found {
 			return true
@@ -134,21 +134,21 @@
 }
 
 // Version returns the version in force; zero means none.
-func (l *Library) Version() int64 {
+func (l *PartStore) Version() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.inForce.Version
 }
 
 // Fetching returns the version that is being fetched; zero means none.
-func (l *Library) Fetching() int64 {
+func (l *PartStore) Fetching() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.fetching.Version
 }
 
 // Held returns the names of all parts that are here.
-func (l *Library) Held() []catalog.Hash {
+func (l *PartStore) HeldParts() []catalog.Hash {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	held := make([]catalog.Hash, 0, len(l.entries))
@@ -159,7 +159,7 @@
 }
 
 // Size returns the length of all parts that are here before compression, in bytes.
-func (l *Library) Size() int {
+func (l *PartStore) Size() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	size := 0
@@ -170,7 +170,7 @@
 }
 
 // Dropped returns how many parts came that no manifest names or that did not decode.
-func (l *Library) Dropped() int {
+func (l *PartStore) Dropped() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.dropped
@@ -178,7 +178,7 @@
 
 // Serve answers a request with parts of at most the budget in bytes, but at least one.
 // Whole is true if the sender has every part of the version once it has the reply.
-func (l *Library) Serve(request *Request, budget int) (reply *Reply, whole bool) {
+func (l *PartStore) Respond(request *Request, budget int) (reply *Reply, whole bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	reply = &Reply{}
@@ -186,8 +186,8 @@
 		return reply, false
 	}
 	reply.Manifest = l.inForce
-	held := make(map[catalog.Hash]bool, len(request.Held))
-	for _, hash := range request.Held {
+	held := make(map[catalog.Hash]bool, len(request.HeldParts))
+	for _, hash := range request.HeldParts {
 		held[hash] = true
 	}
 	length := 0
@@ -210,7 +210,7 @@
 // until then it returns nil. Progress is true if a part came that was missing. The
 // error is of kind BadFrame for a reply that no correct peer sends; the parts that fit
 // their names are kept all the same.
-func (l *Library) Take(reply *Reply) (document *catalog.Document, progress bool, err error) {
+func (l *PartStore) Merge(reply *Reply) (document *catalog.Document, progress bool, err error) {
 	if len(reply.Manifest.Parts) > maximumParts {
 		return nil, false, errkind.New(errkind.BadFrame, "a manifest of %d parts exceeds %d", len(reply.Manifest.Parts), maximumParts)
 	}
@@ -254,7 +254,7 @@
 func unpackAll(contents [][]byte) ([]entry, error) {
 	var received []entry
 	for _, content := range contents {
-		packed, part, err := catalog.Unpack(content)
+		packed, part, err := catalog.Decompress(content)
 		if err != nil {
 			return received, err
 		}
@@ -264,7 +264,7 @@
 }
 
 // join makes the document of a manifest that lacks nothing. The caller holds the mutex.
-func (l *Library) join(manifest catalog.Manifest) *catalog.Document {
+func (l *PartStore) join(manifest catalog.Manifest) *catalog.Document {
 	parts := make([]catalog.Part, 0, len(manifest.Parts))
 	for _, hash := range manifest.Parts {
 		parts = append(parts, l.entries[hash].part)
--- a/coordination/spread/senders.go
+++ b/coordination/spread/senders.go
@@ -19,19 +19,19 @@
 
 // Senders bounds the replies with parts of the configuration that are under way at
 // once, so that other messages of this node keep most of its link.
-type Senders chan struct{}
+type SendLimiter chan struct{}
 
 // NewSenders returns the bound for a link of so many megabits a second.
-func NewSenders(link float64) Senders {
+func NewSendLimiter(link float64) SendLimiter {
 	count := unknownSenders
 	if link > 0 {
 		count = min(max(int(link/senderShare), 1), mostSenders)
 	}
-	return make(Senders, count)
+	return make(SendLimiter, count)
 }
 
 // Enter waits a while for a turn and returns whether there was one.
-func (s Senders) Enter(ctx context.Context) bool {
+func (s SendLimiter) Acquire(ctx context.Context) bool {
 	select {
 	case s <- struct{}{}:
 		return true
@@ -48,4 +48,4 @@
 }
 
 // Leave ends a turn.
-func (s Senders) Leave() { <-s }
+func (s SendLimiter) Release() { <-s }
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -18,45 +18,45 @@
 	for i := range routes {
 		made.Routes = append(made.Routes, catalog.Route{
 			Name: fmt.Sprint("route-", i), Host: fmt.Sprint("host-", i*7919%routes, ".example"), PathPrefix: fmt.Sprint("/", i, "/"),
-			Kind: catalog.KindSafe, Backends: []catalog.Backend{{Service: "s", Weight: 1}}, Attempts: 1,
+			Kind: catalog.KindSafe, Backends: []catalog.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
 		})
 	}
 	return made
 }
 
-func published(g *gomega.WithT, version int64, routes int) *Library {
-	library := NewLibrary()
+func published(g *gomega.WithT, version int64, routes int) *PartStore {
+	library := NewPartStore()
 	g.Expect(library.Publish(document(version, routes))).To(gomega.Succeed())
 	return library
 }
 
 // fetch makes calls until the version is whole, and returns it with the number of calls
 // and the length of all that came.
-func fetch(g *gomega.WithT, from, to *Library) (made *catalog.Document, calls, length int) {
+func fetch(g *gomega.WithT, from, to *PartStore) (made *catalog.Document, calls, length int) {
 	for made == nil {
-		reply, _ := from.Serve(&Request{Version: to.Version(), Held: to.Held()}, testBudget)
+		reply, _ := from.Respond(&Request{Version: to.Version(), HeldParts: to.HeldParts()}, testBudget)
 		for _, content := range reply.Content {
 			length += len(content)
 		}
 		var err error
-		made, _, err = to.Take(reply)
+		made, _, err = to.Merge(reply)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		calls++
 		g.Expect(calls).To(gomega.BeNumerically("<", 100))
 	}
-	to.Adopt(made.Version)
+	to.Activate(made.Version)
 	return made, calls, length
 }
 
 func TestAVersionComesInBoundedRepliesAndProgressIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
-	from, to := published(g, 3, 2000), NewLibrary()
+	from, to := published(g, 3, 2000), NewPartStore()
 	made, calls, length := fetch(g, from, to)
 	g.Expect(made.Routes).To(gomega.Equal(document(3, 2000).Routes))
 	g.Expect(calls).To(gomega.BeNumerically(">", 3))
 	g.Expect(length).To(gomega.BeNumerically("<=", calls*testBudget))
 	g.Expect(to.Version()).To(gomega.Equal(int64(3)))
-	other := NewLibrary()
+	other := NewPartStore()
 	g.Expect(first(fetch(g, to, other)).Routes).To(gomega.HaveLen(2000), "who has it can send it on")
 }
 
@@ -64,13 +64,13 @@
 
 func TestOnlyWhatIsMissingIsSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	from, to := published(g, 3, 2000), NewLibrary()
+	from, to := published(g, 3, 2000), NewPartStore()
 	_, _, whole := fetch(g, from, to)
 	changed := document(4, 2000)
-	changed.Routes[1000].Attempts = 2
+	changed.Routes[1000].MaxAttempts = 2
 	g.Expect(from.Publish(changed)).To(gomega.Succeed())
 	made, calls, length := fetch(g, from, to)
-	g.Expect(made.Routes[1000].Attempts).To(gomega.Equal(2))
+	g.Expect(made.Routes[1000].MaxAttempts).To(gomega.Equal(2))
 	g.Expect(calls).To(gomega.Equal(1))
 	g.Expect(length).To(gomega.BeNumerically("<", whole/5))
 	g.Expect(from.Publish(document(5, 2000))).To(gomega.Succeed())
@@ -82,9 +82,9 @@
 
 func TestPartsOfNoVersionAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	from, to := published(g, 3, 1000), NewLibrary()
+	from, to := published(g, 3, 1000), NewPartStore()
 	fetch(g, from, to)
-	held := len(to.Held())
+	held := len(to.HeldParts())
 	for version := int64(4); version < 12; version++ {
 		changed := document(version, 1000)
 		for i := range changed.Routes {
@@ -93,35 +93,35 @@
 		g.Expect(from.Publish(changed)).To(gomega.Succeed())
 		fetch(g, from, to)
 	}
-	g.Expect(to.Held()).To(gomega.HaveLen(held))
-	g.Expect(from.Held()).To(gomega.HaveLen(held))
+	g.Expect(to.HeldParts()).To(gomega.HaveLen(held))
+	g.Expect(from.HeldParts()).To(gomega.HaveLen(held))
 }
 
 func TestRepliesThatNoCorrectPeerSends(t *testing.T) {
 	g := gomega.NewWithT(t)
-	from, to := published(g, 3, 1000), NewLibrary()
-	good, _ := from.Serve(&Request{}, testBudget)
+	from, to := published(g, 3, 1000), NewPartStore()
+	good, _ := from.Respond(&Request{}, testBudget)
 	cut := &Reply{Manifest: good.Manifest, Content: [][]byte{good.Content[0], good.Content[1][:20]}}
-	made, progress, err := to.Take(cut)
+	made, progress, err := to.Merge(cut)
 	g.Expect(err).To(gomega.MatchError(errkind.BadFrame))
 	g.Expect(made).To(gomega.BeNil())
 	g.Expect(progress).To(gomega.BeTrue(), "what was whole is kept")
-	g.Expect(to.Held()).To(gomega.HaveLen(1))
+	g.Expect(to.HeldParts()).To(gomega.HaveLen(1))
 
-	stranger, _ := published(g, 3, 77).Serve(&Request{}, testBudget)
-	made, progress, err = to.Take(&Reply{Manifest: good.Manifest, Content: stranger.Content[1:]})
+	stranger, _ := published(g, 3, 77).Respond(&Request{}, testBudget)
+	made, progress, err = to.Merge(&Reply{Manifest: good.Manifest, Content: stranger.Content[1:]})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(made).To(gomega.BeNil())
 	g.Expect(progress).To(gomega.BeFalse(), "no part has a name of the manifest")
 	g.Expect(to.Dropped()).To(gomega.Equal(1 + len(stranger.Content[1:])))
 
 	endless := &Reply{Manifest: catalog.Manifest{Version: 8, Parts: make([]catalog.Hash, maximumParts+1)}}
-	_, _, err = to.Take(endless)
+	_, _, err = to.Merge(endless)
 	g.Expect(err).To(gomega.MatchError(errkind.BadFrame))
 
 	fetch(g, from, to)
-	older, _ := published(g, 2, 10).Serve(&Request{}, testBudget)
-	made, _, err = to.Take(older)
+	older, _ := published(g, 2, 10).Respond(&Request{}, testBudget)
+	made, _, err = to.Merge(older)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(made).To(gomega.BeNil())
 	g.Expect(to.Version()).To(gomega.Equal(int64(3)), "a version never goes back")
@@ -129,16 +129,16 @@
 
 func TestABusyNodeNamesOthersOfTheAskersZoneFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	holders := &Holders{}
+	holders := &Sources{}
 	for i := range 6 {
-		holders.Note(7, &Request{Address: fmt.Sprint("east-", i), Zone: "east"})
+		holders.Add(7, &Request{Address: fmt.Sprint("east-", i), Zone: "east"})
 	}
-	holders.Note(7, &Request{Address: "west-0", Zone: "west"})
-	named := holders.Name(&Request{Address: "west-9", Zone: "west", Version: 6})
+	holders.Add(7, &Request{Address: "west-0", Zone: "west"})
+	named := holders.Suggest(&Request{Address: "west-9", Zone: "west", Version: 6})
 	g.Expect(named).To(gomega.HaveLen(namedHolders))
 	g.Expect(named[0]).To(gomega.Equal("west-0"))
-	g.Expect(holders.Name(&Request{Address: "west-0", Zone: "west", Version: 6})).NotTo(gomega.ContainElement("west-0"))
-	g.Expect(holders.Name(&Request{Version: 7})).To(gomega.BeEmpty(), "who has the version needs none")
-	holders.Note(8, &Request{Address: "east-1", Zone: "east"})
-	g.Expect(holders.Name(&Request{Version: 6})).To(gomega.Equal([]string{"east-1"}), "a newer version replaces the list")
+	g.Expect(holders.Suggest(&Request{Address: "west-0", Zone: "west", Version: 6})).NotTo(gomega.ContainElement("west-0"))
+	g.Expect(holders.Suggest(&Request{Version: 7})).To(gomega.BeEmpty(), "who has the version needs none")
+	holders.Add(8, &Request{Address: "east-1", Zone: "east"})
+	g.Expect(holders.Suggest(&Request{Version: 6})).To(gomega.Equal([]string{"east-1"}), "a newer version replaces the list")
 }
--- a/coordination/spread/versions_test.go
+++ b/coordination/spread/versions_test.go
@@ -49,7 +49,7 @@
 func TestPartsThatStayDoNotKeepOlderDocuments(t *testing.T) {
 	g := gomega.NewWithT(t)
 	calm := heapInUse()
-	library := NewLibrary()
+	library := NewPartStore()
 	g.Expect(library.Publish(keptDocument(1))).To(gomega.Succeed())
 	first := heapInUse() - calm
 	for version := int64(2); version <= keptVersions; version++ {
@@ -70,15 +70,15 @@
 	for i := range changed.Routes {
 		changed.Routes[i].Priority = 1
 	}
-	older, newer, to := published(g, 3, 2000), NewLibrary(), NewLibrary()
+	older, newer, to := published(g, 3, 2000), NewPartStore(), NewPartStore()
 	g.Expect(newer.Publish(changed)).To(gomega.Succeed())
 	var made *catalog.Document
 	calls := 0
 	for ; made == nil && calls < 100; calls++ {
-		from := []*Library{newer, older}[calls%2]
-		reply, _ := from.Serve(&Request{Version: to.Version(), Held: to.Held()}, testBudget)
+		from := []*PartStore{newer, older}[calls%2]
+		reply, _ := from.Respond(&Request{Version: to.Version(), HeldParts: to.HeldParts()}, testBudget)
 		var err error
-		made, _, err = to.Take(reply)
+		made, _, err = to.Merge(reply)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
 	g.Expect(made).NotTo(gomega.BeNil(), "%d replies with parts", calls)
--- a/coordination/staleness/freshness.go
+++ b/coordination/staleness/freshness.go
@@ -10,7 +10,7 @@
 }
 
 // Note records that a read began at the instant.
-func (f *Freshness) Note(at structs.Instant) {
+func (f *Freshness) Observe(at structs.Instant) {
 	if !f.known || at > f.at {
 		f.at, f.known = at, true
 	}
--- a/coordination/staleness/lag.go
+++ b/coordination/staleness/lag.go
@@ -12,12 +12,12 @@
 const (
 	// LeastPause is the time from the end of one pull to the next, and longestPause bounds that time,
 	// which doubles with each pull that fails.
-	LeastPause   = 200 * time.Millisecond
-	longestPause = 1600 * time.Millisecond
+	MinPullBackoff = 200 * time.Millisecond
+	longestPause   = 1600 * time.Millisecond
 )
 
 // Lag is what peers are known to know more of one kind of news.
-type Lag[N ~int64] struct {
+type PullTracker[N ~int64] struct {
 	// told is the newest that a peer told of, and since when the first of it was heard of.
 	told  N
 	since structs.Instant
@@ -30,7 +30,7 @@
 
 // Due enters what a peer told and returns whether that peer is to be asked now, given
 // what this node has itself, and how long it waits for its own watch to tell it.
-func (l *Lag[N]) Due(now structs.Instant, own, told N, patience time.Duration) bool {
+func (l *PullTracker[N]) ShouldPull(now structs.Instant, own, told N, patience time.Duration) bool {
 	if own >= l.told {
 		l.told, l.since = own, now
 	}
@@ -46,15 +46,15 @@
 }
 
 // Ended records the end of a pull.
-func (l *Lag[N]) Ended(now structs.Instant, succeeded bool) {
+func (l *PullTracker[N]) PullDone(now structs.Instant, succeeded bool) {
 	l.pulling = false
 	if succeeded {
-		l.pause = LeastPause
+		l.pause = MinPullBackoff
 	} else {
-		l.pause = min(max(2*l.pause, LeastPause), longestPause)
+		l.pause = min(max(2*l.pause, MinPullBackoff), longestPause)
 	}
 	l.next = now + l.pause
 }
 
 // IsPulling returns whether a peer is being asked.
-func (l *Lag[N]) IsPulling() bool { return l.pulling }
+func (l *PullTracker[N]) IsPulling() bool { return l.pulling }
--- a/coordination/staleness/versions.go
+++ b/coordination/staleness/versions.go
@@ -13,7 +13,7 @@
 
 // Versions remembers which versions newer than its own a node has heard of from
 // peers that still live, and when. It is safe for concurrent use.
-type Versions struct {
+type NewerVersions struct {
 	newest   atomic.Int64
 	mutex    sync.Mutex
 	at       map[int64]structs.Instant
@@ -22,7 +22,7 @@
 
 // Heard records that a peer has the version. It returns false if this node has it, or
 // can't take it into force.
-func (v *Versions) Heard(now structs.Instant, own, version int64) bool {
+func (v *NewerVersions) Observe(now structs.Instant, own, version int64) bool {
 	if version <= own {
 		return false
 	}
@@ -48,7 +48,7 @@
 
 // Limit forgets the versions above the newest that a living peer has: nobody can have
 // them before the store tells them, and the store may be away.
-func (v *Versions) Limit(newest int64) {
+func (v *NewerVersions) DropAbove(newest int64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.newest.Load() <= newest {
@@ -64,7 +64,7 @@
 
 // Reject records that this node can't take the version into force and goes by the last
 // good one.
-func (v *Versions) Reject(version int64) {
+func (v *NewerVersions) Reject(version int64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.rejected = max(v.rejected, version)
@@ -79,11 +79,11 @@
 }
 
 // Exists returns whether a version newer than the node's own was heard of.
-func (v *Versions) Exists(own int64) bool { return v.newest.Load() > own }
+func (v *NewerVersions) HasNewer(own int64) bool { return v.newest.Load() > own }
 
 // BehindFor returns for how long a version newer than the node's own has been known.
-func (v *Versions) BehindFor(now structs.Instant, own int64) time.Duration {
-	if !v.Exists(own) {
+func (v *NewerVersions) BehindFor(now structs.Instant, own int64) time.Duration {
+	if !v.HasNewer(own) {
 		return 0
 	}
 	v.mutex.Lock()
--- a/coordination/zones/zones.go
+++ b/coordination/zones/zones.go
@@ -34,21 +34,21 @@
 }
 
 // Book is a node's view of the other zones. It is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	zones map[string]*state
 }
 
 // NewBook returns a book that knows no zone.
-func NewBook() *Book { return &Book{zones: map[string]*state{}} }
+func NewTracker() *Tracker { return &Tracker{zones: map[string]*state{}} }
 
 // Heard records a heartbeat from the zone.
-func (b *Book) Heard(now structs.Instant, beat liveness.Beat) {
+func (b *Tracker) Observe(now structs.Instant, beat liveness.Heartbeat) {
 	held, found := b.zones[beat.Zone]
 	if !found {
 		held = &state{answer: now}
 		b.zones[beat.Zone] = held
 	}
-	interval := time.Duration(beat.Interval) * time.Millisecond
+	interval := time.Duration(beat.IntervalMS) * time.Millisecond
 	// Of a large zone only its delegates beat, and while the fleet started they beat more often: taken
 	// for its interval for ever, that would have every node try the zone all the time.
 	isOver := beat.ZoneLive > 0 && now-held.intervalAt > beats*held.interval
@@ -59,14 +59,14 @@
 }
 
 // Answered records that a replica of the zone answered or accepted a connection.
-func (b *Book) Answered(now structs.Instant, zone string) {
+func (b *Tracker) RecordSuccess(now structs.Instant, zone string) {
 	if held, found := b.zones[zone]; found {
 		held.answer, held.cut = now, false
 	}
 }
 
 // Failed records that no connection to a replica of the zone came up.
-func (b *Book) Failed(now structs.Instant, zone string) {
+func (b *Tracker) RecordFailure(now structs.Instant, zone string) {
 	if held, found := b.zones[zone]; found {
 		held.cut = held.cut || held.silent(now)
 	}
@@ -79,7 +79,7 @@
 }
 
 // Suspects returns the zones that nothing comes from.
-func (b *Book) Suspects(now structs.Instant) []string {
+func (b *Tracker) SilentZones(now structs.Instant) []string {
 	var names []string
 	for name, held := range b.zones {
 		if held.silent(now) {
@@ -90,7 +90,7 @@
 }
 
 // AnyCut returns whether some zone can't be reached.
-func (b *Book) AnyCut() bool {
+func (b *Tracker) AnyUnreachable() bool {
 	for _, held := range b.zones {
 		if held.cut {
 			return true
@@ -100,7 +100,7 @@
 }
 
 // IsCut returns whether the zone can't be reached.
-func (b *Book) IsCut(zone string) bool {
+func (b *Tracker) IsUnreachable(zone string) bool {
 	held, found := b.zones[zone]
 	return found && held.cut
 }
