--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -88,7 +88,7 @@
 		return c.broken(given.Replica.ID, err), admission.Observation{Failed: true, Left: c.ctx.Err() != nil}
 	}
 	node.noteZone(given.Replica.Zone, true)
-	node.begun(given, c.reportedLoad(answer), node.heed(answer, given.Replica, sentAt))
+	node.reportFirstEvent(given, c.reportedLoad(answer), node.applyPushback(answer, given.Replica, sentAt))
 	outcome, seen := c.relay(answer, given.Replica, sent)
 	switch outcome {
 	case resultAnswered, resultRejected, resultFailed:
@@ -112,7 +112,7 @@
 		c.refusedConnects++
 		c.broke = breakRefused
 		c.node.mutex.Lock()
-		c.node.explainBreaks(replica)
+		c.node.resolveDisconnects(replica)
 		c.node.mutex.Unlock()
 	}
 	c.node.counter("breaks." + string(c.broke)).Inc(1)
@@ -120,7 +120,7 @@
 
 // reportedLoad returns the number of requests that the replica said to have, or -1.
 func (c *call) reportedLoad(answer *replicahttp.Answer) int {
-	parts := splitList(answer.Header.Get(c.node.depend.Headers.Load))
+	parts := splitList(answer.Header.Get(c.node.deps.Headers.Load))
 	if len(parts) < 2 {
 		return -1
 	}
@@ -131,7 +131,7 @@
 func (c *call) stride() int {
 	current := c.node.catalog.Load()
 	if service := current.Service(c.service); service != nil && service.Engine != nil {
-		return service.Engine.Stride
+		return service.Engine.TokensPerEvent
 	}
 	return 1
 }
@@ -142,8 +142,8 @@
 
 // sendContext bounds a send so that a silent replica leaves time for another.
 func (c *call) sendContext() (context.Context, context.CancelFunc) {
-	if c.route.Kind == catalogSafe && c.sends+1 < c.route.Attempts {
-		return context.WithTimeout(c.ctx, time.Duration(float64(c.left())*firstTryShare))
+	if c.route.Kind == catalogSafe && c.sends+1 < c.route.MaxAttempts {
+		return context.WithTimeout(c.ctx, time.Duration(float64(c.remaining())*firstTryShare))
 	}
 	return context.WithCancel(c.ctx)
 }
@@ -156,34 +156,34 @@
 	c.broke = causeOf(err)
 	c.node.counter("breaks." + string(c.broke)).Inc(1)
 	c.node.mutex.Lock()
-	c.node.health.Broken(c.node.now(), id)
+	c.node.health.RecordBroken(c.node.now(), id)
 	c.node.mutex.Unlock()
 	return resultBroken
 }
 
 func (n *Node) noteUnreachable(id string) {
 	n.mutex.Lock()
-	n.health.Unreachable(n.now(), id)
+	n.health.RecordUnreachable(n.now(), id)
 	n.mutex.Unlock()
 	n.pool.Forget(id)
 }
 
 func (n *Node) noteAnswered(id string) {
 	n.mutex.Lock()
-	n.health.Answered(id)
+	n.health.RecordSuccess(id)
 	n.mutex.Unlock()
 }
 
 // replicaRequest is the caller's request as the replica gets it.
 func (c *call) replicaRequest(replica replicas.Replica) *replicahttp.Request {
-	names := &c.node.depend.Headers
+	names := &c.node.deps.Headers
 	header, dropped := forReplica(c.request.Header, names)
 	c.node.counter("headers.dropped").Inc(int64(dropped))
 	if c.tenant != nil {
 		header.Set(names.Tenant, c.tenant.Name)
 	}
 	header.Set(names.ExpectReplica, replica.ID)
-	header.Set(names.Deadline, strconv.FormatInt(max(c.left().Milliseconds(), 1), 10))
+	header.Set(names.Deadline, strconv.FormatInt(max(c.remaining().Milliseconds(), 1), 10))
 	if c.lastEvent != "" {
 		header.Set(names.LastEvent, c.lastEvent)
 	}
@@ -197,7 +197,7 @@
 
 // headTimeout bounds the wait for an answer that can be had from another replica.
 func (c *call) headTimeout() time.Duration {
-	if c.route.Resumable && c.sends+1 < c.route.Attempts {
+	if c.route.Resumable && c.sends+1 < c.route.MaxAttempts {
 		return stallFirst
 	}
 	return 0
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -18,8 +18,8 @@
 // Times of heartbeats. The interval grows with the number of nodes, so that
 // what one node spends on them does not.
 const (
-	beatInterval = 100 * time.Millisecond
-	beatsAtOnce  = 9
+	heartbeatInterval = 100 * time.Millisecond
+	beatsAtOnce       = 9
 	// senior is how many of the nodes that may schedule beat often; these are the
 	// first in rendezvous order, and seniorInterval is the longest between two of
 	// their heartbeats.
@@ -45,7 +45,7 @@
 
 // interval returns the time between heartbeats among so many nodes.
 func interval(members int) time.Duration {
-	return beatInterval * time.Duration(max(1, (members+beatsAtOnce-1)/beatsAtOnce))
+	return heartbeatInterval * time.Duration(max(1, (members+beatsAtOnce-1)/beatsAtOnce))
 }
 
 // interval returns the time to this node's next heartbeat. The caller holds the mutex.
@@ -54,30 +54,30 @@
 	switch {
 	case !n.isLarge:
 		wait = interval(n.members.Known())
-	case !n.isOrdinary && n.isUnsettled(n.now()):
+	case !n.isNonDelegate && n.isUnsettled(n.now()):
 		wait = unsettledPause
-	case !n.isOrdinary:
+	case !n.isNonDelegate:
 		wait = delegateInterval
 	}
-	if n.senior {
+	if n.isCandidate {
 		wait = min(wait, seniorInterval)
 	}
 	return wait
 }
 
-func (n *Node) beatLoop() {
-	n.sendBeats()
+func (n *Node) heartbeatLoop() {
+	n.sendHeartbeats()
 	last := n.now()
 	for {
 		n.mutex.Lock()
 		wait := n.interval()
 		n.mutex.Unlock()
-		if !n.pause(wait) {
+		if !n.sleep(wait) {
 			return
 		}
-		last = n.noticePause(last, wait)
-		n.sendBeats()
-		n.chooseScheduler()
+		last = n.detectSuspension(last, wait)
+		n.sendHeartbeats()
+		n.selectScheduler()
 	}
 }
 
@@ -87,16 +87,16 @@
 
 // noticePause handles a pause of the process since a loop's last round, which was to be so
 // long ago, unless another loop has done so, and returns the time of this round.
-func (n *Node) noticePause(last structs.Instant, wait time.Duration) structs.Instant {
+func (n *Node) detectSuspension(last structs.Instant, wait time.Duration) structs.Instant {
 	now := n.now()
 	n.mutex.Lock()
-	isNew := stoodStill(now-last, wait) && n.thawedAt <= last
+	isNew := stoodStill(now-last, wait) && n.resumedAt <= last
 	if isNew {
-		n.thawedAt = now
+		n.resumedAt = now
 	}
 	n.mutex.Unlock()
 	if isNew {
-		n.thawed(now - last)
+		n.resume(now - last)
 	}
 	return n.now()
 }
@@ -104,24 +104,24 @@
 // thawed handles that the process stood still or the machine was suspended: what it scheduled
 // before is void, requests whose time went by meanwhile end, and connections to replicas that
 // rested may be gone without a word.
-func (n *Node) thawed(pause time.Duration) {
+func (n *Node) resume(pause time.Duration) {
 	overdue := n.calls.endOverdue(n.now())
 	n.pool.CloseRested(0)
 	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", Age: pause.Milliseconds(), Count: overdue})
 	n.mutex.Lock()
 	all, policies := n.table.All(), n.policies
 	n.mutex.Unlock()
-	term := n.desk.reset(all, policies)
+	term := n.scheduling.reset(all, policies)
 	n.mutex.Lock()
 	n.term = term
-	n.storeBadAt, n.steady = n.now(), false
+	n.storeFailedAt, n.watchHealthy = n.now(), false
 	n.mutex.Unlock()
 }
 
 // sendBeats sends a heartbeat to every node that this one beats to, by relays where these save
 // much, and to the seeds while few nodes are known. Suspected nodes get each one, which asks for an
 // answer.
-func (n *Node) sendBeats() {
+func (n *Node) sendHeartbeats() {
 	n.mutex.Lock()
 	now := n.now()
 	beat := n.beat(now)
@@ -132,36 +132,36 @@
 			suspected = append(suspected, member.Address)
 		}
 	}
-	asksNames, isStarting := n.isAskDue(now), !n.isLarge && now < settleTime
+	asksNames, isStarting := n.isAskDue(now), !n.isLarge && now < readinessDelay
 	n.mutex.Unlock()
-	if len(routes.Direct)+len(routes.PassOn) < len(n.settings.Load().Seeds) {
+	if len(routes.Direct)+len(routes.Relays) < len(n.settings.Load().Seeds) {
 		routes.Direct = append(routes.Direct, n.seedAddresses()...)
 	}
 	n.sendRoutes(beat, routes)
-	beat.PassOn, beat.Asks = false, true
+	beat.RelayRequested, beat.WantsReply = false, true
 	n.sendBeat(beat, suspected)
 	switch {
 	case asksNames:
-		n.askForNames(beat, append(routes.Direct, routes.PassOn...))
+		n.askForNames(beat, append(routes.Direct, routes.Relays...))
 	case isStarting:
 		n.askSeed(beat)
 	}
 }
 
 // sendRoutes sends a heartbeat directly and by relays.
-func (n *Node) sendRoutes(beat liveness.Beat, routes liveness.Routes) {
+func (n *Node) sendRoutes(beat liveness.Heartbeat, routes liveness.Recipients) {
 	n.sendBeat(beat, routes.Direct)
-	beat.PassOn = true
-	n.sendBeat(beat, routes.PassOn)
+	beat.RelayRequested = true
+	n.sendBeat(beat, routes.Relays)
 }
 
 // beatRoutes returns whom this node beats to. The caller holds the mutex.
-func (n *Node) beatRoutes(now structs.Instant) liveness.Routes {
+func (n *Node) beatRoutes(now structs.Instant) liveness.Recipients {
 	live := n.members.Live(now)
-	if n.isOrdinary {
-		return liveness.Routes{Direct: n.superiors(live)}
+	if n.isNonDelegate {
+		return liveness.Recipients{Direct: n.superiors(live)}
 	}
-	routes := n.relays.Routes(now, n.settings.Load().Zone, live, n.isLarge)
+	routes := n.relays.Recipients(now, n.settings.Load().Zone, live, n.isLarge)
 	routes.Direct = append(routes.Direct, n.silentMembers(now)...)
 	return routes
 }
@@ -183,9 +183,9 @@
 func (n *Node) silentMembers(now structs.Instant) []string {
 	var addresses []string
 	for _, member := range n.members.All(now) {
-		isWanted := !n.isLarge || !member.Ordinary || member.Zone == n.settings.Load().Zone
+		isWanted := !n.isLarge || !member.NonDelegate || member.Zone == n.settings.Load().Zone
 		isDue := n.isLarge && n.isUnsettled(now) || n.sequence.Add(1)%silentShare == 0
-		if isWanted && !member.Suspected() && member.Silence(now) >= member.Patience() && isDue {
+		if isWanted && !member.Suspected() && member.SinceHeartbeat(now) >= member.FailureTimeout() && isDue {
 			addresses = append(addresses, member.Address)
 		}
 	}
@@ -197,7 +197,7 @@
 }
 
 // sendBeat sends one heartbeat to the addresses.
-func (n *Node) sendBeat(beat liveness.Beat, addresses []string) {
+func (n *Node) sendBeat(beat liveness.Heartbeat, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
@@ -213,7 +213,7 @@
 // the next.
 func (n *Node) sendAll(content []byte, addresses []string) {
 	for _, address := range addresses {
-		_ = n.beats.Send(address, content)
+		_ = n.heartbeatConn.Send(address, content)
 	}
 }
 
@@ -223,19 +223,19 @@
 // encodeBeat encodes the heartbeat. One that is too long leaves out first the
 // requests that the scheduling node placed itself, then the tenants' buckets and
 // the failing replicas: that the node lives matters most.
-func encodeBeat(beat liveness.Beat) ([]byte, error) {
+func encodeBeat(beat liveness.Heartbeat) ([]byte, error) {
 	content, err := msgpack.Marshal(beat)
 	if err != nil || len(content) <= datagramBudget {
 		return content, err
 	}
-	foreign := map[string]liveness.Held{}
-	for replica, count := range beat.Held {
-		if count.Foreign > 0 {
+	foreign := map[string]liveness.InFlightCount{}
+	for replica, count := range beat.InFlight {
+		if count.External > 0 {
 			foreign[replica] = count
 		}
 	}
-	beat.Held = foreign
-	for _, shorten := range []func(){func() { beat.Levels, beat.Ledger = nil, nil }, func() { beat.Failing = nil }, func() { beat.Held = nil }, func() {}} {
+	beat.InFlight = foreign
+	for _, shorten := range []func(){func() { beat.BucketLevels, beat.Usage = nil, nil }, func() { beat.FailingReplicas = nil }, func() { beat.InFlight = nil }, func() {}} {
 		if content, err = msgpack.Marshal(beat); err != nil || len(content) <= datagramBudget {
 			return content, err
 		}
@@ -265,36 +265,36 @@
 }
 
 // beat returns this node's heartbeat. The caller holds the mutex.
-func (n *Node) beat(now structs.Instant) liveness.Beat {
+func (n *Node) beat(now structs.Instant) liveness.Heartbeat {
 	settings := n.settings.Load()
-	beat := liveness.Beat{
-		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, Link: settings.Link, Interval: n.interval().Milliseconds(), Incarnation: n.depend.Incarnation,
-		Term: n.term, Follows: n.scheduler, Known: n.namesKnown(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), Storeless: n.storeDown, Latest: n.latest(), Unread: n.fresh.Age(now), ConfigurationUnread: n.freshConfiguration.Age(now), Steady: n.steadyFor(now).Milliseconds(), Failing: n.health.Failing(now),
-		Held: map[string]liveness.Held{}, Relays: true, Rollouts: n.rolloutViews(),
+	beat := liveness.Heartbeat{
+		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.interval().Milliseconds(), Incarnation: n.deps.Incarnation,
+		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.namesKnown(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.storeDown, LatestPosition: n.latest(), ReplicasAgeMS: n.fresh.Age(now), ConfigurationAgeMS: n.freshConfiguration.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
+		InFlight: map[string]liveness.InFlightCount{}, CanRelay: true, Rollouts: n.rolloutViews(),
 	}
 	beat.Version, beat.Evacuations = n.version(), n.evacuations.All()
-	n.tellEra(now, &beat)
-	if mark := n.desk.contentsMark(); mark.Weight > 0 {
-		beat.Contents = &liveness.ContentsMark{Weight: mark.Weight, Digest: mark.Digest}
+	n.addEra(now, &beat)
+	if mark := n.scheduling.contentsMark(); mark.ChangeCount > 0 {
+		beat.Poison = &liveness.PoisonSummary{Weight: mark.ChangeCount, Digest: mark.Digest}
 	}
-	if n.scheduler == settings.Name || now-n.ledAt < levelsToldFor {
-		beat.Levels, beat.Ledger = n.desk.levels(), n.desk.ledgerView()
+	if n.scheduler == settings.Name || now-n.lastActiveAt < levelsToldFor {
+		beat.BucketLevels, beat.Usage = n.scheduling.levels(), n.scheduling.ledgerView()
 	}
 	term := n.schedulerTerm()
-	for _, place := range n.held {
-		count := beat.Held[place.replica]
+	for _, place := range n.assignments {
+		count := beat.InFlight[place.replica]
 		count.Total++
 		if place.scheduler != n.scheduler || place.term != term {
-			count.Foreign++
+			count.External++
 		}
-		beat.Held[place.replica] = count
+		beat.InFlight[place.replica] = count
 	}
-	beat.Ordinary, beat.Fleet = n.isOrdinary, n.size.Known
+	beat.NonDelegate, beat.FleetSize = n.isNonDelegate, n.size.Known
 	if n.isLarge {
 		beat.ZoneLive, beat.ZoneKnown = n.zone.Live, n.zone.Known
 		return beat
 	}
-	beat.Peers = n.members.Some(int(n.sequence.Add(1)%math.MaxInt32), toldPeers)
+	beat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), toldPeers)
 	return beat
 }
 
@@ -310,17 +310,17 @@
 	return 0
 }
 
-func (n *Node) receiveBeats() {
+func (n *Node) receiveHeartbeats() {
 	buffer := make([]byte, maximumDatagram)
 	for {
-		size, err := n.beats.Receive(buffer)
+		size, err := n.heartbeatConn.Receive(buffer)
 		if err != nil {
 			if n.ctx.Err() != nil {
 				return
 			}
 			continue
 		}
-		var beat liveness.Beat
+		var beat liveness.Heartbeat
 		if err := msgpack.Unmarshal(buffer[:size], &beat); err != nil {
 			n.counter("beats.malformed").Inc(1)
 			continue
@@ -330,16 +330,16 @@
 }
 
 // heard applies the heartbeat of another node.
-func (n *Node) heard(beat liveness.Beat) {
+func (n *Node) heard(beat liveness.Heartbeat) {
 	n.heardEvacuations(&beat)
 	n.mutex.Lock()
 	now := n.now()
-	n.heardAt = now
+	n.lastContactAt = now
 	before, found := n.members.Get(beat.Name)
-	rankNews := found && (before.Storeless != beat.Storeless || before.Slow != beat.Slow || before.Ordinary != beat.Ordinary)
-	news := n.members.Heard(now, beat)
+	rankNews := found && (before.StoreUnreachable != beat.StoreUnreachable || before.Slow != beat.Slow || before.NonDelegate != beat.NonDelegate)
+	news := n.members.Observe(now, beat)
 	n.noteFleet(&beat)
-	n.zones.Heard(now, beat)
+	n.zones.Observe(now, beat)
 	n.noteTelling(now, beat)
 	var newcomers []string
 	if n.isLarge {
@@ -348,22 +348,22 @@
 		newcomers = n.learn(now, beat.Peers)
 	}
 	newcomer := n.isNewcomer(beat)
-	greets := news && !(n.isOrdinary && beat.Passed)
-	chooses := news && (!n.isLarge || !beat.Ordinary) || rankNews
+	greets := news && !(n.isNonDelegate && beat.Relayed)
+	chooses := news && (!n.isLarge || !beat.NonDelegate) || rankNews
 	handed := n.noteLedger(now, beat)
 	follows := n.noteLevels(now, beat)
-	levelsUntil := n.levelsUntil
-	asksAll := n.heardEra(beat)
-	behindReplicas, behindConfiguration := n.behindReplicas(beat), n.behindConfiguration(beat)
+	levelsUntil := n.bucketLevelsUntil
+	asksAll := n.mergePeerEra(beat)
+	behindReplicas, behindConfiguration := n.replicaPullDue(beat), n.configurationPullDue(beat)
 	behindContents := n.behindContents(now, beat)
-	n.noteFreshness(now, beat)
+	n.recordFreshness(now, beat)
 	leads := n.scheduler == n.settings.Load().Name
 	n.mutex.Unlock()
 	if leads && len(handed.Amounts) > 0 {
-		n.desk.charge(handed)
+		n.scheduling.charge(handed)
 	}
-	if leads && beat.Levels != nil || follows {
-		n.takeLevels(leads, levelsUntil, beat.Levels)
+	if leads && beat.BucketLevels != nil || follows {
+		n.takeLevels(leads, levelsUntil, beat.BucketLevels)
 	}
 	if greets {
 		n.introduce(beat.Address, beat.Zone, newcomer)
@@ -378,23 +378,23 @@
 		n.chooseSoon()
 	}
 	counts := map[string]int{}
-	for replica, held := range beat.Held {
+	for replica, held := range beat.InFlight {
 		count := held.Total
 		if leads {
-			count = held.Foreign
+			count = held.External
 		}
 		if count > 0 {
 			counts[replica] = count
 		}
 	}
-	n.desk.update(func(scheduler *admission.Scheduler) {
-		scheduler.SetForeign(processName(beat.Name, beat.Incarnation), counts)
+	n.scheduling.update(func(scheduler *admission.Scheduler) {
+		scheduler.SetExternalInFlight(processName(beat.Name, beat.Incarnation), counts)
 	})
 	if asksAll {
 		go n.pullAll(beat.Address)
 	}
 	if behindReplicas {
-		go n.pullNews(beat.Address)
+		go n.pullUpdates(beat.Address)
 	}
 	if behindContents {
 		go n.pullContents(beat.Address)
--- a/entry/beats_test.go
+++ b/entry/beats_test.go
@@ -14,23 +14,23 @@
 // nobody heard it.
 func TestHeartbeatsStayWithinADatagram(t *testing.T) {
 	g := gomega.NewWithT(t)
-	beat := liveness.Beat{Name: "n", Address: "10.0.0.1:7600", Levels: map[string]float64{}, Held: map[string]liveness.Held{"foreign": {Total: 2, Foreign: 1}}}
+	beat := liveness.Heartbeat{Name: "n", Address: "10.0.0.1:7600", BucketLevels: map[string]float64{}, InFlight: map[string]liveness.InFlightCount{"foreign": {Total: 2, External: 1}}}
 	for i := range 100 {
-		beat.Held[fmt.Sprintf("i-%010d", i)] = liveness.Held{Total: 1}
+		beat.InFlight[fmt.Sprintf("i-%010d", i)] = liveness.InFlightCount{Total: 1}
 	}
 	for i := range 20 {
-		beat.Levels[fmt.Sprintf("tenant%d", i)] = 12345.6
+		beat.BucketLevels[fmt.Sprintf("tenant%d", i)] = 12345.6
 	}
 	content, err := encodeBeat(beat)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(len(content)).To(gomega.BeNumerically("<=", datagramBudget))
-	var heard liveness.Beat
+	var heard liveness.Heartbeat
 	g.Expect(msgpack.Unmarshal(content, &heard)).To(gomega.Succeed())
-	g.Expect(heard.Held).To(gomega.Equal(map[string]liveness.Held{"foreign": {Total: 2, Foreign: 1}}))
-	g.Expect(heard.Levels).To(gomega.HaveLen(20))
+	g.Expect(heard.InFlight).To(gomega.Equal(map[string]liveness.InFlightCount{"foreign": {Total: 2, External: 1}}))
+	g.Expect(heard.BucketLevels).To(gomega.HaveLen(20))
 	for i := range 200 {
-		beat.Held[fmt.Sprintf("i-%010d", i)] = liveness.Held{Total: 1, Foreign: 1}
-		beat.Failing = append(beat.Failing, fmt.Sprintf("i-%010d", i))
+		beat.InFlight[fmt.Sprintf("i-%010d", i)] = liveness.InFlightCount{Total: 1, External: 1}
+		beat.FailingReplicas = append(beat.FailingReplicas, fmt.Sprintf("i-%010d", i))
 	}
 	content, err = encodeBeat(beat)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/entry/behind.go
+++ b/entry/behind.go
@@ -26,5 +26,5 @@
 		newest = max(newest, member.Version)
 	}
 	n.mutex.Unlock()
-	n.newer.Limit(newest)
+	n.newer.DropAbove(newest)
 }
--- a/entry/callset.go
+++ b/entry/callset.go
@@ -12,17 +12,17 @@
 func (c *call) age() time.Duration { return c.node.now() - c.arrived }
 
 // left returns what is left of the caller's or the route's time, and zero once it is over.
-func (c *call) left() time.Duration { return max(c.deadline-c.node.now(), 0) }
+func (c *call) remaining() time.Duration { return max(c.deadline-c.node.now(), 0) }
 
 // callSet has the requests of callers in progress. Their contexts end by timers, which stand
 // still while the machine is suspended; the callers' time goes on.
-type callSet struct {
+type activeCalls struct {
 	mutex sync.Mutex
 	calls map[*call]context.CancelFunc
 }
 
 // add enters the request, and returns what takes it out.
-func (s *callSet) add(c *call, cancel context.CancelFunc) func() {
+func (s *activeCalls) add(c *call, cancel context.CancelFunc) func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.calls == nil {
@@ -37,7 +37,7 @@
 }
 
 // endOverdue ends the requests whose time is over, and returns how many these are.
-func (s *callSet) endOverdue(now structs.Instant) int {
+func (s *activeCalls) endOverdue(now structs.Instant) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	ended := 0
--- a/entry/choice.go
+++ b/entry/choice.go
@@ -14,7 +14,7 @@
 // hearingTime is how long a process that starts takes itself to be in touch with all nodes,
 // which tell of themselves once in that time. With the share of those that it has heard yet,
 // buckets that it adopted would be cut to a part, and tenants below their quotas refused.
-const hearingTime = beatInterval
+const hearingTime = heartbeatInterval
 
 // chooseGather is the least time between two choices that follow from news of nodes in a large
 // fleet. A choice looks at all nodes that are heard of, and when many nodes start at once each of
@@ -27,18 +27,18 @@
 	scheduler string
 	// isLarge is true in a large fleet, and isOrdinary if this node is none of its delegates
 	// there.
-	isLarge, isOrdinary bool
+	isLarge, isNonDelegate bool
 	// size is that of the fleet as far as this node and its delegates hear, and fleet also what
 	// others take its size to be. zone is the size of this node's zone by its own ears.
 	size, zone liveness.Size
 	fleet      int
 	// rank is this node's place among the live nodes that reach the store, and senior is
 	// true if it is one of the first that may schedule.
-	rank   int
-	senior bool
+	watchRank   int
+	isCandidate bool
 	// order is this node's place among all live nodes in the order in which they call the
 	// store.
-	order int
+	storeCallRank int
 }
 
 // share is the part of the quotas and repeats that the nodes in touch may hand out.
@@ -53,7 +53,7 @@
 	}
 	count := 1
 	for _, member := range live {
-		if member.Follows == name && member.Silence(now) < admission.FollowTime {
+		if member.Scheduler == name && member.SinceHeartbeat(now) < admission.FollowTime {
 			count++
 		}
 	}
@@ -63,20 +63,20 @@
 // chooseSoon has the scheduling node chosen by news of nodes, of which many may come at once.
 func (n *Node) chooseSoon() {
 	n.mutex.Lock()
-	wait := n.chosenAt + chooseGather - n.now()
+	wait := n.selectedAt + chooseGather - n.now()
 	if !n.isLarge {
 		wait = 0
 	}
-	isDue, isAwaited := wait <= 0, n.isChoiceAwaited
-	n.isChoiceAwaited = isAwaited || !isDue
+	isDue, isAwaited := wait <= 0, n.isSelectionPending
+	n.isSelectionPending = isAwaited || !isDue
 	n.mutex.Unlock()
 	switch {
 	case isDue:
-		n.chooseScheduler()
+		n.selectScheduler()
 	case !isAwaited:
 		time.AfterFunc(wait, func() {
 			if n.ctx.Err() == nil {
-				n.chooseScheduler()
+				n.selectScheduler()
 			}
 		})
 	}
@@ -84,18 +84,18 @@
 
 // chooseScheduler takes the first live node in rendezvous order that is not slow for the
 // scheduling node.
-func (n *Node) chooseScheduler() {
+func (n *Node) selectScheduler() {
 	settings := n.settings.Load()
 	n.mutex.Lock()
 	now := n.now()
-	n.chosenAt, n.isChoiceAwaited = now, false
+	n.selectedAt, n.isSelectionPending = now, false
 	live := n.members.Live(now)
 	previous := n.role
 	n.takeRole(now, live)
 	moved := n.scheduler != previous.scheduler
-	levels, levelsAt, levelsUntil := n.levels, n.levelsAt, n.levelsUntil
+	levels, levelsAt, levelsUntil := n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil
 	if previous.scheduler == settings.Name {
-		n.ledAt = now
+		n.lastActiveAt = now
 	}
 	takesOver := moved && n.scheduler == settings.Name && levels != nil && now-levelsAt < levelsMemory
 	share := n.role.share()
@@ -108,67 +108,67 @@
 		levelsUntil = now
 	}
 	avoided := n.avoidedByMany(live)
-	for _, id := range n.cutReplicas() {
+	for _, id := range n.unreachableZoneReplicas() {
 		avoided[id] = true
 	}
 	chosen, followers := n.role, n.followers(now, live)
 	held := now - n.roleAt
-	if moved || chosen.isOrdinary != previous.isOrdinary {
+	if moved || chosen.isNonDelegate != previous.isNonDelegate {
 		n.roleAt = now
 	}
 	n.mutex.Unlock()
 	if takesOver {
-		n.desk.takeOver(levelsUntil, levels)
+		n.scheduling.takeOver(levelsUntil, levels)
 	}
 	if moved {
 		if previous.scheduler == settings.Name {
 			n.noteRepeats()
 		}
-		n.desk.lead(chosen.scheduler == settings.Name)
+		n.scheduling.lead(chosen.scheduler == settings.Name)
 		n.log.Write(eventlog.Event{Kind: "scheduler", Peer: chosen.scheduler, Outcome: "moved", Detail: "from " + previous.scheduler, Count: chosen.size.Live})
 	}
-	if chosen.isOrdinary != previous.isOrdinary {
+	if chosen.isNonDelegate != previous.isNonDelegate {
 		n.noteRole(chosen, held)
 	}
 	if moved {
 		n.tellScheduler(chosen, previous.scheduler)
 	}
-	n.desk.setShare(share, settings.retryPolicy(share))
-	n.desk.update(func(scheduler *admission.Scheduler) {
-		scheduler.SetAvoided(avoided)
-		scheduler.SetPart(now, followers)
+	n.scheduling.setShare(share, settings.retryPolicy(share))
+	n.scheduling.update(func(scheduler *admission.Scheduler) {
+		scheduler.SetEjected(avoided)
+		scheduler.SetFollowerShare(now, followers)
 	})
 }
 
 // takeRole finds what this node is among the live ones. The caller holds the mutex.
 func (n *Node) takeRole(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
-	own := n.ownBeat()
+	own := n.ownHeartbeat()
 	n.takeSize(now, live)
-	n.isOrdinary = n.isLarge && !liveness.IsDelegate(own, live)
+	n.isNonDelegate = n.isLarge && !liveness.IsDelegate(own, live)
 	core := liveness.Delegates(live)
-	beats := liveness.Beats(core)
-	if !n.isOrdinary {
+	beats := liveness.Heartbeats(core)
+	if !n.isNonDelegate {
 		beats = append(beats, own)
 	}
 	n.scheduler = settings.Name
-	order := liveness.Schedulers(beats, senior)
-	if first := liveness.FirstCalm(order, beats); first != "" {
+	order := liveness.TopEligible(beats, senior)
+	if first := liveness.FirstNotSlow(order, beats); first != "" {
 		n.scheduler = first
 	}
 	if n.isLarge {
 		order = order[:min(len(order), seniorOfLarge)]
 	}
-	n.senior = slices.Contains(order, settings.Name)
-	n.order = n.storePlace(liveness.Beats(core))
-	n.rank = n.storeRank(core)
+	n.isCandidate = slices.Contains(order, settings.Name)
+	n.storeCallRank = n.storeCallRankAmong(liveness.Heartbeats(core))
+	n.watchRank = n.watchRankAmong(core)
 }
 
 // takeSize finds how large the fleet is. The caller holds the mutex.
 func (n *Node) takeSize(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	n.size, n.zone = n.members.Size(now, settings.Zone)
-	n.fleet = max(n.size.Known, liveness.ToldFleet(live))
+	n.fleet = max(n.size.Known, liveness.ReportedFleetSize(live))
 	if n.isLarge = liveness.IsLarge(n.fleet, n.isLarge); n.isLarge {
 		return
 	}
@@ -179,17 +179,17 @@
 // noteFleet finds from a heartbeat that the fleet is large, before the next choice: in the first
 // moments of a start of all, whoever takes it for small would be told all names and greet all nodes.
 // The caller holds the mutex.
-func (n *Node) noteFleet(beat *liveness.Beat) {
-	if fleet := max(n.members.Known()+1, beat.Known, beat.Fleet); !n.isLarge && liveness.IsLarge(fleet, false) {
+func (n *Node) noteFleet(beat *liveness.Heartbeat) {
+	if fleet := max(n.members.Known()+1, beat.KnownNodes, beat.FleetSize); !n.isLarge && liveness.IsLarge(fleet, false) {
 		n.isLarge, n.fleet = true, fleet
 	}
 }
 
 // ownBeat returns what this node is chosen by. The caller holds the mutex.
-func (n *Node) ownBeat() *liveness.Beat {
+func (n *Node) ownHeartbeat() *liveness.Heartbeat {
 	settings := n.settings.Load()
-	return &liveness.Beat{
-		Name: settings.Name, Zone: settings.Zone, Cores: settings.Cores, Link: settings.Link,
+	return &liveness.Heartbeat{
+		Name: settings.Name, Zone: settings.Zone, Cores: settings.Cores, LinkMbps: settings.LinkMbps,
 		Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(),
 	}
 }
@@ -198,7 +198,7 @@
 // in a small fleet, or if it is this one, all nodes.
 func (n *Node) tellScheduler(chosen role, previous string) {
 	if !chosen.isLarge || chosen.scheduler == n.settings.Load().Name {
-		n.sendBeats()
+		n.sendHeartbeats()
 		return
 	}
 	n.mutex.Lock()
@@ -218,17 +218,17 @@
 // else changed goes with the next heartbeat: at a start of all, each node finds that it is none.
 func (n *Node) noteRole(chosen role, held time.Duration) {
 	outcome := "taken-up"
-	if chosen.isOrdinary {
+	if chosen.isNonDelegate {
 		outcome = "laid-down"
 	}
 	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: chosen.fleet})
-	if !chosen.isOrdinary || held < delegateKnown {
+	if !chosen.isNonDelegate || held < delegateKnown {
 		return
 	}
 	n.mutex.Lock()
 	now := n.now()
 	beat := n.beat(now)
-	routes := n.relays.Routes(now, beat.Zone, n.members.Live(now), chosen.isLarge)
+	routes := n.relays.Recipients(now, beat.Zone, n.members.Live(now), chosen.isLarge)
 	n.mutex.Unlock()
 	n.sendRoutes(beat, routes)
 }
@@ -239,8 +239,8 @@
 // noteRepeats tells what this node's retry budget gave while it scheduled: whether the repeats of
 // several scheduling nodes add up can be seen from their lines together.
 func (n *Node) noteRepeats() {
-	for service, use := range n.desk.repeats() {
-		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: use.Repeats, Detail: fmt.Sprintf("%d requests, %d refused", use.Requests, use.Refused)})
+	for service, use := range n.scheduling.repeats() {
+		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: use.Retries, Detail: fmt.Sprintf("%d requests, %d refused", use.Requests, use.Rejected)})
 	}
 }
 
@@ -255,7 +255,7 @@
 		votes[id]++
 	}
 	for _, member := range live {
-		for _, id := range member.Failing {
+		for _, id := range member.FailingReplicas {
 			votes[id]++
 		}
 	}
@@ -272,13 +272,13 @@
 }
 
 // releaseEndedNodes frees at the desk what processes held that have ended.
-func (n *Node) releaseEndedNodes() {
+func (n *Node) releaseDeadNodes() {
 	n.mutex.Lock()
 	now := n.now()
 	live := map[string]bool{n.process(): true}
-	for _, member := range n.members.NotLost(now) {
+	for _, member := range n.members.PossiblyRunning(now) {
 		live[processName(member.Name, member.Incarnation)] = true
 	}
 	n.mutex.Unlock()
-	n.desk.dropEndedNodes(live)
+	n.scheduling.dropEndedNodes(live)
 }
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -61,7 +61,7 @@
 		return
 	}
 	n.publish(document)
-	n.desk.setWarmings(n.settings.Load().warmings(document.Services))
+	n.scheduling.setWarmings(n.settings.Load().warmings(document.Services))
 	n.catalog.Store(compiled)
 	n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "in-force", Version: document.Version, Count: len(document.Routes), Detail: source})
 }
@@ -69,7 +69,7 @@
 // publish makes the version available to others. One that was fetched from a peer is in
 // the library already.
 func (n *Node) publish(document *catalog.Document) {
-	n.library.Adopt(document.Version)
+	n.library.Activate(document.Version)
 	if n.library.Version() >= document.Version {
 		return
 	}
@@ -88,15 +88,15 @@
 
 // behindConfiguration returns whether the peer has a newer version and is to be asked
 // for it now. The caller holds the mutex.
-func (n *Node) behindConfiguration(beat liveness.Beat) bool {
+func (n *Node) configurationPullDue(beat liveness.Heartbeat) bool {
 	own, patience := n.version(), n.pullPatienceWith(beat)
-	if own == 0 && !n.isOrdinary {
+	if own == 0 && !n.isNonDelegate {
 		patience = 0
 	}
-	if !n.newer.Heard(n.now(), own, beat.Version) {
+	if !n.newer.Observe(n.now(), own, beat.Version) {
 		return false
 	}
-	return n.versionLag.Due(n.now(), own, beat.Version, patience)
+	return n.versionLag.ShouldPull(n.now(), own, beat.Version, patience)
 }
 
 // partsReply gives the turn at this node's link back once it was sent.
@@ -117,21 +117,21 @@
 	if n.library.Version() <= request.Version {
 		return &partsReply{}, nil
 	}
-	if !n.senders.Enter(ctx) {
+	if !n.senders.Acquire(ctx) {
 		n.counter("configuration.busy").Inc(1)
-		return &partsReply{Reply: spread.Reply{Busy: true, Holders: n.holders.Name(request)}}, nil
+		return &partsReply{Reply: spread.Reply{Busy: true, Sources: n.holders.Suggest(request)}}, nil
 	}
-	reply, whole := n.library.Serve(request, partsBudget)
+	reply, whole := n.library.Respond(request, partsBudget)
 	for _, content := range reply.Content {
 		n.counter("configuration.bytes_sent").Inc(int64(len(content)))
 	}
 	// A peer that does not read keeps its turn no longer than it waits for the reply.
-	leave := sync.OnceFunc(n.senders.Leave)
+	leave := sync.OnceFunc(n.senders.Release)
 	time.AfterFunc(partsTimeout, leave)
 	return &partsReply{Reply: *reply, sent: func() {
 		leave()
 		if whole {
-			n.holders.Note(reply.Manifest.Version, request)
+			n.holders.Add(reply.Manifest.Version, request)
 		}
 	}}, nil
 }
@@ -141,10 +141,10 @@
 	begun, held := n.now(), n.version()
 	progress, err := n.fetch(address)
 	if err != nil {
-		n.library.Abandon()
+		n.library.CancelFetch()
 	}
 	n.mutex.Lock()
-	n.versionLag.Ended(n.now(), err == nil || progress)
+	n.versionLag.PullDone(n.now(), err == nil || progress)
 	n.mutex.Unlock()
 	took := n.now() - begun
 	if err != nil {
@@ -165,8 +165,8 @@
 	for failures := 0; failures <= failuresBorne; {
 		var reply *partsReply
 		if reply, err = n.askForParts(ctx, address); err == nil && reply.Busy {
-			address = n.nextHolder(reply.Holders, address)
-			n.pause(busyPause + rand.N(busyJitter))
+			address = n.nextHolder(reply.Sources, address)
+			n.sleep(busyPause + rand.N(busyJitter))
 			continue // once the time is over the next call fails
 		}
 		came, whole := false, false
@@ -197,7 +197,7 @@
 func (n *Node) askForParts(ctx context.Context, address string) (*partsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, partsTimeout)
 	defer cancel()
-	request := &spread.Request{Version: n.version(), Held: n.library.Held(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
+	request := &spread.Request{Version: n.version(), HeldParts: n.library.HeldParts(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
 	reply := &partsReply{}
 	if err := n.peers.Call(ctx, address, peerwire.KindConfigurationParts, request, reply); err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 // takeParts enters a reply, and the version that it completes. Whole is true if this
 // node then has a version as new as the peer's.
 func (n *Node) takeParts(reply *spread.Reply, address string) (progress, whole bool, err error) {
-	document, progress, err := n.library.Take(reply)
+	document, progress, err := n.library.Merge(reply)
 	if err != nil {
 		n.counter("configuration.parts_bad").Inc(1)
 		return progress, false, err
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -20,7 +20,7 @@
 	for i := range severalReplies {
 		document.Routes = append(document.Routes, catalog.Route{
 			Name: fmt.Sprintf("tenant-%08x-export", uint32(i)*2654435761), Host: fmt.Sprintf("api-%08x.example", uint32(i)*2246822519), PathPrefix: fmt.Sprintf("/%d/", i),
-			Kind: catalog.KindSafe, Backends: []catalog.Backend{{Service: "s", Weight: 1}}, Attempts: 1,
+			Kind: catalog.KindSafe, Backends: []catalog.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
 		})
 	}
 	return document
@@ -31,27 +31,27 @@
 // it can send all of it on.
 func TestVersionFromTheStoreDuringItsFetchCanBeSentOn(t *testing.T) {
 	g := gomega.NewWithT(t)
-	peer := spread.NewLibrary()
+	peer := spread.NewPartStore()
 	g.Expect(peer.Publish(fetchedDocument())).To(gomega.Succeed())
 	n := freshnessNode(0)
-	reply, whole := peer.Serve(&spread.Request{}, partsBudget)
+	reply, whole := peer.Respond(&spread.Request{}, partsBudget)
 	g.Expect(whole).To(gomega.BeFalse(), "the version takes several replies")
-	document, _, err := n.library.Take(reply)
+	document, _, err := n.library.Merge(reply)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(document).To(gomega.BeNil())
 	n.offerCatalog(fetchedDocument(), "store")
 	g.Expect(n.version()).To(gomega.Equal(int64(7)))
 	g.Expect(func() {
-		asker := spread.NewLibrary()
+		asker := spread.NewPartStore()
 		for asker.Version() == 0 {
-			parts, err := n.serveParts(context.Background(), &spread.Request{Version: asker.Version(), Held: asker.Held()})
+			parts, err := n.serveParts(context.Background(), &spread.Request{Version: asker.Version(), HeldParts: asker.HeldParts()})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			made, progress, err := asker.Take(&parts.Reply)
+			made, progress, err := asker.Merge(&parts.Reply)
 			parts.Sent()
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(progress).To(gomega.BeTrue())
 			if made != nil {
-				asker.Adopt(made.Version)
+				asker.Activate(made.Version)
 			}
 		}
 	}).NotTo(gomega.Panic())
--- a/entry/contentdesk.go
+++ b/entry/contentdesk.go
@@ -21,7 +21,7 @@
 	contentHeard     = "heard-barred"
 )
 
-func (d *desk) setContentPolicy(policy poison.Policy) {
+func (d *schedulingService) setContentPolicy(policy poison.Policy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.contents.SetPolicy(policy)
@@ -29,7 +29,7 @@
 
 // noteContent enters what the end of a request says of what it asked for. The place is zero
 // if another node gave it.
-func (d *desk) noteContent(place admission.Ended, finished *finishRequest) {
+func (d *schedulingService) noteContent(place admission.Completion, finished *finishRequest) {
 	now := d.clock()
 	switch {
 	case finished.Ended != nil:
@@ -37,41 +37,41 @@
 		if place.Content.IsZero() {
 			placed = -1 // not known, so that a life counts once
 		}
-		of := contents.Record{Content: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
-		standing, news := d.contents.Ended(now, of, finished.Ended.Life, placed)
+		of := contents.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
+		standing, news := d.contents.RecordCrash(now, of, finished.Ended.Life, placed)
 		if !news {
 			return
 		}
 		outcome := contentSuspected
-		if standing == poison.Barred {
+		if standing == poison.Blocked {
 			outcome = contentBarred
 		}
 		d.tellOf(outcome, finished.Content)
 	case finished.NotRun:
-		d.contents.NotTried(place.Content)
+		d.contents.CancelTrial(place.Content)
 	case finished.Seen.Whole:
-		if d.contents.Answered(now, finished.Content) {
-			d.tell(contentCleared, contents.Record{Content: finished.Content, Service: place.Service, Route: place.Route})
+		if d.contents.RecordSuccess(now, finished.Content) {
+			d.onPoisonTransition(contentCleared, contents.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
 		}
 	}
 }
 
 // tellOf tells of a change of the request's standing. The caller holds the mutex.
-func (d *desk) tellOf(outcome string, content fingerprint.Fingerprint) {
+func (d *schedulingService) tellOf(outcome string, content fingerprint.Fingerprint) {
 	if record, found := d.contents.Get(content); found {
-		d.tell(outcome, record)
+		d.onPoisonTransition(outcome, record)
 	}
 }
 
 // merge takes over what others know of requests. The caller holds the mutex.
-func (d *desk) merge(now structs.Instant, records []contents.Record) {
+func (d *schedulingService) merge(now structs.Instant, records []contents.Record) {
 	for _, record := range d.contents.Merge(now, records) {
-		d.tell(contentHeard, record)
+		d.onPoisonTransition(contentHeard, record)
 	}
 }
 
 // mergeContents takes over what others know of requests, and decides what follows.
-func (d *desk) mergeContents(records []contents.Record) {
+func (d *schedulingService) mergeContents(records []contents.Record) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.merge(d.clock(), records)
@@ -79,55 +79,55 @@
 }
 
 // knownOf returns what this node saw lately of replicas that ended under the request.
-func (d *desk) knownOf(content fingerprint.Fingerprint) *contents.Record {
+func (d *schedulingService) poisonRecordOf(content fingerprint.Fingerprint) *contents.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.contents.Recent(d.clock(), content)
 }
 
 // contentsMark marks what other nodes are told.
-func (d *desk) contentsMark() contents.Mark {
+func (d *schedulingService) contentsMark() contents.Summary {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Mark()
+	return d.contents.Summary()
 }
 
 // toldContents returns what other nodes are told.
-func (d *desk) toldContents() []contents.Record {
+func (d *schedulingService) toldContents() []contents.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Told(d.clock())
+	return d.contents.Shared(d.clock())
 }
 
 // lastingContents returns what has to outlive all nodes.
-func (d *desk) lastingContents() []contents.Record {
+func (d *schedulingService) lastingContents() []contents.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Lasting(d.clock())
+	return d.contents.Persistent(d.clock())
 }
 
 // forgetContents drops what is old.
-func (d *desk) forgetContents() {
+func (d *schedulingService) expirePoison() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.contents.Sweep(d.clock())
 }
 
 // barredContents returns the requests that are barred.
-func (d *desk) barredContents() []contents.Record {
+func (d *schedulingService) barredContents() []contents.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Barred(d.clock())
+	return d.contents.Blocked(d.clock())
 }
 
 // liftContent clears the request, and returns false if nothing speaks against it.
-func (d *desk) liftContent(content fingerprint.Fingerprint) bool {
+func (d *schedulingService) liftContent(content fingerprint.Fingerprint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	record, _ := d.contents.Get(content)
-	lifted := d.contents.Lift(d.clock(), content)
+	lifted := d.contents.Unblock(d.clock(), content)
 	if lifted {
-		d.tell(contentLifted, record)
+		d.onPoisonTransition(contentLifted, record)
 		d.decide()
 	}
 	return lifted
--- a/entry/contents.go
+++ b/entry/contents.go
@@ -41,131 +41,131 @@
 const (
 	// lifeGoesOn means that the request can't have ended it: it goes on, or was to end anyway.
 	lifeGoesOn lifeState = iota
-	lifeEnded
+	incarnationEnded
 	// lifeUnknown means that the replica can't be reached, which need not be its own doing.
-	lifeUnknown
+	incarnationUnknown
 )
 
 // lifeOf looks whether the replica, which broke off a request, has ended: nobody listens at
 // its address any more. A reset alone, a cut link or a planned end say nothing of the request:
 // a replica that drains, or whose entry is gone, was to end anyway.
-func (n *Node) lifeOf(replica replicas.Replica) lifeState {
+func (n *Node) probeIncarnation(replica replicas.Replica) lifeState {
 	n.mutex.Lock()
 	known, listed := n.table.Get(replica.ID)
 	n.mutex.Unlock()
 	if !listed || known.Draining {
 		return lifeGoesOn
 	}
-	if !known.IsSameLife(replica) {
-		return lifeEnded // it has started again already
+	if !known.IsSameIncarnation(replica) {
+		return incarnationEnded // it has started again already
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, endedDial)
 	defer cancel()
-	conn, err := n.depend.Network.Dial(ctx, replica.Address)
+	conn, err := n.deps.Network.Dial(ctx, replica.Address)
 	switch {
 	case err == nil:
 		_ = conn.Close()
 		return lifeGoesOn
 	case network.IsRefused(err):
-		return lifeEnded
+		return incarnationEnded
 	}
-	return lifeUnknown
+	return incarnationUnknown
 }
 
 // noteContent tells of a change of a request's standing.
-func (n *Node) noteContent(outcome string, record contents.Record) {
+func (n *Node) logPoisonTransition(outcome string, record contents.Record) {
 	n.counter("contents." + outcome).Inc(1)
-	lives := make([]string, 0, len(record.Lives))
-	for _, life := range record.Lives {
+	lives := make([]string, 0, len(record.Incarnations))
+	for _, life := range record.Incarnations {
 		lives = append(lives, string(life))
 	}
 	n.log.Write(eventlog.Event{
-		Kind: "content", Outcome: outcome, Content: record.Content.String(), Service: record.Service, Route: record.Route,
-		Count: len(record.Lives), Detail: strings.Join(lives, " "),
+		Kind: "content", Outcome: outcome, Content: record.Fingerprint.String(), Service: record.Service, Route: record.Route,
+		Count: len(record.Incarnations), Detail: strings.Join(lives, " "),
 	})
 }
 
 // behindContents returns whether the peer knows more of barred requests and is to be asked
 // now. The caller holds the mutex.
-func (n *Node) behindContents(now structs.Instant, beat liveness.Beat) bool {
-	if beat.Contents == nil {
+func (n *Node) behindContents(now structs.Instant, beat liveness.Heartbeat) bool {
+	if beat.Poison == nil {
 		return false
 	}
-	own := n.desk.contentsMark()
-	told := beat.Contents.Weight
-	if told == own.Weight && beat.Contents.Digest != own.Digest {
+	own := n.scheduling.contentsMark()
+	told := beat.Poison.Weight
+	if told == own.ChangeCount && beat.Poison.Digest != own.Digest {
 		told++ // as much, but not the same
 	}
-	return n.contentsLag.Due(now, own.Weight, told, 0)
+	return n.poisonPull.ShouldPull(now, own.ChangeCount, told, 0)
 }
 
 // contentsRequest asks a peer for what it knows of requests that replicas ended under.
 type contentsRequest struct{}
 
-type contentsReply struct{ Records []contents.Record }
+type poisonReply struct{ Records []contents.Record }
 
-func (n *Node) serveContents(context.Context, *contentsRequest) (*contentsReply, error) {
-	return &contentsReply{Records: n.desk.toldContents()}, nil
+func (n *Node) servePoisonRecords(context.Context, *contentsRequest) (*poisonReply, error) {
+	return &poisonReply{Records: n.scheduling.toldContents()}, nil
 }
 
 // pullContents asks a peer that knows more than this node. One that brought nothing new is
 // followed by a longer pause, as one that failed is.
 func (n *Node) pullContents(address string) {
-	ctx, cancel := context.WithTimeout(n.ctx, newsTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
-	before := n.desk.contentsMark()
-	reply := &contentsReply{}
+	before := n.scheduling.contentsMark()
+	reply := &poisonReply{}
 	err := n.peers.Call(ctx, address, peerwire.KindContents, &contentsRequest{}, reply)
 	if err == nil {
-		n.desk.mergeContents(reply.Records)
+		n.scheduling.mergeContents(reply.Records)
 	} else if n.ctx.Err() == nil {
 		n.counter("contents.pulls_failed").Inc(1)
 	}
-	news := n.desk.contentsMark() != before
+	news := n.scheduling.contentsMark() != before
 	n.mutex.Lock()
-	n.contentsLag.Ended(n.now(), news)
+	n.poisonPull.PullDone(n.now(), news)
 	n.mutex.Unlock()
 	if news {
-		n.sendBeats()
+		n.sendHeartbeats()
 	}
 }
 
 // storedContents is what the store is known to hold.
-type storedContents struct {
-	revision structs.Place
-	mark     contents.Mark
+type storedPoisonRecords struct {
+	revision structs.StorePosition
+	mark     contents.Summary
 }
 
 // takeContents takes what the store holds into force.
-func (n *Node) takeContents(records []contents.Record, revision structs.Place) {
+func (n *Node) applyPoisonRecords(records []contents.Record, revision structs.StorePosition) {
 	if revision == 0 {
 		return
 	}
 	n.mutex.Lock()
-	if revision > n.contentsStored.revision {
-		n.contentsStored = storedContents{revision: revision, mark: contents.MarkOf(records)}
+	if revision > n.poisonStored.revision {
+		n.poisonStored = storedPoisonRecords{revision: revision, mark: contents.SummaryOf(records)}
 	}
 	n.mutex.Unlock()
-	n.desk.mergeContents(records)
+	n.scheduling.mergeContents(records)
 }
 
 // contentsLoop sees to it, while this node schedules, that the store holds what is barred.
-func (n *Node) contentsLoop() {
-	if n.depend.Contents == nil {
+func (n *Node) poisonSyncLoop() {
+	if n.deps.PoisonRecords == nil {
 		return
 	}
 	wait := contentsRest
-	for n.pause(wait) {
+	for n.sleep(wait) {
 		wait = contentsRest
 		if !n.schedules() {
 			continue
 		}
 		wait = contentsStep
-		lasting := n.desk.lastingContents()
+		lasting := n.scheduling.lastingContents()
 		n.mutex.Lock()
-		stored := n.contentsStored
+		stored := n.poisonStored
 		n.mutex.Unlock()
-		if contents.MarkOf(lasting) != stored.mark {
+		if contents.SummaryOf(lasting) != stored.mark {
 			n.storeContents(lasting, stored.revision)
 		}
 	}
@@ -180,52 +180,52 @@
 
 // storeContents writes what is barred. If the store holds something else than this node
 // thought, that is merged, and written with the next step.
-func (n *Node) storeContents(lasting []contents.Record, revision structs.Place) {
+func (n *Node) storeContents(lasting []contents.Record, revision structs.StorePosition) {
 	ctx, cancel := context.WithTimeout(n.ctx, contentsWriteLimit)
 	defer cancel()
-	written, err := n.depend.Contents.WriteContents(ctx, lasting, revision)
+	written, err := n.deps.PoisonRecords.WriteContents(ctx, lasting, revision)
 	if err == nil {
 		n.counter("contents.writes").Inc(1)
-		n.takeContents(lasting, written)
+		n.applyPoisonRecords(lasting, written)
 		return
 	}
 	n.counter("contents.writes_failed").Inc(1)
 	if errors.Is(err, errkind.StoreUnavailable) {
 		return // nothing was written, and the store is not asked twice in one step
 	}
-	records, found, err := n.depend.Contents.ReadContents(ctx)
+	records, found, err := n.deps.PoisonRecords.ReadContents(ctx)
 	if err != nil {
 		n.counter("contents.reads_failed").Inc(1)
 		return
 	}
-	n.takeContents(records, found)
+	n.applyPoisonRecords(records, found)
 }
 
 // ContentStatus is what operators see of a barred request.
-type ContentStatus struct {
+type PoisonStatus struct {
 	contents.Record
 	// Unchanged is for how long nothing was learned of it, in milliseconds.
 	Unchanged int64 `json:"unchanged_ms"`
 }
 
 // contentStatus returns what is barred.
-func (n *Node) contentStatus() []ContentStatus {
-	var told []ContentStatus
-	for _, record := range n.desk.barredContents() {
-		told = append(told, ContentStatus{Record: record, Unchanged: record.Age})
+func (n *Node) poisonStatus() []PoisonStatus {
+	var told []PoisonStatus
+	for _, record := range n.scheduling.barredContents() {
+		told = append(told, PoisonStatus{Record: record, Unchanged: record.Age})
 	}
 	return told
 }
 
 // Lift lets a barred request be sent again, at all nodes.
-func (n *Node) Lift(content string) error {
+func (n *Node) Unblock(content string) error {
 	var wanted contents.Record
-	if err := wanted.Content.UnmarshalText([]byte(content)); err != nil {
+	if err := wanted.Fingerprint.UnmarshalText([]byte(content)); err != nil {
 		return err
 	}
-	if !n.desk.liftContent(wanted.Content) {
+	if !n.scheduling.liftContent(wanted.Fingerprint) {
 		return fmt.Errorf("%s: nothing speaks against this request here", content)
 	}
-	n.sendBeats()
+	n.sendHeartbeats()
 	return nil
 }
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -41,16 +41,16 @@
 	cost        float64
 	fingerprint fingerprint.Fingerprint
 	// repeat is the repeat that the retry budget gave it, until it has its place.
-	repeat retrybudget.Repeat
+	repeat retrybudget.Permit
 }
 
 // desk is the scheduling side of a node: it decides for every node that takes
 // this one for the scheduling node, itself included.
-type desk struct {
+type schedulingService struct {
 	mutex     sync.Mutex
 	clock     func() structs.Instant
 	scheduler *admission.Scheduler
-	quotas    *quota.Ledger
+	quotas    *quota.Buckets
 	budget    *retrybudget.Budget
 	term      uint64
 	// share is the part of the quotas that this side of a partition hands out, and leads is true
@@ -64,49 +64,49 @@
 	regions map[string]string
 	// emptied are the zones that get nothing, and warmings bounds what cold replicas get, by service.
 	emptied  map[string]bool
-	warmings map[string]admission.Warming
+	warmings map[string]admission.SlowStart
 	// first is true if no other process can have handed out anything before.
 	first   bool
 	waiters map[string]chan admission.Decision
 	placed  map[string]placed
-	refused *refusals.Memory
+	refused *refusals.Recent
 	// controllers step the roll-outs of services while this node schedules; longest is how
 	// long the long answers of a service take.
 	rolloutPolicy rollout.Policy
 	// contents says which requests replicas ended under. It outlives what the desk forgets:
 	// what a request did is true whoever schedules.
-	contents *poison.Ledger
+	contents *poison.Tracker
 	// tell is called with each change of a request's standing.
-	tell        func(outcome string, record contents.Record)
-	controllers map[string]*rollout.Controller
-	longest     map[string]time.Duration
-	timer       *time.Timer
+	onPoisonTransition func(outcome string, record contents.Record)
+	controllers        map[string]*rollout.Controller
+	longest            map[string]time.Duration
+	timer              *time.Timer
 	// decidedAt is when the last round of decisions was made.
 	decidedAt structs.Instant
 }
 
-func newDesk(clock func() structs.Instant, policy retrybudget.Policy, first bool) *desk {
-	d := &desk{clock: clock, decidedAt: -decideInterval, share: 1, first: first, term: 1, budget: retrybudget.New(policy, first), contents: poison.NewLedger(poison.DefaultPolicy()), tell: func(string, contents.Record) {}}
+func newSchedulingService(clock func() structs.Instant, policy retrybudget.Policy, first bool) *schedulingService {
+	d := &schedulingService{clock: clock, decidedAt: -decideInterval, share: 1, first: first, term: 1, budget: retrybudget.New(policy, first), contents: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, contents.Record) {}}
 	d.clear()
-	d.quotas.CreditIdle(restartTime, clock()+restartCredit)
+	d.quotas.CreditDowntime(restartTime, clock()+restartCredit)
 	d.timer = time.AfterFunc(time.Hour, d.wake)
 	return d
 }
 
-func (d *desk) clear() {
+func (d *schedulingService) clear() {
 	d.scheduler = admission.New()
-	d.scheduler.SetContents(d.contents)
+	d.scheduler.SetPoisonTracker(d.contents)
 	d.scheduler.SetRegions(d.regions)
-	d.scheduler.SetEmptied(d.clock(), d.emptied)
+	d.scheduler.SetEvacuatedZones(d.clock(), d.emptied)
 	d.applyWarmings()
 	start := takeoverBurst
 	if d.first {
 		start = 1
 		d.first = false
 	}
-	d.quotas = quota.NewLedger(start)
+	d.quotas = quota.NewBuckets(start)
 	if start < 1 {
-		d.quotas.SettleBy(d.clock() + settleLedger)
+		d.quotas.SetAuthoritativeAfter(d.clock() + settleLedger)
 	}
 	d.waiters = map[string]chan admission.Decision{}
 	d.placed = map[string]placed{}
@@ -116,7 +116,7 @@
 
 // reset forgets everything, as a process must that stood still for so long that
 // others decided in its place.
-func (d *desk) reset(all []replicas.Replica, policies map[string]rollouts.VersionPolicy) uint64 {
+func (d *schedulingService) reset(all []replicas.Replica, policies map[string]rollouts.VersionPolicy) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, waiter := range d.waiters {
@@ -125,7 +125,7 @@
 	d.clear()
 	d.epoch++
 	d.ledSince = d.clock()
-	d.budget.Renew()
+	d.budget.Reset()
 	for service, policy := range policies {
 		d.scheduler.SetVersions(service, policy)
 	}
@@ -139,24 +139,24 @@
 const majority = 0.5
 
 // setShare takes over which part of the quotas and of the retries may be given.
-func (d *desk) setShare(share float64, policy retrybudget.Policy) {
+func (d *schedulingService) setShare(share float64, policy retrybudget.Policy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.contents.SetTries(share > majority)
+	d.contents.SetTrialsAllowed(share > majority)
 	d.share = share
 	d.setWarms()
 	d.budget.SetPolicy(policy)
 }
 
 // repeats returns what this desk counted for the retry budget, by service.
-func (d *desk) repeats() map[string]retrybudget.Use {
+func (d *schedulingService) repeats() map[string]retrybudget.Stats {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.budget.Uses(d.clock())
+	return d.budget.Stats(d.clock())
 }
 
 // setRegions takes over which region each zone is in.
-func (d *desk) setRegions(regions map[string]string) {
+func (d *schedulingService) setRegions(regions map[string]string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.regions = regions
@@ -164,7 +164,7 @@
 }
 
 // lead tells the desk whether this node schedules for the others from now on.
-func (d *desk) lead(schedules bool) {
+func (d *schedulingService) lead(schedules bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.sendRepeatsAway()
@@ -173,12 +173,12 @@
 	if schedules {
 		d.epoch++
 		d.ledSince = d.clock()
-		d.budget.Begin()
+		d.budget.Activate()
 	} else {
-		d.budget.End()
+		d.budget.Deactivate()
 		// Who schedules next goes on from the record; what was taken here is not used.
 		for service := range d.controllers {
-			d.scheduler.SetTrial(service, nil)
+			d.scheduler.SetCanaryBudget(service, nil)
 		}
 		clear(d.controllers)
 	}
@@ -186,22 +186,22 @@
 
 // sendRepeatsAway has the repeats that wait here ask whoever schedules now: what this desk's
 // budget gave them is void when the scheduling node changes. The caller holds the mutex.
-func (d *desk) sendRepeatsAway() {
+func (d *schedulingService) sendRepeatsAway() {
 	for id, held := range d.placed {
 		waiter, waits := d.waiters[id]
-		if !waits || held.repeat == (retrybudget.Repeat{}) {
+		if !waits || held.repeat == (retrybudget.Permit{}) {
 			continue
 		}
 		d.scheduler.Cancel(id)
 		delete(d.waiters, id)
 		delete(d.placed, id)
-		d.quotas.Return(held.tenant, held.cost)
+		d.quotas.Refund(held.tenant, held.cost)
 		close(waiter)
 	}
 }
 
 // update runs a change of the scheduler and decides what it makes possible.
-func (d *desk) update(change func(*admission.Scheduler)) {
+func (d *schedulingService) update(change func(*admission.Scheduler)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	change(d.scheduler)
@@ -209,7 +209,7 @@
 }
 
 // place waits for a decision on the request.
-func (d *desk) place(ctx context.Context, request *placeRequest) *placeReply {
+func (d *schedulingService) assign(ctx context.Context, request *assignRequest) *assignReply {
 	waiter, refused := d.submit(request)
 	if refused != nil {
 		return refused
@@ -217,37 +217,37 @@
 	select {
 	case decision, open := <-waiter:
 		if !open {
-			return &placeReply{Reason: reasonUnreachable}
+			return &assignReply{Reason: reasonUnreachable}
 		}
-		return &placeReply{
+		return &assignReply{
 			Limit:   d.limitNote(decision),
 			Replica: decision.Replica, Reason: string(decision.Reason),
 			RetryAfter: decision.RetryAfter, Waited: decision.Waited, Term: d.currentTerm(),
-			Waiting: decision.Ahead, Free: decision.Free, Expected: decision.Expected,
+			Waiting: decision.QueuedAhead, Free: decision.Free, Expected: decision.Expected,
 		}
 	case <-ctx.Done():
 		d.finish(&finishRequest{ID: request.Request.ID, NotRun: true})
-		return &placeReply{Reason: reasonUnreachable}
+		return &assignReply{Reason: reasonUnreachable}
 	}
 }
 
 // limitNote returns what is known of the rate limit of the replica that was given, or nil.
-func (d *desk) limitNote(decision admission.Decision) *pushback.Note {
+func (d *schedulingService) limitNote(decision admission.Decision) *pushback.Report {
 	if decision.Limit.Limit.State == pushback.LimitUnknown {
 		return nil
 	}
-	note := decision.Limit.NoteOf(d.clock(), pushback.LifeOf(decision.Replica))
+	note := decision.Limit.ReportOf(d.clock(), pushback.IncarnationOf(decision.Replica))
 	return &note
 }
 
-func (d *desk) currentTerm() uint64 {
+func (d *schedulingService) currentTerm() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.term
 }
 
 // submit checks quota and budget and queues the request.
-func (d *desk) submit(request *placeRequest) (chan admission.Decision, *placeReply) {
+func (d *schedulingService) submit(request *assignRequest) (chan admission.Decision, *assignReply) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
@@ -255,24 +255,24 @@
 		d.merge(now, []contents.Record{*request.Known})
 	}
 	for _, note := range request.Heard {
-		d.scheduler.Hear(now, note)
+		d.scheduler.ApplyPushbackReport(now, note)
 	}
 	d.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.Heard)
 	if request.First {
-		d.budget.First(now, request.Request.Service)
+		d.budget.RecordRequest(now, request.Request.Service)
 	}
-	var repeat retrybudget.Repeat
+	var repeat retrybudget.Permit
 	if request.Repeat {
 		given, ok := d.budget.Reserve(now, request.Request.Service)
 		if !ok {
-			return nil, &placeReply{Reason: reasonRetryBudget, RetryAfter: time.Second}
+			return nil, &assignReply{Reason: reasonRetryBudget, RetryAfter: time.Second}
 		}
 		repeat = given
 	}
 	limit := request.Limit.Scaled(d.share)
 	if wait, ok := d.quotas.Take(now, request.Tenant, limit, request.Cost); !ok {
-		d.budget.Return(repeat)
-		return nil, &placeReply{Reason: reasonQuota, RetryAfter: wait}
+		d.budget.Cancel(repeat)
+		return nil, &assignReply{Reason: reasonQuota, RetryAfter: wait}
 	}
 	id := request.Request.ID
 	waiter := make(chan admission.Decision, 1)
@@ -285,27 +285,27 @@
 }
 
 // observe learns from a request of this node that another node placed.
-func (d *desk) observe(service string, prompt int, finished *finishRequest, replica string) {
+func (d *schedulingService) observe(service string, prompt int, finished *finishRequest, replica string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.scheduler.Observe(d.clock(), service, replica, prompt, finished.Seen)
-	d.noteContent(admission.Ended{}, finished)
+	d.noteContent(admission.Completion{}, finished)
 }
 
 // begun notes that an answer began, and the load that came with it.
-func (d *desk) begun(request *begunRequest) {
+func (d *schedulingService) recordFirstEvent(request *firstEventRequest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	d.scheduler.Begun(now, request.ID, request.Load)
+	d.scheduler.RecordFirstEvent(now, request.ID, request.Load)
 	if request.Said != nil {
-		d.scheduler.Said(now, request.ID, *request.Said)
+		d.scheduler.ApplyPushback(now, request.ID, *request.Said)
 	}
 	d.decide()
 }
 
 // finish frees the place or ends the wait of a request.
-func (d *desk) finish(request *finishRequest) {
+func (d *schedulingService) finish(request *finishRequest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	ended, found := d.scheduler.Finish(d.clock(), request.ID, request.Seen)
@@ -317,16 +317,16 @@
 	delete(d.waiters, request.ID)
 	if held, found := d.placed[request.ID]; found {
 		delete(d.placed, request.ID)
-		d.budget.Return(held.repeat)
+		d.budget.Cancel(held.repeat)
 		if request.NotRun {
-			d.quotas.Return(held.tenant, held.cost)
+			d.quotas.Refund(held.tenant, held.cost)
 		}
 	}
 	d.decide()
 }
 
 // dropEndedNodes frees what nodes held that live no longer.
-func (d *desk) dropEndedNodes(live map[string]bool) {
+func (d *schedulingService) dropEndedNodes(live map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for node := range d.scheduler.Nodes() {
@@ -341,7 +341,7 @@
 // patienceInterval is the time between looks at requests that waited too long.
 const patienceInterval = 50 * time.Millisecond
 
-func (d *desk) wake() {
+func (d *schedulingService) wake() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.decide()
@@ -354,7 +354,7 @@
 
 // decide hands out decisions, or sees to it that this happens soon if there was
 // a round just now. The caller holds the mutex.
-func (d *desk) decide() {
+func (d *schedulingService) decide() {
 	if len(d.waiters) == 0 {
 		return
 	}
@@ -376,13 +376,13 @@
 		if decision.Reason != admission.ReasonNone {
 			if held, charged := d.placed[decision.ID]; charged {
 				delete(d.placed, decision.ID)
-				d.quotas.Return(held.tenant, held.cost)
-				d.budget.Return(held.repeat)
+				d.quotas.Refund(held.tenant, held.cost)
+				d.budget.Cancel(held.repeat)
 				d.refused.Add(d.clock(), held.fingerprint)
 			}
 		} else if held, charged := d.placed[decision.ID]; charged {
-			d.budget.Sent(held.repeat)
-			held.repeat = retrybudget.Repeat{}
+			d.budget.Commit(held.repeat)
+			held.repeat = retrybudget.Permit{}
 			d.placed[decision.ID] = held
 		}
 		waiter <- decision
@@ -393,7 +393,7 @@
 }
 
 // counts returns the state of every service.
-func (d *desk) counts() map[string]admission.Count {
+func (d *schedulingService) counts() map[string]admission.Count {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.scheduler.Counts()
--- a/entry/desk_test.go
+++ b/entry/desk_test.go
@@ -19,14 +19,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		begun := time.Now()
-		d := newDesk(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Window: time.Second}, true)
+		d := newSchedulingService(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Window: time.Second}, true)
 		d.update(func(s *admission.Scheduler) {
 			s.SetReplicas(0, []replicas.Replica{{ID: "r", Service: "s", Slots: 100}})
 		})
-		done := make(chan *placeReply, 50)
+		done := make(chan *assignReply, 50)
 		for i := range 50 {
 			go func() {
-				done <- d.place(t.Context(), &placeRequest{Request: admission.Request{
+				done <- d.assign(t.Context(), &assignRequest{Request: admission.Request{
 					ID: fmt.Sprint(i), Node: "n", Service: "s", Patience: time.Second, Target: time.Second, Deadline: time.Second,
 				}})
 			}()
@@ -50,13 +50,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		begun := time.Now()
-		d := newDesk(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Ratio: 1, Window: 10 * time.Second}, true)
+		d := newSchedulingService(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Ratio: 1, Window: 10 * time.Second}, true)
 		defer d.timer.Stop()
 		d.lead(true)
 		asked := 0
 		ask := func(first, repeat bool) string {
 			asked++
-			_, refused := d.submit(&placeRequest{First: first, Repeat: repeat, Request: admission.Request{ID: fmt.Sprint(asked), Node: "n", Service: "s"}})
+			_, refused := d.submit(&assignRequest{First: first, Repeat: repeat, Request: admission.Request{ID: fmt.Sprint(asked), Node: "n", Service: "s"}})
 			if refused != nil {
 				return refused.Reason
 			}
--- a/entry/era.go
+++ b/entry/era.go
@@ -27,7 +27,7 @@
 	known   bool
 	present int64
 	// restored is of a store that came back from a copy at the instant since.
-	restored structs.Restored
+	restored structs.RestoreWindow
 	since    structs.Instant
 	// lacksPast is true at a process that knows the copy only, until a peer that knows what was
 	// before has told it; isAsking is true while one is asked.
@@ -53,12 +53,12 @@
 // noteAnswer takes account of the era of an answer of the store. It returns false if the answer
 // is of an earlier era than the one known and tells nothing of the present. The caller holds the
 // mutex.
-func (n *Node) noteAnswer(place structs.Place) bool {
+func (n *Node) checkEra(place structs.StorePosition) bool {
 	switch {
 	case !n.era.known:
 		n.era.known, n.era.present = true, place.Era()
 	case place.Era() > n.era.present:
-		n.enterEra(structs.Restored{Base: n.baseEra(), Era: place.Era(), Listed: place.Revision()}, n.now(), "store")
+		n.enterEra(structs.RestoreWindow{Base: n.baseEra(), Era: place.Era(), Listed: place.Revision()}, n.now(), "store")
 	case place.Era() < n.era.present:
 		n.counter("store.old_eras").Inc(1)
 		if !n.era.isOldTold {
@@ -81,11 +81,11 @@
 
 // heardEra takes account of what a peer knows of the eras. It returns whether the peer is to be
 // asked for all that it knows, as this process knows the copy only. The caller holds the mutex.
-func (n *Node) heardEra(beat liveness.Beat) bool {
-	if beat.Restored == nil {
+func (n *Node) mergePeerEra(beat liveness.Heartbeat) bool {
+	if beat.RestoreWindow == nil {
 		return false
 	}
-	told, since := *beat.Restored, n.now()-time.Duration(beat.RestoredAge)*time.Millisecond
+	told, since := *beat.RestoreWindow, n.now()-time.Duration(beat.RestoreAgeMS)*time.Millisecond
 	if n.now()-since >= restoredTime || n.era.known && told.Era < n.era.present {
 		return false
 	}
@@ -110,19 +110,19 @@
 
 // setRestored has everything that is known be ordered for a store that came back from a copy. The
 // caller holds the mutex.
-func (n *Node) setRestored(restored structs.Restored, since structs.Instant) {
+func (n *Node) setRestored(restored structs.RestoreWindow, since structs.Instant) {
 	n.era.restored, n.era.since = restored, since
-	n.table.SetRestored(restored)
-	n.evacuations.SetRestored(restored)
-	n.rollouts.SetRestored(restored)
+	n.table.SetRestoreWindow(restored)
+	n.evacuations.SetRestoreWindow(restored)
+	n.rollouts.SetRestoreWindow(restored)
 }
 
 // enterEra begins a new era. The caller holds the mutex.
-func (n *Node) enterEra(restored structs.Restored, since structs.Instant, source string) {
+func (n *Node) enterEra(restored structs.RestoreWindow, since structs.Instant, source string) {
 	n.era = era{known: true, present: restored.Era}
 	n.setRestored(restored, since)
-	n.storeBadAt, n.steady = n.now(), false // entries are missing until they are written again
-	n.contentsStored = storedContents{}
+	n.storeFailedAt, n.watchHealthy = n.now(), false // entries are missing until they are written again
+	n.poisonStored = storedPoisonRecords{}
 	n.counter("store.eras").Inc(1)
 	n.log.Write(eventlog.Event{
 		Kind: "store.era", Outcome: "restored", Era: restored.Era, Revision: restored.Listed, Peer: source,
@@ -137,7 +137,7 @@
 	n.mutex.Lock()
 	due := n.era.restored.Era > n.era.restored.Base && !n.era.isRestored(n.now())
 	if due {
-		n.setRestored(structs.Restored{}, n.era.since)
+		n.setRestored(structs.RestoreWindow{}, n.era.since)
 		n.readAnew()
 	}
 	n.mutex.Unlock()
@@ -150,15 +150,15 @@
 // before does: what it calls its latest news can't be compared, and how fresh they are says nothing
 // of this node's. A node then reads the store by itself within staleAfter. The caller holds the
 // mutex.
-func (n *Node) isOfEarlierEra(beat liveness.Beat) bool { return beat.Era < n.era.present }
+func (n *Node) isOfEarlierEra(beat liveness.Heartbeat) bool { return beat.Era < n.era.present }
 
 // tellEra has the heartbeat tell what this node knows of the eras. Of a copy only those tell that
 // know what was before: two processes that start at once would ask each other and learn nothing.
 // The caller holds the mutex.
-func (n *Node) tellEra(now structs.Instant, beat *liveness.Beat) {
+func (n *Node) addEra(now structs.Instant, beat *liveness.Heartbeat) {
 	beat.Era = n.era.present
 	if n.era.isRestored(now) && !n.era.lacksPast {
 		restored := n.era.restored
-		beat.Restored, beat.RestoredAge = &restored, (now - n.era.since).Milliseconds()
+		beat.RestoreWindow, beat.RestoreAgeMS = &restored, (now - n.era.since).Milliseconds()
 	}
 }
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -16,20 +16,20 @@
 
 // takeEvacuations takes what the store tells of emptied zones into force, and returns whether any
 // was emptied or taken back.
-func (n *Node) takeEvacuations(update *outside.Update) bool {
+func (n *Node) applyEvacuations(update *outside.Update) bool {
 	n.mutex.Lock()
 	orders := update.Evacuations
-	if update.Whole {
-		orders = append(orders, n.evacuations.Missing(orders, update.Revision)...)
+	if update.FullSnapshot {
+		orders = append(orders, n.evacuations.LiftsForUnlisted(orders, update.Revision)...)
 	}
 	n.mutex.Unlock()
 	return n.putEvacuations(orders, "store")
 }
 
 // heardEvacuations takes what a peer knows of emptied zones into force.
-func (n *Node) heardEvacuations(beat *liveness.Beat) {
+func (n *Node) heardEvacuations(beat *liveness.Heartbeat) {
 	if len(beat.Evacuations) > 0 {
-		n.putEvacuations(beat.Evacuations[:min(len(beat.Evacuations), evacuations.MostZones)], beat.Name)
+		n.putEvacuations(beat.Evacuations[:min(len(beat.Evacuations), evacuations.MaxZones)], beat.Name)
 	}
 }
 
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		n.desk.setEmptied(n.evacuations.Emptied()) // in one step with the table: the later state stays
+		n.scheduling.setEmptied(n.evacuations.EvacuatedZones()) // in one step with the table: the later state stays
 	}
 	n.mutex.Unlock()
 	for _, order := range changed {
@@ -52,7 +52,7 @@
 			outcome = "taken-back"
 		}
 		n.counter("evacuations." + outcome).Inc(1)
-		n.log.Write(eventlog.Event{Kind: "evacuation", Outcome: outcome, Detail: order.Zone, Peer: source, Revision: order.Place.Revision(), Era: order.Place.Era()})
+		n.log.Write(eventlog.Event{Kind: "evacuation", Outcome: outcome, Detail: order.Zone, Peer: source, Revision: order.Position.Revision(), Era: order.Position.Era()})
 	}
 	return len(changed) > 0
 }
@@ -61,8 +61,8 @@
 func (n *Node) evacuationsStatus() []EvacuationStatus {
 	var told []EvacuationStatus
 	for _, order := range n.evacuations.All() {
-		status := EvacuationStatus{Zone: order.Zone, Emptied: !order.Lifted, Place: order.Place}
-		for _, place := range n.held {
+		status := EvacuationStatus{Zone: order.Zone, Evacuated: !order.Lifted, Position: order.Position}
+		for _, place := range n.assignments {
 			if replica, known := n.table.Get(place.replica); known && replica.Zone == order.Zone {
 				status.InProgress++
 			}
@@ -74,10 +74,10 @@
 
 // EvacuationStatus is what operators see of a zone that is, or was, emptied.
 type EvacuationStatus struct {
-	Zone    string `json:"zone"`
-	Emptied bool   `json:"emptied"`
+	Zone      string `json:"zone"`
+	Evacuated bool   `json:"emptied"`
 	// Place is where the order stands in the store's history.
-	Place structs.Place `json:"place"`
+	Position structs.StorePosition `json:"place"`
 	// InProgress counts the requests of this node that still run there.
 	InProgress int `json:"in_progress"`
 }
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -42,22 +42,22 @@
 
 // noteFreshness takes over how fresh a peer's knowledge is, of the replicas and of the
 // configuration, where this node knows no less than the peer. The caller holds the mutex.
-func (n *Node) noteFreshness(now structs.Instant, beat liveness.Beat) {
-	if beat.Unread >= 0 && beat.Unread < staleAfter.Milliseconds() && !beat.Storeless {
+func (n *Node) recordFreshness(now structs.Instant, beat liveness.Heartbeat) {
+	if beat.ReplicasAgeMS >= 0 && beat.ReplicasAgeMS < staleAfter.Milliseconds() && !beat.StoreUnreachable {
 		n.noteStoreReached(now)
 	}
-	if beat.Unread >= 0 && !n.isOfEarlierEra(beat) && beat.Latest <= n.table.Latest() {
-		n.fresh.Note(now - time.Duration(beat.Unread)*time.Millisecond)
+	if beat.ReplicasAgeMS >= 0 && !n.isOfEarlierEra(beat) && beat.LatestPosition <= n.table.LatestPosition() {
+		n.fresh.Observe(now - time.Duration(beat.ReplicasAgeMS)*time.Millisecond)
 	}
-	if own := n.version(); beat.ConfigurationUnread >= 0 && own > 0 && beat.Version <= own {
-		n.freshConfiguration.Note(now - time.Duration(beat.ConfigurationUnread)*time.Millisecond)
+	if own := n.version(); beat.ConfigurationAgeMS >= 0 && own > 0 && beat.Version <= own {
+		n.freshConfiguration.Observe(now - time.Duration(beat.ConfigurationAgeMS)*time.Millisecond)
 	}
 }
 
 // configurationTransfer is how long the configuration takes on this node's link as the
 // store sends it.
 func (n *Node) configurationTransfer() time.Duration {
-	link := n.settings.Load().Link
+	link := n.settings.Load().LinkMbps
 	if link <= 0 {
 		return 0
 	}
@@ -72,7 +72,7 @@
 		return 0, false // the watch loop tries again by itself
 	}
 	interval := max(readInterval, configurationShare*transfer)
-	if n.rank < readers {
+	if n.watchRank < readers {
 		// A read begins a little after the moment at which it was found due.
 		if !n.freshConfiguration.Known() || now-n.freshConfiguration.At() > interval-readCheck {
 			return outside.ScopeAll, true
@@ -93,7 +93,7 @@
 // rank: once the first has read it, the others have it from that one. The caller holds
 // the mutex.
 func (n *Node) spreadOver(transfer time.Duration) time.Duration {
-	if n.order < probers {
+	if n.storeCallRank < probers {
 		return 0
 	}
 	return time.Duration(n.spreadShare() * float64(min(spreadTransfers*transfer, longestSpread)))
@@ -102,12 +102,12 @@
 // readLoop reads the store whenever that is due.
 func (n *Node) readLoop() {
 	last := n.now()
-	for n.pause(readCheck) {
+	for n.sleep(readCheck) {
 		transfer := n.configurationTransfer()
 		n.mutex.Lock()
 		now := n.now()
 		scope, due := n.readDue(now, last, transfer)
-		stale, age := n.rank >= readers, n.fresh.Age(now)
+		stale, age := n.watchRank >= readers, n.fresh.Age(now)
 		n.mutex.Unlock()
 		if !due {
 			continue
--- a/entry/freshness_test.go
+++ b/entry/freshness_test.go
@@ -14,9 +14,9 @@
 
 // freshnessNode is a node that knows configuration 3 and replicas up to revision 7.
 func freshnessNode(rank int) *Node {
-	n := New(&Settings{Name: "n", Link: 10}, Dependencies{Log: eventlog.New("n", nil)})
-	n.rank, n.order = rank, rank
-	n.table.Put(replicas.Replica{ID: "r", Service: "s", Revision: 7})
+	n := New(&Settings{Name: "n", LinkMbps: 10}, Dependencies{Log: eventlog.New("n", nil)})
+	n.watchRank, n.storeCallRank = rank, rank
+	n.table.Put(replicas.Replica{ID: "r", Service: "s", Position: 7})
 	document := &catalog.Document{Version: 3}
 	n.catalog.Store(&catalog.Catalog{Document: document})
 	n.publish(document)
@@ -30,7 +30,7 @@
 	n := freshnessNode(5)
 	now := 20 * time.Second
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty(), "it never heard of a read; its watch loop makes the first")
-	n.noteFreshness(now, liveness.Beat{Version: 3, Latest: 7, Unread: 400, ConfigurationUnread: 400})
+	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 400, ConfigurationAgeMS: 400})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty())
 	later := now + staleAfter
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.Equal("all"))
@@ -41,7 +41,7 @@
 
 // dueScope returns what the node should read, or nothing.
 func dueScope(n *Node, now, last, transfer time.Duration) string {
-	n.heardAt = now
+	n.lastContactAt = now
 	scope, due := n.readDue(now, last, transfer)
 	if !due {
 		return ""
@@ -55,20 +55,20 @@
 	g := gomega.NewWithT(t)
 	n := freshnessNode(40)
 	now := 20 * time.Second
-	n.noteFreshness(now, liveness.Beat{Version: 3, Latest: 7, Unread: 0, ConfigurationUnread: 0})
+	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 0})
 	later := now + staleAfter + probers*staleStep + spreadTime + time.Millisecond
 	g.Expect(dueScope(n, later, 0, time.Second)).To(gomega.Equal("replicas"), "the configuration takes a second")
-	n.noteFreshness(later, liveness.Beat{Version: 3, Latest: 7, Unread: 0, ConfigurationUnread: 9000})
+	n.recordFreshness(later, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 9000})
 	last := now + staleAfter + configurationShare*time.Second + probers*longestStaleStep + spreadTime + longestSpread + time.Millisecond
 	g.Expect(dueScope(n, last, 0, time.Second)).To(gomega.Equal("all"), "but nobody else has it either")
-	g.Expect(n.versionLag.Due(now, 3, 4, 0)).To(gomega.BeTrue(), "it is being fetched")
+	g.Expect(n.versionLag.ShouldPull(now, 3, 4, 0)).To(gomega.BeTrue(), "it is being fetched")
 	g.Expect(dueScope(n, last, 0, time.Second)).NotTo(gomega.Equal("all"), "a peer is sending it")
 }
 
 func TestNodeBehindInOneKindOfNewsIsFreshInTheOther(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := freshnessNode(5)
-	n.noteFreshness(20*time.Second, liveness.Beat{Version: 4, Latest: 7, Unread: 100, ConfigurationUnread: 100})
+	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 7, ReplicasAgeMS: 100, ConfigurationAgeMS: 100})
 	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(100))
 	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
 }
@@ -76,11 +76,11 @@
 func TestFreshnessOfAPeerThatKnowsMoreIsNotOurs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := freshnessNode(5)
-	n.noteFreshness(20*time.Second, liveness.Beat{Version: 4, Latest: 8, Unread: 0})
-	n.noteFreshness(20*time.Second, liveness.Beat{Version: 3, Latest: 7, Unread: -1, ConfigurationUnread: -1})
+	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 8, ReplicasAgeMS: 0})
+	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: -1, ConfigurationAgeMS: -1})
 	g.Expect(n.fresh.Known()).To(gomega.BeFalse())
 	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
-	n.noteFreshness(20*time.Second, liveness.Beat{Version: 3, Latest: 6, Unread: 250})
+	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 3, LatestPosition: 6, ReplicasAgeMS: 250})
 	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(250))
 }
 
@@ -88,7 +88,7 @@
 	g := gomega.NewWithT(t)
 	n := freshnessNode(0)
 	begun := 20 * time.Second
-	n.freshConfiguration.Note(begun + time.Millisecond) // a read begins after it was found due
+	n.freshConfiguration.Observe(begun + time.Millisecond) // a read begins after it was found due
 	g.Expect(dueScope(n, begun+readInterval, begun, 0)).To(gomega.Equal("all"))
 	g.Expect(dueScope(n, begun+readInterval, begun, time.Second)).To(gomega.Equal("replicas"))
 	g.Expect(dueScope(n, begun+configurationShare*time.Second, begun, time.Second)).To(gomega.Equal("all"))
@@ -97,7 +97,7 @@
 func TestFirstNodesReadInAnyCase(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := freshnessNode(0)
-	n.fresh.Note(20 * time.Second)
+	n.fresh.Observe(20 * time.Second)
 	g.Expect(dueScope(n, 20*time.Second, 20*time.Second-readInterval, time.Second)).To(gomega.Equal("all"))
 }
 
@@ -109,9 +109,9 @@
 	n := freshnessNode(5)
 	n.era = era{known: true, present: 1}
 	now := 20 * time.Second
-	n.fresh.Note(now - staleAfter - time.Second)
-	n.noteFreshness(now, liveness.Beat{Version: 3, Latest: 7, Unread: 10, ConfigurationUnread: 10})
+	n.fresh.Observe(now - staleAfter - time.Second)
+	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 10, ConfigurationAgeMS: 10})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.Equal("replicas"))
-	n.noteFreshness(now, liveness.Beat{Version: 3, Latest: 7, Unread: 10, ConfigurationUnread: 10, Era: 1})
+	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 10, ConfigurationAgeMS: 10, Era: 1})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty())
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -77,7 +77,7 @@
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
-	c := &call{node: n, writer: w, request: r, arrived: n.now(), id: r.Header.Get(n.depend.Headers.RequestID)}
+	c := &call{node: n, writer: w, request: r, arrived: n.now(), id: r.Header.Get(n.deps.Headers.RequestID)}
 	c.kept = n.log.Keep(c.id)
 	if n.stopping.Load() != 0 {
 		w.Header().Set("Connection", "close")
@@ -88,7 +88,7 @@
 		return
 	}
 	if n.behindTooLong() {
-		c.refuse(http.StatusServiceUnavailable, reasonBehind, retryBehind)
+		c.refuse(http.StatusServiceUnavailable, reasonConfigurationStale, retryBehind)
 		return
 	}
 	if !c.admit(current) {
@@ -96,7 +96,7 @@
 	}
 	c.noteReceived(current.Version)
 	defer c.noteLeft()
-	ctx, cancel := context.WithTimeout(r.Context(), c.left())
+	ctx, cancel := context.WithTimeout(r.Context(), c.remaining())
 	defer cancel()
 	c.ctx = ctx
 	defer n.calls.add(c, cancel)()
@@ -130,7 +130,7 @@
 
 // admit finds route, tenant and deadline, or answers the request.
 func (c *call) admit(current *catalog.Catalog) bool {
-	names := &c.node.depend.Headers
+	names := &c.node.deps.Headers
 	c.route = current.Match(c.request.Host, c.request.URL.EscapedPath())
 	if c.route == nil {
 		c.refuseUnknown(current, http.StatusNotFound, "no-route")
@@ -143,7 +143,7 @@
 			return false
 		}
 	}
-	c.service = c.route.Choose(rand.Float64())
+	c.service = c.route.PickService(rand.Float64())
 	allowed := defaultDeadline
 	if given, err := strconv.ParseFloat(c.request.Header.Get(names.Deadline), 64); err == nil && given > 0 {
 		allowed = time.Duration(given * float64(time.Millisecond))
@@ -162,8 +162,8 @@
 // refuseUnknown refuses what the configuration in force does not know. If a newer version
 // is known to exist, that one may know it, and the caller is told to come back.
 func (c *call) refuseUnknown(current *catalog.Catalog, status int, reason string) {
-	if c.node.newer.Exists(current.Version) {
-		c.refuse(http.StatusServiceUnavailable, reasonBehind, retryBehind)
+	if c.node.newer.HasNewer(current.Version) {
+		c.refuse(http.StatusServiceUnavailable, reasonConfigurationStale, retryBehind)
 		return
 	}
 	c.refuse(status, reason, 0)
@@ -188,7 +188,7 @@
 		return false
 	}
 	control := http.NewResponseController(c.writer)
-	_ = control.SetReadDeadline(time.Now().Add(c.left()))
+	_ = control.SetReadDeadline(time.Now().Add(c.remaining()))
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
--- a/entry/introduce.go
+++ b/entry/introduce.go
@@ -42,7 +42,7 @@
 func (n *Node) learn(now structs.Instant, peers []liveness.Peer) []string {
 	var addresses []string
 	for _, other := range peers {
-		if n.members.Learn(now, other) {
+		if n.members.AddPeer(now, other) {
 			addresses = append(addresses, other.Address)
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // namedPeers are the nodes that others named in a large fleet and that are to be greeted.
-type namedPeers struct {
+type discoveredPeers struct {
 	peers []liveness.Peer
 	// fleet is how large those who named them take the fleet to be.
 	fleet int
@@ -61,17 +61,17 @@
 // noteNamed keeps the names that a peer told for a moment: at a start of all, every node has its own
 // idea of who the delegates will be, and that of whoever knows most nodes is the best. The caller
 // holds the mutex.
-func (n *Node) noteNamed(beat liveness.Beat) {
-	if len(beat.Peers) == 0 || beat.Fleet < n.named.fleet {
+func (n *Node) noteNamed(beat liveness.Heartbeat) {
+	if len(beat.Peers) == 0 || beat.FleetSize < n.discovered.fleet {
 		return
 	}
-	if beat.Fleet*informedShare/100 > n.named.fleet {
-		n.named.peers = nil
+	if beat.FleetSize*informedShare/100 > n.discovered.fleet {
+		n.discovered.peers = nil
 	}
-	n.named.fleet = beat.Fleet
-	n.named.peers = append(n.named.peers, beat.Peers[:min(len(beat.Peers), max(mostNamed-len(n.named.peers), 0))]...)
-	if !n.named.isAwaited {
-		n.named.isAwaited = true
+	n.discovered.fleet = beat.FleetSize
+	n.discovered.peers = append(n.discovered.peers, beat.Peers[:min(len(beat.Peers), max(mostNamed-len(n.discovered.peers), 0))]...)
+	if !n.discovered.isAwaited {
+		n.discovered.isAwaited = true
 		time.AfterFunc(greetGather, n.greetNamed)
 	}
 }
@@ -81,12 +81,12 @@
 	n.mutex.Lock()
 	now := n.now()
 	var addresses []string
-	for _, peer := range n.named.peers {
-		if n.members.Learn(now, peer) || n.members.IsSilent(now, peer.Name) {
+	for _, peer := range n.discovered.peers {
+		if n.members.AddPeer(now, peer) || n.members.IsSilent(now, peer.Name) {
 			addresses = append(addresses, peer.Address)
 		}
 	}
-	n.named = namedPeers{}
+	n.discovered = discoveredPeers{}
 	n.mutex.Unlock()
 	slices.Sort(addresses)
 	for _, address := range slices.Compact(addresses) {
@@ -101,7 +101,7 @@
 const tellingTime = 200 * time.Millisecond
 
 // telling is a list of names that another node is sending to this one.
-type telling struct {
+type incomingPeerList struct {
 	// names is how many the sender knows.
 	names int
 	until structs.Instant
@@ -109,20 +109,20 @@
 
 // noteTelling records that the heartbeat carries a part of a list of names: a regular one
 // names toldPeers nodes. The caller holds the mutex.
-func (n *Node) noteTelling(now structs.Instant, beat liveness.Beat) {
+func (n *Node) noteTelling(now structs.Instant, beat liveness.Heartbeat) {
 	if len(beat.Peers) <= toldPeers {
 		return
 	}
-	n.telling.names = max(n.namesBeingTold(now), beat.Known)
-	n.telling.until = now + tellingTime
+	n.incomingPeers.names = max(n.namesBeingTold(now), beat.KnownNodes)
+	n.incomingPeers.until = now + tellingTime
 }
 
 // namesBeingTold returns the length of the list that this node is being sent, or zero.
 func (n *Node) namesBeingTold(now structs.Instant) int {
-	if now >= n.telling.until {
+	if now >= n.incomingPeers.until {
 		return 0
 	}
-	return n.telling.names
+	return n.incomingPeers.names
 }
 
 // namesKnown returns how many other nodes this one knows by name, counting those that it
@@ -135,11 +135,11 @@
 
 // isNewcomer returns whether the sender knows so little of the fleet that it is told the names of
 // others. The caller holds the mutex.
-func (n *Node) isNewcomer(beat liveness.Beat) bool {
+func (n *Node) isNewcomer(beat liveness.Heartbeat) bool {
 	if n.isLarge {
-		return beat.Fleet < n.size.Known*newcomerShare/100
+		return beat.FleetSize < n.size.Known*newcomerShare/100
 	}
-	return beat.Known < n.members.Known()*newcomerShare/100
+	return beat.KnownNodes < n.members.Known()*newcomerShare/100
 }
 
 // isUnsettled returns whether this node started or roles changed so lately that the delegates of a
@@ -153,32 +153,32 @@
 	if n.isUnsettled(now) {
 		pause = unsettledPause
 	}
-	if !n.isLarge || now-n.askedAt < pause {
+	if !n.isLarge || now-n.peersRequestedAt < pause {
 		return false
 	}
-	n.askedAt = now
+	n.peersRequestedAt = now
 	return true
 }
 
 // askSeed asks a seed how large the fleet is by now: one that starts among many heard of few when it
 // answered first.
-func (n *Node) askSeed(beat liveness.Beat) {
+func (n *Node) askSeed(beat liveness.Heartbeat) {
 	if seeds := n.seedAddresses(); len(seeds) > 0 {
-		beat.PassOn, beat.Asks = false, true
+		beat.RelayRequested, beat.WantsReply = false, true
 		n.sendBeat(beat, []string{seeds[rand.IntN(len(seeds))]})
 	}
 }
 
 // askForNames asks one of the nodes at the addresses, or a seed, for the names of others: all that
 // this node hears of may be one side of a cut that has healed.
-func (n *Node) askForNames(beat liveness.Beat, addresses []string) {
+func (n *Node) askForNames(beat liveness.Heartbeat, addresses []string) {
 	if seeds := n.seedAddresses(); len(seeds) > 0 {
 		addresses = append(addresses, seeds[rand.IntN(len(seeds))])
 	}
 	if len(addresses) == 0 {
 		return
 	}
-	beat.PassOn, beat.Asks, beat.AsksNames = false, false, true
+	beat.RelayRequested, beat.WantsReply, beat.WantsPeers = false, false, true
 	n.sendBeat(beat, []string{addresses[rand.IntN(len(addresses))]})
 }
 
@@ -188,8 +188,8 @@
 	n.mutex.Lock()
 	now := n.now()
 	beat := n.beat(now)
-	if age := now - n.levelsAt; beat.Levels == nil && n.levels != nil && age < levelsMemory {
-		beat.Levels, beat.LevelsAge = n.levels, age.Milliseconds()
+	if age := now - n.bucketLevelsAt; beat.BucketLevels == nil && n.bucketLevels != nil && age < levelsMemory {
+		beat.BucketLevels, beat.BucketLevelsAgeMS = n.bucketLevels, age.Milliseconds()
 	}
 	var others []liveness.Peer
 	if newcomer {
@@ -211,7 +211,7 @@
 // namesFor returns the nodes that one of the zone is told of. The caller holds the mutex.
 func (n *Node) namesFor(now structs.Instant, zone string) []liveness.Peer {
 	if n.isLarge {
-		return liveness.Names(n.members.Live(now), zone)
+		return liveness.PeersForZone(n.members.Live(now), zone)
 	}
 	var others []liveness.Peer
 	for _, member := range n.members.All(now) {
--- a/entry/introduce_test.go
+++ b/entry/introduce_test.go
@@ -17,22 +17,22 @@
 	const names = 39
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
-	part := liveness.Beat{Name: "n0", Known: names}
+	part := liveness.Heartbeat{Name: "n0", KnownNodes: names}
 	for i := range peersAtOnce + toldPeers {
 		part.Peers = append(part.Peers, liveness.Peer{Name: fmt.Sprint("n", i+1), Address: fmt.Sprint("host", i+1)})
 	}
 	now := n.now()
 	n.noteTelling(now, part)
 	n.learn(now, part.Peers)
-	g.Expect(n.beat(now).Known).To(gomega.Equal(names))
-	g.Expect(n.beat(now+tellingTime+time.Millisecond).Known).To(gomega.Equal(peersAtOnce+toldPeers), "the rest did not come")
+	g.Expect(n.beat(now).KnownNodes).To(gomega.Equal(names))
+	g.Expect(n.beat(now+tellingTime+time.Millisecond).KnownNodes).To(gomega.Equal(peersAtOnce+toldPeers), "the rest did not come")
 }
 
 // A regular heartbeat names a few nodes. Whoever takes it for a list would not be sent one.
 func TestARegularHeartbeatTellsNoNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
-	regular := liveness.Beat{Name: "n0", Known: 39, Peers: []liveness.Peer{{Name: "n1", Address: "h1"}, {Name: "n2", Address: "h2"}}}
+	regular := liveness.Heartbeat{Name: "n0", KnownNodes: 39, Peers: []liveness.Peer{{Name: "n1", Address: "h1"}, {Name: "n2", Address: "h2"}}}
 	n.noteTelling(n.now(), regular)
-	g.Expect(n.beat(n.now()).Known).To(gomega.BeZero())
+	g.Expect(n.beat(n.now()).KnownNodes).To(gomega.BeZero())
 }
--- a/entry/lag.go
+++ b/entry/lag.go
@@ -16,22 +16,22 @@
 
 // lagLoop measures by how much the timers of a node that may schedule are late, and tells
 // all nodes at once when it turns slow or well.
-func (n *Node) lagLoop() {
+func (n *Node) slowNodeLoop() {
 	gauge := newGauge()
-	sleep := n.depend.Sleep
+	sleep := n.deps.Sleep
 	if sleep == nil {
 		sleep = oversleep
 	}
 	for n.ctx.Err() == nil {
 		n.mutex.Lock()
-		senior := n.senior
+		senior := n.isCandidate
 		n.mutex.Unlock()
 		if !senior {
 			// Others schedule while any of the senior nodes lives.
-			n.pause(juniorPause)
+			n.sleep(juniorPause)
 			continue
 		}
-		late, took := sleep(liveness.LagInterval), gauge.run()
+		late, took := sleep(liveness.TimerLagInterval), gauge.run()
 		n.mutex.Lock()
 		changed := n.slowness.Observe(n.now(), late, took)
 		state := n.slowness
@@ -69,13 +69,13 @@
 }
 
 // noteSlow tells that this node turned slow, or is not any more.
-func (n *Node) noteSlow(state liveness.Slowness) {
+func (n *Node) noteSlow(state liveness.SlowNodeDetector) {
 	outcome := "well"
 	if state.Slow() {
 		outcome = "slow"
 		n.counter("slowness.turned_slow").Inc(1)
 	}
-	n.log.Write(eventlog.Event{Kind: "slowness", Outcome: outcome, Detail: fmt.Sprintf("timers %v late, work %.1f times as long", state.Lag(), state.Pace())})
-	n.sendBeats()
-	n.chooseScheduler()
+	n.log.Write(eventlog.Event{Kind: "slowness", Outcome: outcome, Detail: fmt.Sprintf("timers %v late, work %.1f times as long", state.TimerLag(), state.Slowdown())})
+	n.sendHeartbeats()
+	n.selectScheduler()
 }
--- a/entry/levels.go
+++ b/entry/levels.go
@@ -22,16 +22,16 @@
 // noteLevels keeps what a heartbeat tells of the tenants' buckets, if it is newer than what is
 // known, and returns whether this node's own buckets are to follow: not while it still tells the
 // others of them. The caller holds the mutex.
-func (n *Node) noteLevels(now structs.Instant, beat liveness.Beat) bool {
-	told := now - time.Duration(beat.LevelsAge)*time.Millisecond
-	if beat.Levels == nil || told < n.levelsAt {
+func (n *Node) noteLevels(now structs.Instant, beat liveness.Heartbeat) bool {
+	told := now - time.Duration(beat.BucketLevelsAgeMS)*time.Millisecond
+	if beat.BucketLevels == nil || told < n.bucketLevelsAt {
 		return false
 	}
-	n.levels, n.levelsAt, n.levelsUntil = beat.Levels, told, told
-	if beat.LevelsAge == 0 {
-		n.levelsUntil += time.Duration(beat.Interval) * time.Millisecond
+	n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil = beat.BucketLevels, told, told
+	if beat.BucketLevelsAgeMS == 0 {
+		n.bucketLevelsUntil += time.Duration(beat.IntervalMS) * time.Millisecond
 	}
-	return now-n.ledAt >= levelsToldFor
+	return now-n.lastActiveAt >= levelsToldFor
 }
 
 // takeLevels brings the desk's buckets up to what a heartbeat told. A node that does not schedule
@@ -39,14 +39,14 @@
 // those of the last time it was.
 func (n *Node) takeLevels(leads bool, until structs.Instant, levels map[string]float64) {
 	if leads {
-		n.desk.adopt(until, levels)
+		n.scheduling.adopt(until, levels)
 		return
 	}
-	n.desk.takeOver(until, levels)
+	n.scheduling.takeOver(until, levels)
 }
 
 // heardLedger is what was last heard of what another node handed out.
-type heardLedger struct {
+type receivedUsage struct {
 	incarnation, epoch uint64
 	taken              map[string]float64
 }
@@ -55,19 +55,19 @@
 // node, if it schedules as well, does not know yet. Only of two the one that has scheduled for longer
 // takes account of the other: what others handed out before this node began to schedule is in the
 // buckets that it went on from. The caller holds the mutex.
-func (n *Node) noteLedger(now structs.Instant, beat liveness.Beat) quota.Handed {
-	if beat.Ledger == nil {
-		return quota.Handed{}
+func (n *Node) noteLedger(now structs.Instant, beat liveness.Heartbeat) quota.RemoteUsage {
+	if beat.Usage == nil {
+		return quota.RemoteUsage{}
 	}
-	told := heardLedger{incarnation: beat.Incarnation, epoch: beat.Ledger.Epoch, taken: beat.Ledger.Taken}
-	before, found := n.ledgers[beat.Name]
-	n.ledgers[beat.Name] = told
+	told := receivedUsage{incarnation: beat.Incarnation, epoch: beat.Usage.Epoch, taken: beat.Usage.Taken}
+	before, found := n.peerUsage[beat.Name]
+	n.peerUsage[beat.Name] = told
 	isSame := found && before.incarnation == told.incarnation && before.epoch == told.epoch
-	led := time.Duration(beat.Ledger.Led) * time.Millisecond
-	if led >= n.desk.ledFor() {
-		return quota.Handed{}
+	led := time.Duration(beat.Usage.Led) * time.Millisecond
+	if led >= n.scheduling.ledFor() {
+		return quota.RemoteUsage{}
 	}
-	handed := quota.Handed{Since: now - led, Amounts: map[string]float64{}, Levels: beat.Levels}
+	handed := quota.RemoteUsage{Since: now - led, Amounts: map[string]float64{}, Levels: beat.BucketLevels}
 	for tenant, taken := range told.taken {
 		known := 0.0
 		if isSame {
--- a/entry/lines.go
+++ b/entry/lines.go
@@ -43,7 +43,7 @@
 func (c *call) noteReceived(version int64) {
 	event := c.event("request.received")
 	event.Version, event.Prompt, event.Answer = version, c.prompt, c.expectedTokens()
-	event.Left = c.left().Milliseconds()
+	event.Remaining = c.remaining().Milliseconds()
 	c.note(event)
 }
 
@@ -59,7 +59,7 @@
 		event.Outcome, event.Reason = "refused", given.Reason
 	} else {
 		event.Outcome, event.Replica = "granted", given.Replica.ID
-		event.Revision, event.Era = given.Replica.Revision.Revision(), given.Replica.Revision.Era()
+		event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
 	}
 	c.note(event)
 }
@@ -68,7 +68,7 @@
 func (c *call) noteSend(given *grant, outcome result) {
 	event := c.event("request.sent")
 	event.Replica, event.Outcome, event.Peer = given.Replica.ID, outcome.String(), given.scheduler
-	event.Revision, event.Era = given.Replica.Revision.Revision(), given.Replica.Revision.Era()
+	event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
 	event.Count, event.Reason = c.sends, string(c.broke)
 	event.First, event.Pause = c.firstEvent.Milliseconds(), c.longestPause.Milliseconds()
 	c.note(event)
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -14,7 +14,7 @@
 )
 
 // placeRequest asks the scheduling node for a place at a replica.
-type placeRequest struct {
+type assignRequest struct {
 	Request admission.Request
 	// Tenant, Limit and Cost are for the quota; a rate of zero means none.
 	Tenant string
@@ -24,14 +24,14 @@
 	// replica before. One whose connect failed is neither.
 	First, Repeat bool
 	// Heard is what replicas of the service said to the asking node to hold requests back.
-	Heard []pushback.Note `msgpack:",omitempty"`
+	Heard []pushback.Report `msgpack:",omitempty"`
 	// Known is what the asking node saw lately of replicas that ended under the request; nil
 	// if it saw none.
 	Known *contents.Record
 }
 
 // placeReply is the decision on a placeRequest.
-type placeReply struct {
+type assignReply struct {
 	Replica    replicas.Replica
 	Reason     string
 	RetryAfter time.Duration
@@ -44,7 +44,7 @@
 	Term uint64
 	// Limit is what the scheduling node knows of the replica's rate limit, nil if it knows of none.
 	// If there is one, the place counts against it.
-	Limit *pushback.Note `msgpack:",omitempty"`
+	Limit *pushback.Report `msgpack:",omitempty"`
 }
 
 // Reasons of refusals beside those of package admission.
@@ -54,7 +54,7 @@
 	reasonUnreachable = "no-scheduler"
 	reasonStopping    = "stopping"
 	// reasonBehind means that this node lacks a newer configuration.
-	reasonBehind = "configuration-behind"
+	reasonConfigurationStale = "configuration-behind"
 )
 
 // finishRequest tells that a request with a place ended, or that one is no
@@ -69,41 +69,41 @@
 	// Content is what was asked for.
 	Content fingerprint.Fingerprint
 	// Ended tells that the replica's life ended under the request; nil if it did not.
-	Ended *endedLife
+	Ended *crashedIncarnation
 }
 
 // endedLife tells that a replica ended while a request was there.
-type endedLife struct {
-	Life           contents.Life
+type crashedIncarnation struct {
+	Life           contents.Incarnation
 	Service, Route string
 }
 
 type finishReply struct{}
 
 // begunRequest tells that the answer to a request with a place began.
-type begunRequest struct {
+type firstEventRequest struct {
 	ID string
 	// Load is the number of requests that the replica said to have, or -1.
 	Load int
 	// Said is what the answer says to hold requests back, nil if it changes nothing.
-	Said *pushback.Statement `msgpack:",omitempty"`
+	Said *pushback.Signals `msgpack:",omitempty"`
 }
 
-type begunReply struct{}
+type firstEventReply struct{}
 
 // newsRequest asks a peer for what it knows of the replicas beyond one revision, and of the
 // roll-outs beyond another.
-type newsRequest struct {
-	Latest   structs.Place
-	Rollouts structs.Place
+type updatesRequest struct {
+	Latest   structs.StorePosition
+	Rollouts structs.StorePosition
 }
 
 // newsReply is what a peer knows of the replicas and of roll-outs. It knows all roll-outs up
 // to the revision Known.
-type newsReply struct {
+type updatesReply struct {
 	Replicas []replicas.Replica
-	Removed  map[string]structs.Place
+	Removed  map[string]structs.StorePosition
 	Orders   []rollouts.Order
 	Records  []rollouts.Record
-	Known    structs.Place
+	Known    structs.StorePosition
 }
--- a/entry/news.go
+++ b/entry/news.go
@@ -15,45 +15,45 @@
 // over, which tells nothing.
 func (n *Node) apply(update *outside.Update) bool {
 	n.mutex.Lock()
-	present := n.noteAnswer(update.Revision)
+	present := n.checkEra(update.Revision)
 	n.mutex.Unlock()
 	if !present {
 		return false
 	}
 	n.noteProblems(update)
-	emptied := n.takeEvacuations(update) // first: whoever hears of what follows has heard of it
+	emptied := n.applyEvacuations(update) // first: whoever hears of what follows has heard of it
 	if update.Catalog != nil {
 		n.offerCatalog(update.Catalog, "store")
 	}
-	known := structs.Place(0)
-	if !update.Complete || update.Whole {
+	known := structs.StorePosition(0)
+	if !update.Complete || update.FullSnapshot {
 		known = update.Revision
 	}
-	n.takeRollouts(update.Orders, update.Records, known)
-	n.takeContents(update.Contents, update.ContentsRevision)
+	n.applyRollouts(update.Orders, update.Records, known)
+	n.applyPoisonRecords(update.Contents, update.ContentsRevision)
 	n.mutex.Lock()
 	n.catalogRevision = max(n.catalogRevision, update.CatalogRevision)
-	before := n.table.Version()
+	before := n.table.ChangeCount()
 	for _, replica := range update.Replicas {
-		n.takeReplica(replica)
+		n.applyReplica(replica)
 	}
 	if update.Complete {
 		for _, id := range n.table.Missing(update.Replicas, update.Revision) {
-			n.vanished(outside.Gone{ID: id, Revision: n.table.Absence(id, update.Revision)})
+			n.handleEntryRemoved(outside.Gone{ID: id, Revision: n.table.RemovalPosition(id, update.Revision)})
 		}
 	}
 	for _, gone := range update.Gone {
-		n.vanished(gone)
+		n.handleEntryRemoved(gone)
 	}
-	n.table.SetRevision(update.Revision)
+	n.table.SetCompleteTo(update.Revision)
 	n.newsAt = n.now()
-	changed := n.table.Version() != before
+	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
 		n.replicasChanged()
 	}
 	if changed || emptied || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
-		n.sendBeats()
+		n.sendHeartbeats()
 	}
 	return true
 }
@@ -88,15 +88,15 @@
 
 // takeReplica enters news of a replica and tells of a change. The caller holds the
 // mutex.
-func (n *Node) takeReplica(replica replicas.Replica) {
+func (n *Node) applyReplica(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
 		return
 	}
-	isNewLife := found && !known.IsSameLife(replica)
+	isNewLife := found && !known.IsSameIncarnation(replica)
 	if isNewLife {
-		n.explainBreaks(known)
-		n.health.Renew(replica.ID)
+		n.resolveDisconnects(known)
+		n.health.Reset(replica.ID)
 		n.pool.Forget(replica.ID)
 	}
 	if found && !isNewLife && known.Draining == replica.Draining && known.Address == replica.Address {
@@ -106,7 +106,7 @@
 	if replica.Draining {
 		outcome = "draining"
 	}
-	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Revision.Revision(), Era: replica.Revision.Era(), Detail: replica.Address})
+	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Position.Revision(), Era: replica.Position.Era(), Detail: replica.Address})
 }
 
 // entryReturnTime is how long after trouble of the store a replica whose entry ran
@@ -118,14 +118,14 @@
 // can't renew their entries, so that it proves little; the replica then stays
 // for as long as the store needs to become well and the replica to come back.
 // The caller holds the mutex.
-func (n *Node) vanished(gone outside.Gone) {
+func (n *Node) handleEntryRemoved(gone outside.Gone) {
 	if _, known := n.table.Get(gone.ID); !known {
 		n.table.Remove(n.now(), gone.ID, gone.Revision)
 		return
 	}
 	if n.storeUnwell() {
-		n.table.Doubt(gone.ID)
-		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Revision.Revision(), Era: gone.Revision.Era(), Age: (n.now() - n.storeBadAt).Milliseconds()})
+		n.table.MarkUnconfirmed(gone.ID)
+		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Revision.Revision(), Era: gone.Revision.Era(), Age: (n.now() - n.storeFailedAt).Milliseconds()})
 		return
 	}
 	n.remove(gone.ID, gone.Revision)
@@ -134,10 +134,10 @@
 
 // remove takes the replica out of the table. One that did not say that it leaves has ended.
 // The caller holds the mutex.
-func (n *Node) remove(id string, revision structs.Place) {
+func (n *Node) remove(id string, revision structs.StorePosition) {
 	known, found := n.table.Get(id)
 	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
-		n.explainBreaks(known)
+		n.resolveDisconnects(known)
 	}
 }
 
@@ -147,14 +147,14 @@
 // holds the mutex.
 func (n *Node) storeUnwell() bool {
 	now := n.now()
-	if !n.storeDown && now-n.storeBadAt >= entryReturnTime {
+	if !n.storeDown && now-n.storeFailedAt >= entryReturnTime {
 		return false
 	}
 	for _, member := range n.members.Live(now) {
-		if n.isOfEarlierEra(member.Beat) {
+		if n.isOfEarlierEra(member.Heartbeat) {
 			continue // it doesn't know yet that the store came back from a copy
 		}
-		if member.Steady >= n.settings.Load().contact().Milliseconds() {
+		if member.StoreHealthyMS >= n.settings.Load().contact().Milliseconds() {
 			return false
 		}
 	}
@@ -167,7 +167,7 @@
 	var gone []string
 	n.mutex.Lock()
 	if !n.storeUnwell() {
-		gone = n.table.RemoveDoubted(n.now())
+		gone = n.table.RemoveUnconfirmed(n.now())
 	}
 	n.table.Forget(n.now())
 	n.mutex.Unlock()
@@ -184,11 +184,11 @@
 	n.mutex.Lock()
 	all := n.table.All()
 	n.health.Forget(func(id string) bool { _, known := n.table.Get(id); return known })
-	n.pushback.Forget(n.now(), func(life pushback.Life) bool {
+	n.pushback.Forget(n.now(), func(life pushback.Incarnation) bool {
 		known, found := n.table.Get(life.Replica)
-		return found && pushback.LifeOf(known) == life
+		return found && pushback.IncarnationOf(known) == life
 	})
 	n.mutex.Unlock()
 	n.applyPolicies() // first: a replica that the desk knows and no policy gets requests
-	n.desk.update(func(scheduler *admission.Scheduler) { scheduler.SetReplicas(n.now(), all) })
+	n.scheduling.update(func(scheduler *admission.Scheduler) { scheduler.SetReplicas(n.now(), all) })
 }
--- a/entry/news_memory_test.go
+++ b/entry/news_memory_test.go
@@ -38,10 +38,10 @@
 // heldForSlowPeers returns the length of a reply's body, and the bytes held while
 // the peers do not read.
 func heldForSlowPeers(b *testing.B, document *catalog.Document, peers, asked int) (body int, held int64) {
-	n := New(&Settings{Name: "n1", Contact: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
+	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
 	n.offerCatalog(document, "test")
 	request := &spread.Request{Version: 1}
-	reply, _ := n.library.Serve(request, partsBudget)
+	reply, _ := n.library.Respond(request, partsBudget)
 	encoded, err := peerwire.Marshal(reply)
 	if err != nil {
 		b.Fatal(err)
--- a/entry/news_test.go
+++ b/entry/news_test.go
@@ -15,10 +15,10 @@
 // cutOffNode is a node that reached the store again just now, with one peer that
 // followed it for the time given.
 func cutOffNode(peerSteady time.Duration) *Node {
-	n := New(&Settings{Name: "n1", Contact: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
-	n.takeReplica(replicas.Replica{ID: "r", Service: "s", Revision: 5})
-	n.members.Heard(n.now(), liveness.Beat{Name: "n2", Steady: peerSteady.Milliseconds()})
-	n.storeBadAt = n.now()
+	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
+	n.applyReplica(replicas.Replica{ID: "r", Service: "s", Position: 5})
+	n.members.Observe(n.now(), liveness.Heartbeat{Name: "n2", StoreHealthyMS: peerSteady.Milliseconds()})
+	n.storeFailedAt = n.now()
 	return n
 }
 
@@ -27,9 +27,9 @@
 func TestEntryThatVanishesIsDoubtedOnlyIfNobodyFollowedTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := cutOffNode(time.Second)
-	n.vanished(outside.Gone{ID: "r", Revision: 9})
+	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
 	g.Expect(n.table.All()).To(gomega.HaveLen(1), "the store itself may have been down")
 	n = cutOffNode(5 * time.Second)
-	n.vanished(outside.Gone{ID: "r", Revision: 9})
+	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
 	g.Expect(n.table.All()).To(gomega.BeEmpty(), "only this node was cut off")
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -44,11 +44,11 @@
 	// Rollouts keeps the progress of roll-outs; nil means that there are none.
 	Rollouts outside.Rollouts
 	// Contents keeps what is known of barred requests; nil means that it ends with the nodes.
-	Contents outside.Contents
-	Headers  outside.HeaderNames
+	PoisonRecords outside.Contents
+	Headers       outside.HeaderNames
 	// ReadAnswer returns what the head of a replica's answer says to hold requests back, and an
 	// error that names each part that can't be read.
-	ReadAnswer func(status int, header http.Header) (pushback.Statement, error)
+	ParsePushback func(status int, header http.Header) (pushback.Signals, error)
 	// ReadyPath is what the balancer asks.
 	ReadyPath string
 	Log       *eventlog.Log
@@ -61,7 +61,7 @@
 }
 
 // heldPlace is a request in progress at a replica.
-type heldPlace struct {
+type assignment struct {
 	replica   string
 	scheduler string
 	term      uint64
@@ -70,20 +70,20 @@
 // Node is one entry node.
 type Node struct {
 	settings atomic.Pointer[Settings]
-	depend   Dependencies
+	deps     Dependencies
 	log      *eventlog.Log
 	// startedAt is what the clock told at the start.
-	startedAt time.Duration
-	metrics   metrics.Registry
-	pool      *replicahttp.Pool
-	peers     *peer.Client
-	desk      *desk
-	beats     network.DatagramSocket
-	inbound   net.Listener
-	ctx       context.Context
-	cancel    context.CancelFunc
-	group     sync.WaitGroup
-	servers   []*http.Server
+	startedAt     time.Duration
+	metrics       metrics.Registry
+	pool          *replicahttp.Pool
+	peers         *peer.Client
+	scheduling    *schedulingService
+	heartbeatConn network.DatagramSocket
+	inbound       net.Listener
+	ctx           context.Context
+	cancel        context.CancelFunc
+	group         sync.WaitGroup
+	servers       []*http.Server
 	// callers is the one of the servers that callers come to.
 	callers  *http.Server
 	sequence atomic.Uint64
@@ -95,17 +95,17 @@
 	offers sync.Mutex
 	// library has the parts of the version in force, which others are sent through
 	// senders, and holders who was sent all of them.
-	library *spread.Library
-	senders spread.Senders
-	holders spread.Holders
-	newer   staleness.Versions
+	library *spread.PartStore
+	senders spread.SendLimiter
+	holders spread.Sources
+	newer   staleness.NewerVersions
 	// isConfigurationLarge is true once the store's configuration was found to take long on this link.
 	isConfigurationLarge atomic.Bool
 
 	stopping atomic.Int64
 	inFlight atomic.Int64
 	// calls has the requests of callers in progress.
-	calls callSet
+	calls activeCalls
 
 	// mutex guards what follows.
 	mutex       sync.Mutex
@@ -113,39 +113,39 @@
 	evacuations *evacuations.Table
 	rollouts    *rollouts.Table
 	// policies says which versions get new requests, of services where not all do.
-	policies map[string]rollouts.VersionPolicy
-	members  *liveness.Table
-	relays   *liveness.Relays
-	telling  telling
-	named    namedPeers
-	health   *replicahealth.Book
+	policies      map[string]rollouts.VersionPolicy
+	members       *liveness.Table
+	relays        *liveness.Relays
+	incomingPeers incomingPeerList
+	discovered    discoveredPeers
+	health        *replicahealth.Tracker
 	// pushback is what replicas said to this node to hold requests back.
-	pushback *pushback.Book
-	zones    *zones.Book
-	held     map[string]heldPlace
-	term     uint64
+	pushback    *pushback.Tracker
+	zones       *zones.Tracker
+	assignments map[string]assignment
+	term        uint64
 	role
 	// chosenAt is the instant of the latest choice of the scheduling node, and isChoiceAwaited is
 	// true if another one is about to follow.
-	chosenAt structs.Instant
+	selectedAt structs.Instant
 	// roleAt is when this node's role or the scheduling node changed last.
-	roleAt          structs.Instant
-	isChoiceAwaited bool
+	roleAt             structs.Instant
+	isSelectionPending bool
 	// slowness tells whether this node is too slow to schedule.
-	slowness liveness.Slowness
+	slowness liveness.SlowNodeDetector
 	// readCalls is how many calls the latest complete read took.
 	readCalls int
 	// triedAt is when this node last called the store, and askedAt when it last asked for names
 	// of others.
-	triedAt, askedAt structs.Instant
+	triedAt, peersRequestedAt structs.Instant
 	// heardAt is when any other node was heard of.
-	heardAt    structs.Instant
-	storeBadAt structs.Instant
+	lastContactAt structs.Instant
+	storeFailedAt structs.Instant
 	// steady is true while this node follows the store without trouble, which it
 	// has done since steadyAt.
-	steady    bool
-	steadyAt  structs.Instant
-	storeDown bool
+	watchHealthy bool
+	steadyAt     structs.Instant
+	storeDown    bool
 	// readLimit bounds the next complete read of the store, and endWatch ends the watch
 	// that waits now.
 	readLimit time.Duration
@@ -154,63 +154,63 @@
 	isWatchOver bool
 	newsAt      structs.Instant
 	// catalogRevision is the place of the configuration that was decoded last.
-	catalogRevision structs.Place
+	catalogRevision structs.StorePosition
 	// era is what is known of the store's present era.
 	era era
 	// fresh is of the replicas, and freshConfiguration of the configuration.
 	fresh, freshConfiguration staleness.Freshness
-	undelivered               []undelivered
-	replicaLag                staleness.Lag[structs.Place]
-	versionLag, contentsLag   staleness.Lag[int64]
+	unackedFinishes           []unackedFinish
+	replicaLag                staleness.PullTracker[structs.StorePosition]
+	versionLag, poisonPull    staleness.PullTracker[int64]
 	// problems are the entries of the store and the parts of answers that did not parse and were
 	// told of.
 	problems map[string]bool
 	// breaks are requests that replicas broke off which may have ended under them.
-	breaks []unexplainedBreak
+	disconnects []unresolvedDisconnect
 	// thawedAt is when a pause of the process was last noticed.
-	thawedAt structs.Instant
+	resumedAt structs.Instant
 	// contentsStored is what the store is known to hold of barred requests.
-	contentsStored storedContents
+	poisonStored storedPoisonRecords
 	// levels is what was last told of the tenants' buckets by another node that schedules, and
 	// levelsAt when. Until levelsUntil, when it would have told again, it may have handed out
 	// from them. ledAt is when this node itself last scheduled.
-	levels map[string]float64
+	bucketLevels map[string]float64
 	// ledgers is what other nodes that schedule, or did, told of what they handed out, by name.
-	ledgers                      map[string]heardLedger
-	levelsAt, levelsUntil, ledAt structs.Instant
+	peerUsage                                       map[string]receivedUsage
+	bucketLevelsAt, bucketLevelsUntil, lastActiveAt structs.Instant
 }
 
 // New returns a node that does not run yet.
 func New(settings *Settings, depend Dependencies) *Node {
 	n := &Node{
-		depend: depend, log: depend.Log, metrics: metrics.NewRegistry(),
+		deps: depend, log: depend.Log, metrics: metrics.NewRegistry(),
 		pool: replicahttp.NewPool(depend.Network), peers: peer.NewClient(depend.Network, nil),
-		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewBook(), pushback: pushback.NewBook(), zones: zones.NewBook(),
-		held: map[string]heldPlace{}, ledgers: map[string]heardLedger{}, problems: map[string]bool{}, term: 1, storeBadAt: -time.Hour, ledAt: -time.Hour, chosenAt: -time.Hour, askedAt: -time.Hour,
-		library: spread.NewLibrary(), senders: spread.NewSenders(settings.Link),
+		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewTracker(), pushback: pushback.NewTracker(), zones: zones.NewTracker(),
+		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, problems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
+		library: spread.NewPartStore(), senders: spread.NewSendLimiter(settings.LinkMbps),
 	}
-	if n.depend.Now == nil {
+	if n.deps.Now == nil {
 		started := time.Now()
-		n.depend.Now = func() time.Duration { return time.Since(started) }
+		n.deps.Now = func() time.Duration { return time.Since(started) }
 	}
-	n.startedAt = n.depend.Now()
+	n.startedAt = n.deps.Now()
 	n.settings.Store(settings)
-	n.peers.OnSilence(func(address string) { go n.linkFellSilent(address) })
-	n.desk = newDesk(n.now, settings.retryPolicy(1), settings.FirstStart)
-	n.desk.rolloutPolicy = settings.rolloutPolicy()
-	n.desk.setRegions(settings.Regions)
-	n.desk.setContentPolicy(settings.contentPolicy())
-	n.desk.tell = n.noteContent
+	n.peers.OnSilence(func(address string) { go n.handleSilentLink(address) })
+	n.scheduling = newSchedulingService(n.now, settings.retryPolicy(1), settings.FirstStart)
+	n.scheduling.rolloutPolicy = settings.rolloutPolicy()
+	n.scheduling.setRegions(settings.Regions)
+	n.scheduling.setContentPolicy(settings.contentPolicy())
+	n.scheduling.onPoisonTransition = n.logPoisonTransition
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
 // now is the time since the node started. It goes on while the machine is suspended, unlike
 // timers and time.Since: everything that ages goes by it.
-func (n *Node) now() structs.Instant { return n.depend.Now() - n.startedAt }
+func (n *Node) now() structs.Instant { return n.deps.Now() - n.startedAt }
 
 // process names this process to schedulers.
-func (n *Node) process() string { return processName(n.settings.Load().Name, n.depend.Incarnation) }
+func (n *Node) process() string { return processName(n.settings.Load().Name, n.deps.Incarnation) }
 
 func processName(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 36)
@@ -239,7 +239,7 @@
 		}
 	}
 	n.callers = n.servers[0]
-	for _, loop := range []func(){n.watchLoop, n.readLoop, n.beatLoop, n.receiveBeats, n.zoneLoop, n.housekeeping, n.rolloutLoop, n.contentsLoop, n.lagLoop} {
+	for _, loop := range []func(){n.watchLoop, n.readLoop, n.heartbeatLoop, n.receiveHeartbeats, n.zoneLoop, n.housekeeping, n.rolloutLoop, n.poisonSyncLoop, n.slowNodeLoop} {
 		n.group.Go(loop)
 	}
 	n.log.Write(eventlog.Event{Kind: "process.start", Detail: peerAddress})
@@ -247,28 +247,28 @@
 }
 
 func (n *Node) listenPeers(address string) error {
-	listener, err := n.depend.Network.Listen(address)
+	listener, err := n.deps.Network.Listen(address)
 	if err != nil {
 		return fmt.Errorf("listen for peers at %s: %w", address, err)
 	}
-	if n.beats, err = n.depend.Datagrams.ListenDatagrams(address); err != nil {
+	if n.heartbeatConn, err = n.deps.Datagrams.ListenDatagrams(address); err != nil {
 		return fmt.Errorf("listen for heartbeats at %s: %w", address, err)
 	}
 	server := peer.NewServer(nil)
-	server.OnReplaced(func() { n.closeRested("a peer replaced its connection") })
-	peer.Handle(server, peerwire.KindPlace, func(ctx context.Context, request *placeRequest) (*placeReply, error) {
-		return n.desk.place(ctx, request), nil
+	server.OnReplaced(func() { n.closeIdle("a peer replaced its connection") })
+	peer.Handle(server, peerwire.KindPlace, func(ctx context.Context, request *assignRequest) (*assignReply, error) {
+		return n.scheduling.assign(ctx, request), nil
 	})
 	peer.Handle(server, peerwire.KindFinish, func(_ context.Context, request *finishRequest) (*finishReply, error) {
-		n.desk.finish(request)
+		n.scheduling.finish(request)
 		return &finishReply{}, nil
 	})
-	peer.Handle(server, peerwire.KindBegun, func(_ context.Context, request *begunRequest) (*begunReply, error) {
-		n.desk.begun(request)
-		return &begunReply{}, nil
+	peer.Handle(server, peerwire.KindBegun, func(_ context.Context, request *firstEventRequest) (*firstEventReply, error) {
+		n.scheduling.recordFirstEvent(request)
+		return &firstEventReply{}, nil
 	})
-	peer.Handle(server, peerwire.KindNews, n.serveNews)
-	peer.Handle(server, peerwire.KindContents, n.serveContents)
+	peer.Handle(server, peerwire.KindNews, n.serveUpdates)
+	peer.Handle(server, peerwire.KindContents, n.servePoisonRecords)
 	peer.Handle(server, peerwire.KindConfigurationParts, n.serveParts)
 	n.registerMemory(server)
 	n.inbound = listener
@@ -285,7 +285,7 @@
 )
 
 func (n *Node) listenHTTP(address string, handler http.Handler) error {
-	listener, err := n.depend.Network.Listen(address)
+	listener, err := n.deps.Network.Listen(address)
 	if err != nil {
 		return fmt.Errorf("listen at %s: %w", address, err)
 	}
@@ -298,14 +298,14 @@
 // Reload takes changed settings into force; addresses stay until a restart.
 func (n *Node) Reload(settings *Settings) {
 	n.settings.Store(settings)
-	n.desk.setContentPolicy(settings.contentPolicy())
-	n.desk.setRegions(settings.Regions)
+	n.scheduling.setContentPolicy(settings.contentPolicy())
+	n.scheduling.setRegions(settings.Regions)
 	n.log.Write(eventlog.Event{Kind: "process.reload", Outcome: "in-force"})
 }
 
 // Ready returns whether the balancer should send requests.
 func (n *Node) Ready() bool {
-	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < settleTime || n.behindTooLong() {
+	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.behindTooLong() {
 		return false
 	}
 	n.mutex.Lock()
@@ -314,11 +314,11 @@
 }
 
 // settleTime is how long a new process listens to heartbeats before it is ready.
-const settleTime = 400 * time.Millisecond
+const readinessDelay = 400 * time.Millisecond
 
 func (n *Node) readiness() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+n.depend.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+n.deps.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -352,21 +352,21 @@
 // and tells of much memory in use.
 func (n *Node) housekeeping() {
 	last := n.now()
-	for n.pause(housekeepingInterval) {
-		last = n.noticePause(last, housekeepingInterval)
+	for n.sleep(housekeepingInterval) {
+		last = n.detectSuspension(last, housekeepingInterval)
 		n.pool.Sweep()
 		n.settleEra()
 		n.expireReplicas()
 		n.forgetVersionsOfDeadPeers()
-		n.deliverAgain()
-		n.releaseEndedNodes()
-		n.desk.forgetContents()
+		n.resendFinishes()
+		n.releaseDeadNodes()
+		n.scheduling.expirePoison()
 		n.tellMemory()
 	}
 }
 
 // pause waits, and returns false if the node ended meanwhile.
-func (n *Node) pause(duration time.Duration) bool {
+func (n *Node) sleep(duration time.Duration) bool {
 	select {
 	case <-n.ctx.Done():
 		return false
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -24,21 +24,21 @@
 	// Revision is the store's up to which the replicas are known, in its Era; Restored is for how
 	// many milliseconds the node has known that the store came back from a copy, while writers may
 	// not have written again what that lost, and else zero.
-	Revision  int64  `json:"store_revision"`
-	Era       int64  `json:"store_era"`
-	Restored  int64  `json:"store_restored_ms,omitempty"`
-	NewsAge   int64  `json:"news_age_ms"`
-	StoreDown bool   `json:"store_down"`
-	Scheduler string `json:"scheduler"`
+	Revision   int64  `json:"store_revision"`
+	Era        int64  `json:"store_era"`
+	Restored   int64  `json:"store_restored_ms,omitempty"`
+	UpdatesAge int64  `json:"news_age_ms"`
+	StoreDown  bool   `json:"store_down"`
+	Scheduler  string `json:"scheduler"`
 	// Ordinary is true if other nodes of its zone speak for it, and Fleet is how many nodes it
 	// takes the fleet to have.
-	Ordinary bool                       `json:"ordinary"`
-	Fleet    int                        `json:"fleet"`
-	Live     []string                   `json:"live_peers"`
-	Silent   []string                   `json:"silent_peers"`
-	Failing  []string                   `json:"failing_replicas"`
-	Replicas []replicas.Replica         `json:"replicas"`
-	Services map[string]admission.Count `json:"services"`
+	NonDelegate bool                       `json:"ordinary"`
+	Fleet       int                        `json:"fleet"`
+	Live        []string                   `json:"live_peers"`
+	Silent      []string                   `json:"silent_peers"`
+	Failing     []string                   `json:"failing_replicas"`
+	Replicas    []replicas.Replica         `json:"replicas"`
+	Services    map[string]admission.Count `json:"services"`
 	// Pushback is what replicas said to this node to hold requests back.
 	Pushback []PushbackStatus `json:"pushback,omitempty"`
 	// Evacuations are the zones that the operators emptied or took back.
@@ -46,27 +46,27 @@
 	// Rollouts has the latest record of each service that was ever rolled out.
 	Rollouts map[string]RolloutStatus `json:"rollouts,omitempty"`
 	// Barred are the requests that are not sent since replicas ended under them.
-	Barred []ContentStatus `json:"barred,omitempty"`
+	Blocked []PoisonStatus `json:"barred,omitempty"`
 }
 
 // Status returns the node's state.
 func (n *Node) Status() *Status {
 	settings := n.settings.Load()
-	status := &Status{Name: settings.Name, Zone: settings.Zone, Ready: n.Ready(), Stopping: n.stopping.Load() != 0, Services: n.desk.counts(), Barred: n.contentStatus()}
+	status := &Status{Name: settings.Name, Zone: settings.Zone, Ready: n.Ready(), Stopping: n.stopping.Load() != 0, Services: n.scheduling.counts(), Blocked: n.poisonStatus()}
 	if current := n.catalog.Load(); current != nil {
 		status.Version = current.Version
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
-	status.Revision, status.Era, status.Restored = n.table.Revision().Revision(), n.era.present, n.era.restoredFor(now).Milliseconds()
-	status.NewsAge, status.StoreDown = (now - n.newsAt).Milliseconds(), n.storeDown
+	status.Revision, status.Era, status.Restored = n.table.CompleteTo().Revision(), n.era.present, n.era.restoredFor(now).Milliseconds()
+	status.UpdatesAge, status.StoreDown = (now - n.newsAt).Milliseconds(), n.storeDown
 	status.Scheduler, status.Failing, status.Replicas = n.scheduler, n.health.Failing(now), n.table.All()
-	status.Ordinary, status.Fleet = n.isOrdinary, n.fleet
+	status.NonDelegate, status.Fleet = n.isNonDelegate, n.fleet
 	status.Pushback = n.pushbackStatus(now)
 	status.Rollouts, status.Evacuations = n.rolloutStatus(now), n.evacuationsStatus()
 	for _, member := range n.members.All(now) {
-		if member.Silence(now) < member.Patience() {
+		if member.SinceHeartbeat(now) < member.FailureTimeout() {
 			status.Live = append(status.Live, member.Name)
 		} else {
 			status.Silent = append(status.Silent, member.Name)
@@ -80,7 +80,7 @@
 	// PathStatus is where a node serves its Status.
 	PathStatus = "/status"
 	// PathLift, with a barred request's fingerprint behind it, lets that be sent again.
-	PathLift = "/barred/lift/"
+	PathUnblock = "/barred/lift/"
 )
 
 func (n *Node) operators() http.Handler {
@@ -89,8 +89,8 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(n.Status())
 	}).Methods(http.MethodGet)
-	router.HandleFunc(PathLift+"{content}", func(w http.ResponseWriter, r *http.Request) {
-		if err := n.Lift(mux.Vars(r)["content"]); err != nil {
+	router.HandleFunc(PathUnblock+"{content}", func(w http.ResponseWriter, r *http.Request) {
+		if err := n.Unblock(mux.Vars(r)["content"]); err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 		}
 	}).Methods(http.MethodPost)
--- a/entry/place.go
+++ b/entry/place.go
@@ -13,7 +13,7 @@
 
 // grant is a place at a replica, or the reason why there is none.
 type grant struct {
-	*placeReply
+	*assignReply
 	// id names the place at the scheduling node, which is named by scheduler and address.
 	id        string
 	scheduler string
@@ -28,12 +28,12 @@
 // place asks the scheduling node for a place. If the connection to it broke, it is asked
 // once more by a new one; if it can't be reached, the next node is asked, and in the end
 // this node decides by itself.
-func (n *Node) place(ctx context.Context, request *placeRequest) *grant {
+func (n *Node) requestAssignment(ctx context.Context, request *assignRequest) *grant {
 	asked := request.Request
 	begun := n.now()
 	askedAgain := false
 	for try, left := 0, maximumSchedulers; left > 0; try, left = try+1, left-1 {
-		request.Request = asked.After(n.now() - begun)
+		request.Request = asked.WithElapsed(n.now() - begun)
 		request.Request.ID = asked.ID + "." + string(rune('a'+try))
 		request.First = request.First && try == 0 // one that was asked before may have counted it
 		scheduler, address := n.currentScheduler()
@@ -42,12 +42,12 @@
 			given.asked = try + 1
 			return given
 		}
-		reply := &placeReply{}
+		reply := &assignReply{}
 		err := n.callScheduler(ctx, scheduler, address, request, reply)
 		if err == nil && reply.Reason != reasonUnreachable {
-			return n.hold(&grant{placeReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: try + 1})
+			return n.hold(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: try + 1})
 		}
-		n.deliver(undelivered{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
+		n.deliver(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
 		if ctx.Err() != nil {
 			break
 		}
@@ -58,15 +58,15 @@
 		}
 		n.counter("scheduler.unreachable").Inc(1)
 		n.suspect(scheduler)
-		n.chooseScheduler()
+		n.selectScheduler()
 	}
-	return &grant{placeReply: &placeReply{Reason: reasonUnreachable}}
+	return &grant{assignReply: &assignReply{Reason: reasonUnreachable}}
 }
 
 // placeHere lets this node's own desk decide.
-func (n *Node) placeHere(ctx context.Context, request *placeRequest) *grant {
-	reply := n.desk.place(ctx, request)
-	return n.hold(&grant{placeReply: reply, id: request.Request.ID, scheduler: n.settings.Load().Name})
+func (n *Node) placeHere(ctx context.Context, request *assignRequest) *grant {
+	reply := n.scheduling.assign(ctx, request)
+	return n.hold(&grant{assignReply: reply, id: request.Request.ID, scheduler: n.settings.Load().Name})
 }
 
 // hold enters a place that was given into this node's own count.
@@ -75,9 +75,9 @@
 		return given
 	}
 	n.mutex.Lock()
-	n.held[given.id] = heldPlace{replica: given.Replica.ID, scheduler: given.scheduler, term: given.Term}
+	n.assignments[given.id] = assignment{replica: given.Replica.ID, scheduler: given.scheduler, term: given.Term}
 	if given.Limit != nil {
-		n.pushback.HearLimit(n.now(), *given.Limit)
+		n.pushback.MergeLimit(n.now(), *given.Limit)
 	}
 	n.mutex.Unlock()
 	return given
@@ -101,7 +101,7 @@
 const silenceCheck = 100 * time.Millisecond
 
 // callScheduler asks and waits for as long as the scheduling node is heard of.
-func (n *Node) callScheduler(ctx context.Context, scheduler, address string, request *placeRequest, reply *placeReply) error {
+func (n *Node) callScheduler(ctx context.Context, scheduler, address string, request *assignRequest, reply *assignReply) error {
 	callContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go n.watchSilence(callContext, cancel, scheduler)
@@ -118,7 +118,7 @@
 		}
 		n.mutex.Lock()
 		member, found := n.members.Get(scheduler)
-		silent := !found || member.Silence(n.now()) > member.Patience()
+		silent := !found || member.SinceHeartbeat(n.now()) > member.FailureTimeout()
 		n.mutex.Unlock()
 		if silent {
 			cancel()
@@ -129,7 +129,7 @@
 
 // undelivered is a message about an ended request that its scheduling node did
 // not confirm.
-type undelivered struct {
+type unackedFinish struct {
 	address string
 	message *finishRequest
 	since   structs.Instant
@@ -145,18 +145,18 @@
 // finish ends a place that was given.
 func (n *Node) finish(given *grant, message *finishRequest) {
 	n.mutex.Lock()
-	delete(n.held, given.id)
+	delete(n.assignments, given.id)
 	n.mutex.Unlock()
 	message.ID = given.id
 	if given.address == "" {
-		n.desk.finish(message)
+		n.scheduling.finish(message)
 		return
 	}
-	n.deliver(undelivered{address: given.address, message: message, since: n.now()})
+	n.deliver(unackedFinish{address: given.address, message: message, since: n.now()})
 }
 
 // deliver sends the message in the background and keeps it if that fails.
-func (n *Node) deliver(item undelivered) {
+func (n *Node) deliver(item unackedFinish) {
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, deliverTimeout)
 		defer cancel()
@@ -165,17 +165,17 @@
 		}
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		if n.now()-item.since < deliverLimit && len(n.undelivered) < maximumUndelivered {
-			n.undelivered = append(n.undelivered, item)
+		if n.now()-item.since < deliverLimit && len(n.unackedFinishes) < maximumUndelivered {
+			n.unackedFinishes = append(n.unackedFinishes, item)
 		}
 	}()
 }
 
 // deliverAgain sends what was not confirmed.
-func (n *Node) deliverAgain() {
+func (n *Node) resendFinishes() {
 	n.mutex.Lock()
-	items := n.undelivered
-	n.undelivered = nil
+	items := n.unackedFinishes
+	n.unackedFinishes = nil
 	n.mutex.Unlock()
 	for _, item := range items {
 		n.deliver(item)
@@ -184,15 +184,15 @@
 
 // begun tells the scheduling node that the answer began. It is not sent again
 // if it gets lost.
-func (n *Node) begun(given *grant, load int, said *pushback.Statement) {
-	message := &begunRequest{ID: given.id, Load: load, Said: said}
+func (n *Node) reportFirstEvent(given *grant, load int, said *pushback.Signals) {
+	message := &firstEventRequest{ID: given.id, Load: load, Said: said}
 	if given.address == "" {
-		n.desk.begun(message)
+		n.scheduling.recordFirstEvent(message)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, deliverTimeout)
 		defer cancel()
-		_ = n.peers.Call(ctx, given.address, peerwire.KindBegun, message, &begunReply{})
+		_ = n.peers.Call(ctx, given.address, peerwire.KindBegun, message, &firstEventReply{})
 	}()
 }
--- a/entry/pull.go
+++ b/entry/pull.go
@@ -20,22 +20,22 @@
 // Times of pulls.
 const (
 	// pullPatience is how long this node's own watch may be behind a peer's.
-	pullPatience = staleness.LeastPause
+	pullPatience = staleness.MinPullBackoff
 	// delegatesPullTime is how long news take from the nodes that follow the store to the delegates
 	// of a zone. What a zone's nodes pull from these crosses no border.
 	delegatesPullTime = 400 * time.Millisecond
 	// newsTimeout bounds a call to a peer for its news.
-	newsTimeout = 500 * time.Millisecond
+	updatesTimeout = 500 * time.Millisecond
 )
 
 // pullPatienceWith is how long this node waits before it asks the sender of the heartbeat for its
 // news: for its own watch, or, where a zone's delegates will have the news as well, for these. The
 // caller holds the mutex.
-func (n *Node) pullPatienceWith(beat liveness.Beat) time.Duration {
+func (n *Node) pullPatienceWith(beat liveness.Heartbeat) time.Duration {
 	switch {
-	case n.isOrdinary && beat.Zone != n.settings.Load().Zone:
+	case n.isNonDelegate && beat.Zone != n.settings.Load().Zone:
 		return delegatesPullTime
-	case n.rank < watchers:
+	case n.watchRank < watchers:
 		return pullPatience
 	}
 	return 0
@@ -44,47 +44,47 @@
 // latest returns the revision of the latest news that this node knows, of replicas and of
 // roll-outs. News of replicas alone does not count: of a version that a roll-out brings, a
 // node must not know the replicas and not the order. The caller holds the mutex.
-func (n *Node) latest() structs.Place {
-	if n.rollouts.Known() < n.table.Latest() {
-		return n.rollouts.Known()
+func (n *Node) latest() structs.StorePosition {
+	if n.rollouts.CompleteTo() < n.table.LatestPosition() {
+		return n.rollouts.CompleteTo()
 	}
-	return max(n.table.Latest(), n.rollouts.Latest())
+	return max(n.table.LatestPosition(), n.rollouts.LatestPosition())
 }
 
 // behindReplicas returns whether the peer knows more of the replicas or roll-outs for so long that
 // this node's own watch will not tell it, and the peer is to be asked now. The caller
 // holds the mutex.
-func (n *Node) behindReplicas(beat liveness.Beat) bool {
-	return n.replicaLag.Due(n.now(), n.latest(), beat.Latest, n.pullPatienceWith(beat))
+func (n *Node) replicaPullDue(beat liveness.Heartbeat) bool {
+	return n.replicaLag.ShouldPull(n.now(), n.latest(), beat.LatestPosition, n.pullPatienceWith(beat))
 }
 
 // serveNews answers a peer that is behind.
-func (n *Node) serveNews(_ context.Context, request *newsRequest) (*newsReply, error) {
+func (n *Node) serveUpdates(_ context.Context, request *updatesRequest) (*updatesReply, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	reply := &newsReply{Known: n.rollouts.Known()}
+	reply := &updatesReply{Known: n.rollouts.CompleteTo()}
 	reply.Orders, reply.Records = n.rollouts.Since(request.Rollouts)
-	if n.table.Latest() > request.Latest {
+	if n.table.LatestPosition() > request.Latest {
 		reply.Replicas, reply.Removed = n.table.Since(request.Latest), n.table.RemovedSince(n.now(), request.Latest)
 	}
 	return reply, nil
 }
 
 // pullNews asks a peer that knows more of the replicas than this node.
-func (n *Node) pullNews(address string) {
+func (n *Node) pullUpdates(address string) {
 	n.mutex.Lock()
-	request := &newsRequest{Latest: n.table.Latest(), Rollouts: n.rollouts.Known()}
+	request := &updatesRequest{Latest: n.table.LatestPosition(), Rollouts: n.rollouts.CompleteTo()}
 	n.mutex.Unlock()
 	err := n.pull(address, request)
 	n.mutex.Lock()
-	n.replicaLag.Ended(n.now(), err == nil)
+	n.replicaLag.PullDone(n.now(), err == nil)
 	n.mutex.Unlock()
 	n.noteNotPulled(address, err)
 }
 
 // pullAll asks a peer for all that it knows of the replicas and roll-outs, of before a copy too.
 func (n *Node) pullAll(address string) {
-	err := n.pull(address, &newsRequest{})
+	err := n.pull(address, &updatesRequest{})
 	n.mutex.Lock()
 	n.era.isAsking = false
 	n.era.lacksPast = n.era.lacksPast && err != nil
@@ -100,23 +100,23 @@
 }
 
 // pull brings a peer's news of the replicas into force.
-func (n *Node) pull(address string, request *newsRequest) error {
-	ctx, cancel := context.WithTimeout(n.ctx, newsTimeout)
+func (n *Node) pull(address string, request *updatesRequest) error {
+	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
-	reply := &newsReply{}
+	reply := &updatesReply{}
 	if err := n.peers.Call(ctx, address, peerwire.KindNews, request, reply); err != nil {
 		return err
 	}
-	n.takeRollouts(reply.Orders, reply.Records, reply.Known)
+	n.applyRollouts(reply.Orders, reply.Records, reply.Known)
 	n.mutex.Lock()
-	before := n.table.Version()
+	before := n.table.ChangeCount()
 	for _, replica := range reply.Replicas {
-		n.takeReplica(replica)
+		n.applyReplica(replica)
 	}
 	for id, revision := range reply.Removed {
 		n.remove(id, revision)
 	}
-	changed := n.table.Version() != before
+	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
 		n.replicasChanged()
--- a/entry/pull_test.go
+++ b/entry/pull_test.go
@@ -23,21 +23,21 @@
 	first := 0
 	for i := range 20 {
 		name := fmt.Sprintf("n%02d", i)
-		settings := &Settings{Name: name, Cores: 0.2, Link: 10}
+		settings := &Settings{Name: name, Cores: 0.2, LinkMbps: 10}
 		if i < 4 {
-			settings.Cores, settings.Link = 0.8, 200
+			settings.Cores, settings.LinkMbps = 0.8, 200
 		}
 		n := New(settings, Dependencies{Log: eventlog.New(name, nil)})
 		for j := range 20 {
-			other := liveness.Beat{Name: fmt.Sprintf("n%02d", j), Cores: 0.2, Link: 10}
+			other := liveness.Heartbeat{Name: fmt.Sprintf("n%02d", j), Cores: 0.2, LinkMbps: 10}
 			if j < 4 {
-				other.Cores, other.Link = 0.8, 200
+				other.Cores, other.LinkMbps = 0.8, 200
 			}
 			if i != j {
-				n.members.Heard(n.now(), other)
+				n.members.Observe(n.now(), other)
 			}
 		}
-		if rank := n.storeRank(n.members.Live(n.now())); rank < watchers {
+		if rank := n.watchRankAmong(n.members.Live(n.now())); rank < watchers {
 			first++
 			g.Expect(i).To(gomega.BeNumerically("<", 4), "rank %d", rank)
 		}
@@ -48,26 +48,26 @@
 func TestPullsOfOneKindOfNewsGoOneAtATime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := freshnessNode(9)
-	n.startedAt, n.depend.Now = 0, func() time.Duration { return 0 }
-	news := liveness.Beat{Version: 4, Latest: 9}
-	g.Expect(n.behindReplicas(news)).To(gomega.BeTrue())
-	g.Expect(n.behindReplicas(news)).To(gomega.BeFalse(), "one at a time")
-	g.Expect(n.behindConfiguration(news)).To(gomega.BeTrue(), "one kind of news does not wait for the other")
-	g.Expect(n.behindConfiguration(news)).To(gomega.BeFalse(), "one at a time")
+	n.startedAt, n.deps.Now = 0, func() time.Duration { return 0 }
+	news := liveness.Heartbeat{Version: 4, LatestPosition: 9}
+	g.Expect(n.replicaPullDue(news)).To(gomega.BeTrue())
+	g.Expect(n.replicaPullDue(news)).To(gomega.BeFalse(), "one at a time")
+	g.Expect(n.configurationPullDue(news)).To(gomega.BeTrue(), "one kind of news does not wait for the other")
+	g.Expect(n.configurationPullDue(news)).To(gomega.BeFalse(), "one at a time")
 }
 
 func TestRepliesHoldOnlyWhatIsNew(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := freshnessNode(0)
-	n.table.Put(replicas.Replica{ID: "later", Service: "s", Revision: 12})
-	n.table.Put(replicas.Replica{ID: "gone", Service: "s", Revision: 8})
+	n.table.Put(replicas.Replica{ID: "later", Service: "s", Position: 12})
+	n.table.Put(replicas.Replica{ID: "gone", Service: "s", Position: 8})
 	n.table.Remove(0, "gone", 11)
-	reply, err := n.serveNews(context.Background(), &newsRequest{Latest: 9})
+	reply, err := n.serveUpdates(context.Background(), &updatesRequest{Latest: 9})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(reply.Replicas).To(gomega.HaveLen(1))
 	g.Expect(reply.Replicas[0].ID).To(gomega.Equal("later"))
-	g.Expect(reply.Removed).To(gomega.HaveKeyWithValue("gone", structs.Place(11)))
-	all, err := n.serveNews(context.Background(), &newsRequest{})
+	g.Expect(reply.Removed).To(gomega.HaveKeyWithValue("gone", structs.StorePosition(11)))
+	all, err := n.serveUpdates(context.Background(), &updatesRequest{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(all.Replicas).To(gomega.HaveLen(2))
 	parts, err := n.serveParts(context.Background(), &spread.Request{Version: 3})
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -16,47 +16,47 @@
 
 // heed enters what the answer to a request says that was sent at the instant. It returns that if the
 // node that schedules has to hear of it, and else nil.
-func (n *Node) heed(answer *replicahttp.Answer, replica replicas.Replica, sent structs.Instant) *pushback.Statement {
-	said, err := n.depend.ReadAnswer(answer.StatusCode, answer.Header)
+func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sent structs.Instant) *pushback.Signals {
+	said, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
 	if err != nil {
 		n.noteUnreadableAnswer(replica, err)
 	}
 	n.mutex.Lock()
-	change := n.pushback.Hear(n.now(), sent, pushback.LifeOf(replica), said)
+	change := n.pushback.Observe(n.now(), sent, pushback.IncarnationOf(replica), said)
 	n.mutex.Unlock()
 	n.notePushback(replica, said, change)
-	if said.Leaving || change.Paused || said.Limit.State == pushback.LimitNamed || change.Limited {
+	if said.Leaving || change.PauseRequested || said.Limit.State == pushback.LimitSet || change.LimitChanged {
 		return &said
 	}
 	return nil
 }
 
 // heardOf returns what the node that schedules has to know of the service's replicas.
-func (n *Node) heardOf(service string) []pushback.Note {
+func (n *Node) pushbackReports(service string) []pushback.Report {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.pushback.Notes(n.now(), func(life pushback.Life) bool {
+	return n.pushback.Reports(n.now(), func(life pushback.Incarnation) bool {
 		known, found := n.table.Get(life.Replica)
-		return found && known.Service == service && pushback.LifeOf(known) == life && !known.Draining // whoever schedules knows those that drain
+		return found && known.Service == service && pushback.IncarnationOf(known) == life && !known.Draining // whoever schedules knows those that drain
 	})
 }
 
 // notePushback writes a line for each thing that an answer changed.
-func (n *Node) notePushback(replica replicas.Replica, said pushback.Statement, change pushback.Change) {
+func (n *Node) notePushback(replica replicas.Replica, said pushback.Signals, change pushback.Change) {
 	tell := func(outcome, detail string) {
 		n.counter("pushback." + outcome).Inc(1)
 		n.log.Write(eventlog.Event{Kind: "replica.said", Service: replica.Service, Replica: replica.ID, Outcome: outcome, Detail: detail})
 	}
-	if change.Left {
+	if change.StartedLeaving {
 		tell("leaving", "")
 	}
 	switch {
-	case change.Limited && said.Limit.State == pushback.LimitNamed:
+	case change.LimitChanged && said.Limit.State == pushback.LimitSet:
 		tell("limited", strconv.FormatFloat(said.Limit.PerSecond, 'g', 6, 64)+" a second")
-	case change.Limited:
+	case change.LimitChanged:
 		tell("unlimited", "")
 	}
-	if change.Paused {
+	if change.PauseRequested {
 		tell("pause", said.Pause.String())
 	}
 }
@@ -86,9 +86,9 @@
 // pushbackStatus returns what operators see. The caller holds the mutex.
 func (n *Node) pushbackStatus(now structs.Instant) []PushbackStatus {
 	var told []PushbackStatus
-	for _, note := range n.pushback.Notes(now, func(pushback.Life) bool { return true }) {
+	for _, note := range n.pushback.Reports(now, func(pushback.Incarnation) bool { return true }) {
 		status := PushbackStatus{Replica: note.Life.Replica, Leaving: note.Leaving, Pause: note.Pause.Milliseconds()}
-		if note.Limit.State == pushback.LimitNamed {
+		if note.Limit.State == pushback.LimitSet {
 			status.Limit = &note.Limit.PerSecond
 		}
 		told = append(told, status)
--- a/entry/quotadesk.go
+++ b/entry/quotadesk.go
@@ -16,7 +16,7 @@
 
 // levels returns the tenants' buckets that another node would have to know, or nil. One that
 // hands out a small share has small buckets, which say nothing of the tenants' own.
-func (d *desk) levels() map[string]float64 {
+func (d *schedulingService) levels() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.share <= majority {
@@ -28,39 +28,39 @@
 // takeOver goes on from the buckets that the last scheduling node told of, which may have handed
 // out until the time given. Were all the time since it told credited, nodes killed each 0.8 s
 // would hand out a tenth of a window too much; were none, tenants below their quotas were refused.
-func (d *desk) takeOver(until structs.Instant, levels map[string]float64) {
+func (d *schedulingService) takeOver(until structs.Instant, levels map[string]float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.quotas = quota.NewLedger(takeoverBurst)
-	d.quotas.Seed(until, levels)
+	d.quotas = quota.NewBuckets(takeoverBurst)
+	d.quotas.Restore(until, levels)
 }
 
 // adopt takes account of what another node handed out that schedules as well, or did until
 // just now. A process that starts on the first node of the order schedules at once and knows
 // nothing: killed each 0.8 s, it handed out a third more than the quotas allow.
-func (d *desk) adopt(until structs.Instant, levels map[string]float64) {
+func (d *schedulingService) adopt(until structs.Instant, levels map[string]float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.quotas.Adopt(d.clock(), until, levels)
+	d.quotas.MergeRemote(d.clock(), until, levels)
 }
 
 // ledgerView returns what this desk handed out since it began to schedule.
-func (d *desk) ledgerView() *liveness.LedgerView {
+func (d *schedulingService) ledgerView() *liveness.QuotaUsage {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	return &liveness.LedgerView{Epoch: d.epoch, Led: (now - d.ledSince).Milliseconds(), Taken: d.quotas.Taken(now, maximumLevels)}
+	return &liveness.QuotaUsage{Epoch: d.epoch, Led: (now - d.ledSince).Milliseconds(), Taken: d.quotas.Taken(now, maximumLevels)}
 }
 
 // charge takes account of what other scheduling nodes handed out while this one schedules.
-func (d *desk) charge(handed quota.Handed) {
+func (d *schedulingService) charge(handed quota.RemoteUsage) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.quotas.Charge(handed)
+	d.quotas.ChargeRemote(handed)
 }
 
 // ledFor returns for how long this node has scheduled, or has since it last began to.
-func (d *desk) ledFor() time.Duration {
+func (d *schedulingService) ledFor() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.clock() - d.ledSince
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -23,7 +23,7 @@
 
 // relay passes the replica's answer on to the caller.
 func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
-	names := &c.node.depend.Headers
+	names := &c.node.deps.Headers
 	proven := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	switch {
@@ -61,7 +61,7 @@
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
 	c.node.noteAnswered(replica.ID)
-	if failed && !c.headSent && c.route.Repeatable() && c.sends+1 < c.route.Attempts && c.ctx.Err() == nil {
+	if failed && !c.headSent && c.route.Repeatable() && c.sends+1 < c.route.MaxAttempts && c.ctx.Err() == nil {
 		return resultFailed, admission.Observation{}
 	}
 	if c.headSent {
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -10,30 +10,30 @@
 // relay, passes them on and confirms that. coordination/liveness chooses the relay.
 
 // receive handles one heartbeat, for this node or to be passed on.
-func (n *Node) receive(beat liveness.Beat) {
-	if beat.Reached > 0 {
+func (n *Node) receive(beat liveness.Heartbeat) {
+	if beat.RelayedTo > 0 {
 		n.mutex.Lock()
-		n.relays.Confirmed(beat.Zone, beat.Name, beat.Reached)
+		n.relays.Confirmed(beat.Zone, beat.Name, beat.RelayedTo)
 		n.mutex.Unlock()
 		return
 	}
-	if beat.PassOn {
+	if beat.RelayRequested {
 		n.passOn(beat)
 	}
-	if beat.Asks || beat.AsksNames {
-		n.introduce(beat.Address, beat.Zone, beat.AsksNames)
+	if beat.WantsReply || beat.WantsPeers {
+		n.introduce(beat.Address, beat.Zone, beat.WantsPeers)
 	}
 	n.heard(beat)
 }
 
 // passOn sends another zone's heartbeat to the nodes of this one and confirms it.
-func (n *Node) passOn(beat liveness.Beat) {
+func (n *Node) passOn(beat liveness.Heartbeat) {
 	own := n.settings.Load().Zone
 	if beat.Zone == own {
 		return // the sender reaches them itself
 	}
 	copied := beat
-	copied.PassOn, copied.Passed, copied.Asks, copied.AsksNames = false, true, false, false
+	copied.RelayRequested, copied.Relayed, copied.WantsReply, copied.WantsPeers = false, true, false, false
 	// The copy is about as long as the original, which had room in a datagram.
 	content, err := msgpack.Marshal(copied)
 	if err != nil {
@@ -50,7 +50,7 @@
 	n.mutex.Unlock()
 	n.sendAll(content, addresses)
 	n.counter("beats.passed_on").Inc(1)
-	n.sendBeat(liveness.Beat{Name: n.settings.Load().Name, Zone: own, Reached: len(addresses) + 1}, []string{beat.Address})
+	n.sendBeat(liveness.Heartbeat{Name: n.settings.Load().Name, Zone: own, RelayedTo: len(addresses) + 1}, []string{beat.Address})
 }
 
 // suspect takes the node for dead, and asks it to show at once that this node reaches it.
@@ -63,6 +63,6 @@
 	if !found {
 		return
 	}
-	beat.Asks = true
+	beat.WantsReply = true
 	n.sendBeat(beat, []string{member.Address})
 }
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -27,15 +27,15 @@
 
 // takeRollouts takes news of roll-outs into force. Known is the revision up to which the
 // news is whole; zero means that it is not.
-func (n *Node) takeRollouts(orders []rollouts.Order, records []rollouts.Record, known structs.Place) {
+func (n *Node) applyRollouts(orders []rollouts.Order, records []rollouts.Record, known structs.StorePosition) {
 	n.mutex.Lock()
 	now := n.now()
 	// What is known farther explains versions that were barred; where none is, nothing changes.
-	changed := n.rollouts.Known() < known && len(n.policies) > 0
+	changed := n.rollouts.CompleteTo() < known && len(n.policies) > 0
 	for _, order := range orders {
 		if n.rollouts.PutOrder(now, order) {
 			changed = true
-			n.log.Write(eventlog.Event{Kind: "rollout", Service: order.Service, Outcome: "ordered", Revision: order.Revision.Revision(), Era: order.Revision.Era(), Detail: order.Target, Left: order.Duration.Milliseconds()})
+			n.log.Write(eventlog.Event{Kind: "rollout", Service: order.Service, Outcome: "ordered", Revision: order.Position.Revision(), Era: order.Position.Era(), Detail: order.Target, Remaining: order.Duration.Milliseconds()})
 		}
 	}
 	moved := false
@@ -45,18 +45,18 @@
 			continue
 		}
 		changed = true
-		if before.Phase != record.Phase || before.Order != record.Order {
+		if before.Phase != record.Phase || before.OrderPosition != record.OrderPosition {
 			moved = true
-			n.log.Write(eventlog.Event{Kind: "rollout", Service: record.Service, Outcome: record.Phase.String(), Revision: record.Revision.Revision(), Era: record.Revision.Era(), Detail: record.Target, Reason: record.Reason})
+			n.log.Write(eventlog.Event{Kind: "rollout", Service: record.Service, Outcome: record.Phase.String(), Revision: record.Position.Revision(), Era: record.Position.Era(), Detail: record.Target, Reason: record.Reason})
 		}
 	}
-	n.rollouts.SetKnown(known)
+	n.rollouts.SetCompleteTo(known)
 	n.mutex.Unlock()
 	if changed {
 		n.applyPolicies()
 	}
 	if moved {
-		n.sendBeats() // whoever steps the roll-out waits for every node to confirm the phase
+		n.sendHeartbeats() // whoever steps the roll-out waits for every node to confirm the phase
 	}
 }
 
@@ -65,10 +65,10 @@
 func (n *Node) policyOf(service string, pool []replicas.Replica) rollouts.VersionPolicy {
 	order, ordered := n.rollouts.Order(service)
 	policy := n.rollouts.Policy(service, ordered && inService(order, pool))
-	unexplained := unexplainedVersions(pool, n.rollouts.Known())
+	unexplained := unexplainedVersions(pool, n.rollouts.CompleteTo())
 	if len(unexplained) > 0 {
 		policy.Service = service
-		policy.Barred = append(append([]string{}, policy.Barred...), unexplained...)
+		policy.Excluded = append(append([]string{}, policy.Excluded...), unexplained...)
 	}
 	return policy
 }
@@ -81,7 +81,7 @@
 		if replica.Version != order.Target {
 			return false
 		}
-		served = served || replica.Revision < order.Revision
+		served = served || replica.Position < order.Position
 	}
 	return served
 }
@@ -89,11 +89,11 @@
 // unexplainedVersions returns the versions of a service beside others whose replicas are
 // all newer than what is known of roll-outs: an order may bring them that this node has
 // not heard of.
-func unexplainedVersions(pool []replicas.Replica, known structs.Place) []string {
-	oldest := map[string]structs.Place{}
+func unexplainedVersions(pool []replicas.Replica, known structs.StorePosition) []string {
+	oldest := map[string]structs.StorePosition{}
 	for _, replica := range pool {
-		if revision, found := oldest[replica.Version]; !found || replica.Revision < revision {
-			oldest[replica.Version] = replica.Revision
+		if revision, found := oldest[replica.Version]; !found || replica.Position < revision {
+			oldest[replica.Version] = replica.Position
 		}
 	}
 	var versions []string
@@ -110,9 +110,9 @@
 
 // isBarred returns whether the replica's version gets no new requests. The caller holds
 // the mutex.
-func (n *Node) isBarred(replica replicas.Replica) bool {
+func (n *Node) isExcluded(replica replicas.Replica) bool {
 	policy, found := n.policies[replica.Service]
-	return found && policy.Use(replica.Version) == rollouts.UseBarred
+	return found && policy.AccessFor(replica.Version) == rollouts.AccessDenied
 }
 
 // poolsOf groups the replicas by their service.
@@ -145,11 +145,11 @@
 	n.mutex.Unlock()
 	for service := range lifted {
 		if _, still := policies[service]; !still {
-			n.desk.setVersions(service, rollouts.VersionPolicy{})
+			n.scheduling.setVersions(service, rollouts.VersionPolicy{})
 		}
 	}
 	for service, policy := range policies {
-		n.desk.setVersions(service, policy)
+		n.scheduling.setVersions(service, policy)
 	}
 }
 
@@ -158,13 +158,13 @@
 func (n *Node) rolloutViews() map[string]liveness.RolloutView {
 	var views map[string]liveness.RolloutView
 	for service, policy := range n.policies {
-		if policy.Phase == 0 || policy.Phase.Ended() {
+		if policy.Phase == 0 || policy.Phase.IsTerminal() {
 			continue
 		}
 		if views == nil {
 			views = map[string]liveness.RolloutView{}
 		}
-		views[service] = liveness.RolloutView{Order: policy.Order, Phase: uint8(policy.Phase), Busy: n.busyAtBarred(service)}
+		views[service] = liveness.RolloutView{OrderPosition: policy.OrderPosition, Phase: uint8(policy.Phase), Busy: n.busyAtBarred(service)}
 	}
 	return views
 }
@@ -173,8 +173,8 @@
 // new ones. The caller holds the mutex.
 func (n *Node) busyAtBarred(service string) int {
 	busy := 0
-	for _, place := range n.held {
-		if replica, known := n.table.Get(place.replica); known && replica.Service == service && n.isBarred(replica) {
+	for _, place := range n.assignments {
+		if replica, known := n.table.Get(place.replica); known && replica.Service == service && n.isExcluded(replica) {
 			busy++
 		}
 	}
@@ -183,11 +183,11 @@
 
 // rolloutLoop steps the roll-outs while this node schedules.
 func (n *Node) rolloutLoop() {
-	if n.depend.Rollouts == nil {
+	if n.deps.Rollouts == nil {
 		return
 	}
 	wait := rolloutRest
-	for n.pause(wait) {
+	for n.sleep(wait) {
 		lost := n.lostRollouts()
 		for _, service := range lost {
 			n.restoreRollout(service)
@@ -211,44 +211,44 @@
 	if n.scheduler != n.settings.Load().Name || n.stopping.Load() != 0 {
 		return nil
 	}
-	isEnded := func(service string) bool { return n.policies[service].Phase.Ended() }
+	isEnded := func(service string) bool { return n.policies[service].Phase.IsTerminal() }
 	return slices.DeleteFunc(n.rollouts.Services(), isEnded)
 }
 
 // stepRollout writes the next record of the service's roll-out if one is due.
 func (n *Node) stepRollout(service string) {
 	situation, record := n.rolloutSituation(service)
-	if situation.Order.Revision == 0 || !n.knowsService(service) {
+	if situation.Order.Position == 0 || !n.knowsService(service) {
 		return
 	}
-	next, due := n.desk.proposeRollout(situation, record)
+	next, due := n.scheduling.proposeRollout(situation, record)
 	if !due {
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteLimit)
 	defer cancel()
-	revision, err := n.depend.Rollouts.WriteRollout(ctx, next)
-	n.desk.rolloutWritten(next, revision, err)
+	revision, err := n.deps.Rollouts.WriteRollout(ctx, next)
+	n.scheduling.rolloutWritten(next, revision, err)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
 		n.rereadRollout(ctx, service)
 		return
 	}
 	n.counter("rollouts.writes").Inc(1)
-	next.Revision = revision
-	n.takeRollouts(nil, []rollouts.Record{next}, 0)
+	next.Position = revision
+	n.applyRollouts(nil, []rollouts.Record{next}, 0)
 }
 
 // rereadRollout learns what the store holds after a write that did not succeed: another node
 // may have written, or this one without hearing of it.
 func (n *Node) rereadRollout(ctx context.Context, service string) {
-	record, err := n.depend.Rollouts.ReadRollout(ctx, service)
+	record, err := n.deps.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
 		n.counter("rollouts.reads_failed").Inc(1)
 		return // the next write fails, and is followed by another read
 	}
 	n.mutex.Lock()
-	n.rollouts.ReplaceRecord(n.now(), record)
+	n.rollouts.OverwriteRecord(n.now(), record)
 	n.mutex.Unlock()
 	n.applyPolicies()
 }
@@ -260,14 +260,14 @@
 }
 
 // rolloutSituation returns what the next step of the service's roll-out goes by.
-func (n *Node) rolloutSituation(service string) (rollout.Situation, rollouts.Record) {
+func (n *Node) rolloutSituation(service string) (rollout.Inputs, rollouts.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
 	order, _ := n.rollouts.Order(service)
 	record, _ := n.rollouts.Record(service)
 	pool := poolsOf(n.table.All())[service]
-	seen := rollout.Situation{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: inService(order, pool)}
+	seen := rollout.Inputs{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: inService(order, pool)}
 	for _, replica := range pool {
 		switch {
 		case replica.Draining:
@@ -280,7 +280,7 @@
 	seen.Busy, seen.Confirmed = n.busyAtBarred(service), true
 	for _, member := range n.mayServe(now, record.Phase) {
 		view, told := member.Rollouts[service]
-		if !told || view.Order != record.Order || view.Phase != uint8(record.Phase) {
+		if !told || view.OrderPosition != record.OrderPosition || view.Phase != uint8(record.Phase) {
 			seen.Confirmed = false
 		}
 		seen.Busy += view.Busy
@@ -293,7 +293,7 @@
 // are heard of: a target that is given up drains. The caller holds the mutex.
 func (n *Node) mayServe(now structs.Instant, phase rollouts.Phase) []*liveness.Member {
 	if phase == rollouts.PhaseSwitching {
-		return n.members.NotLost(now)
+		return n.members.PossiblyRunning(now)
 	}
 	return n.members.Live(now)
 }
--- a/entry/rolloutdesk.go
+++ b/entry/rolloutdesk.go
@@ -16,17 +16,17 @@
 
 // rolloutDoubt returns the evidence against the target of the service's roll-out; zero at a
 // node that does not step it.
-func (d *desk) rolloutDoubt(service string) (float64, string) {
+func (d *schedulingService) rolloutDoubt(service string) (float64, string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if controller, found := d.controllers[service]; found {
-		return controller.Doubt()
+		return controller.RegressionScore()
 	}
 	return 0, ""
 }
 
 // setVersions takes over which versions of the service get new requests.
-func (d *desk) setVersions(service string, policy rollouts.VersionPolicy) {
+func (d *schedulingService) setVersions(service string, policy rollouts.VersionPolicy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.scheduler.SetVersions(service, policy)
@@ -34,7 +34,7 @@
 }
 
 // proposeRollout returns the record that is to be written next.
-func (d *desk) proposeRollout(seen rollout.Situation, known rollouts.Record) (rollouts.Record, bool) {
+func (d *schedulingService) proposeRollout(seen rollout.Inputs, known rollouts.Record) (rollouts.Record, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	service := seen.Order.Service
@@ -42,16 +42,16 @@
 	if !found {
 		controller = rollout.NewController(d.rolloutPolicy, d.clock(), known)
 		d.controllers[service] = controller
-		d.scheduler.SetTrial(service, controller.Exposure())
+		d.scheduler.SetCanaryBudget(service, controller.CanaryBudget())
 	}
 	controller.Adopt(known)
-	seen.Busy = max(seen.Busy, d.scheduler.HeldAt(service))
+	seen.Busy = max(seen.Busy, d.scheduler.InFlightAt(service))
 	seen.Longest = d.longest[service]
 	return controller.Propose(d.clock(), seen)
 }
 
 // rolloutWritten enters what became of a write.
-func (d *desk) rolloutWritten(written rollouts.Record, revision structs.Place, err error) {
+func (d *schedulingService) rolloutWritten(written rollouts.Record, revision structs.StorePosition, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	controller, found := d.controllers[written.Service]
@@ -60,11 +60,11 @@
 	}
 	switch {
 	case err == nil:
-		controller.Written(d.clock(), written, revision)
+		controller.WriteCommitted(d.clock(), written, revision)
 	case errors.Is(err, errkind.StoreUnknown):
-		controller.Unknown(d.clock())
+		controller.WriteUnknown(d.clock())
 	default:
-		controller.Refused(d.clock())
+		controller.WriteRejected(d.clock())
 	}
 }
 
@@ -73,7 +73,7 @@
 const longestShare = 0.02
 
 // noteRollout enters the end of a request into the judgement of its service's versions.
-func (d *desk) noteRollout(ended admission.Ended, seen admission.Observation, notRun bool) {
+func (d *schedulingService) noteRollout(ended admission.Completion, seen admission.Observation, notRun bool) {
 	if seen.Duration > 0 {
 		before := d.longest[ended.Service]
 		d.longest[ended.Service] = max(seen.Duration, before-time.Duration(longestShare*float64(before-seen.Duration)))
@@ -82,7 +82,7 @@
 	if !found || notRun {
 		return
 	}
-	controller.Ended(answerOf(ended, seen, controller.Record().Target), !seen.Left)
+	controller.RecordResult(answerOf(ended, seen, controller.Record().Target), !seen.Left)
 }
 
 // promptOverhead is the part of the time to a first event that does not depend on the
@@ -90,8 +90,8 @@
 const promptOverhead = 500
 
 // answerOf describes the end of a request to the judge.
-func answerOf(ended admission.Ended, seen admission.Observation, target string) rollout.Answer {
-	answer := rollout.Answer{
+func answerOf(ended admission.Completion, seen admission.Observation, target string) rollout.Sample {
+	answer := rollout.Sample{
 		Route: ended.Route, Replica: ended.Replica, Begun: ended.Placed, Target: ended.Version == target, Failed: seen.Failed, Step: seen.Duration,
 	}
 	if seen.Events == 0 {
--- a/entry/rolloutrestore.go
+++ b/entry/rolloutrestore.go
@@ -14,7 +14,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.rollouts.Lost(n.era.present)
+	return n.rollouts.ServicesToRewrite(n.era.present)
 }
 
 // restoreRollout writes a record again that the store lost, unless the store knows better. Until
@@ -22,7 +22,7 @@
 func (n *Node) restoreRollout(service string) {
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteLimit)
 	defer cancel()
-	stored, err := n.depend.Rollouts.ReadRollout(ctx, service)
+	stored, err := n.deps.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
 		n.counter("rollouts.reads_failed").Inc(1)
 		return
@@ -30,26 +30,26 @@
 	n.mutex.Lock()
 	now := n.now()
 	record, known := n.rollouts.Record(service)
-	isCurrent := stored.Revision == 0 || n.noteAnswer(stored.Revision)
+	isCurrent := stored.Position == 0 || n.checkEra(stored.Position)
 	switch {
 	case !known || !isCurrent:
 		n.mutex.Unlock()
 		return
-	case stored.Revision > 0 && !stored.IsBehind(record):
-		n.rollouts.ReplaceRecord(now, stored)
+	case stored.Position > 0 && !stored.IsOlderThan(record):
+		n.rollouts.OverwriteRecord(now, stored)
 		n.mutex.Unlock()
 		n.applyPolicies()
 		return
 	}
 	record.Elapsed = n.rollouts.Elapsed(now, service)
 	n.mutex.Unlock()
-	record.Revision = stored.Revision
-	written, err := n.depend.Rollouts.WriteRollout(ctx, record)
+	record.Position = stored.Position
+	written, err := n.deps.Rollouts.WriteRollout(ctx, record)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
 		return // read again with the next step
 	}
 	n.counter("rollouts.restored").Inc(1)
-	record.Revision = written
-	n.takeRollouts(nil, []rollouts.Record{record}, 0)
+	record.Position = written
+	n.applyRollouts(nil, []rollouts.Record{record}, 0)
 }
--- a/entry/rolloutstatus.go
+++ b/entry/rolloutstatus.go
@@ -17,8 +17,8 @@
 	Left int64 `json:"left_ms"`
 	// Doubt is how far the evidence against the target is at the node that schedules: from
 	// 1 on it is rolled back. DoubtRoute is the route that shows most.
-	Doubt      float64 `json:"doubt"`
-	DoubtRoute string  `json:"doubt_route,omitempty"`
+	RegressionScore float64 `json:"doubt"`
+	RegressionRoute string  `json:"doubt_route,omitempty"`
 	// Evidence tells of each route the bad answers of the target and of the others.
 	Evidence []string `json:"evidence,omitempty"`
 }
@@ -33,9 +33,9 @@
 		}
 		order, _ := n.rollouts.Order(service)
 		status := RolloutStatus{Record: record, Step: record.Phase.String(), Left: (order.Duration - n.rollouts.Elapsed(now, service)).Milliseconds()}
-		status.Doubt, status.DoubtRoute = n.desk.rolloutDoubt(service)
-		for _, route := range slices.Sorted(maps.Keys(record.Routes)) {
-			status.Evidence = append(status.Evidence, rollout.Describe(route, record.Routes[route]))
+		status.RegressionScore, status.RegressionRoute = n.scheduling.rolloutDoubt(service)
+		for _, route := range slices.Sorted(maps.Keys(record.EvidenceByRoute)) {
+			status.Evidence = append(status.Evidence, rollout.Describe(route, record.EvidenceByRoute[route]))
 		}
 		told[service] = status
 	}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -18,7 +18,7 @@
 	var tried []string
 	runs := 0
 	for {
-		given := c.node.place(c.ctx, c.placeRequest(tried, c.sends > 0))
+		given := c.node.requestAssignment(c.ctx, c.placeRequest(tried, c.sends > 0))
 		c.waited += given.Waited
 		c.node.observe("place_wait_ms", given.Waited)
 		c.notePlace(given)
@@ -69,7 +69,7 @@
 		c.noteLife(given, finished)
 	}
 	if given.address != "" {
-		c.node.desk.observe(c.service, c.prompt, finished, given.Replica.ID)
+		c.node.scheduling.observe(c.service, c.prompt, finished, given.Replica.ID)
 	}
 	c.node.finish(given, finished)
 }
@@ -77,19 +77,19 @@
 // noteLife finds out whether the replica that broke the request off ended under it. Where that
 // can't be told yet, it is remembered.
 func (c *call) noteLife(given *grant, finished *finishRequest) {
-	ended := &endedLife{Life: contents.LifeOf(given.Replica.ID, given.Replica.Born), Service: c.service, Route: c.route.Name}
-	state := lifeUnknown // of one that fell silent
+	ended := &crashedIncarnation{Life: contents.IncarnationOf(given.Replica.ID, given.Replica.StartedAt), Service: c.service, Route: c.route.Name}
+	state := incarnationUnknown // of one that fell silent
 	switch c.broke {
 	case breakClosed:
-		state = c.node.lifeOf(given.Replica)
+		state = c.node.probeIncarnation(given.Replica)
 	case breakSpoiled:
 		return
 	}
 	switch state {
-	case lifeEnded:
+	case incarnationEnded:
 		finished.Ended = ended
-	case lifeUnknown:
-		c.node.rememberBreak(unexplainedBreak{replica: given.Replica, content: c.fingerprint, ended: ended})
+	case incarnationUnknown:
+		c.node.deferDisconnect(unresolvedDisconnect{replica: given.Replica, content: c.fingerprint, ended: ended})
 	}
 }
 
@@ -110,39 +110,39 @@
 	if !n.isOpen(given) {
 		return false
 	}
-	n.pushback.Sent(n.now(), pushback.LifeOf(given.Replica))
+	n.pushback.Sent(n.now(), pushback.IncarnationOf(given.Replica))
 	return true
 }
 
 // isOpen is maySend for who holds the mutex.
 func (n *Node) isOpen(given *grant) bool {
-	life := pushback.LifeOf(given.Replica)
-	if n.evacuations.IsEmptied(given.Replica.Zone) || n.pushback.IsLeaving(life) || n.pushback.PauseLeft(n.now(), life) > 0 {
+	life := pushback.IncarnationOf(given.Replica)
+	if n.evacuations.IsEvacuated(given.Replica.Zone) || n.pushback.IsLeaving(life) || n.pushback.PauseLeft(n.now(), life) > 0 {
 		return false
 	}
-	if known, found := n.table.Get(life.Replica); found && (known.Draining || n.isBarred(known)) {
+	if known, found := n.table.Get(life.Replica); found && (known.Draining || n.isExcluded(known)) {
 		return false
 	}
-	isCounted := given.Limit != nil && given.Limit.Limit.State == pushback.LimitNamed
+	isCounted := given.Limit != nil && given.Limit.Limit.State == pushback.LimitSet
 	return isCounted || !n.pushback.IsLimited(life)
 }
 
 // placeRequest describes the request to the scheduling node.
-func (c *call) placeRequest(tried []string, repeat bool) *placeRequest {
+func (c *call) placeRequest(tried []string, repeat bool) *assignRequest {
 	node := c.node
 	node.mutex.Lock()
-	doubted := append(node.health.Failing(node.now()), node.cutReplicas()...)
+	doubted := append(node.health.Failing(node.now()), node.unreachableZoneReplicas()...)
 	node.mutex.Unlock()
-	request := &placeRequest{
+	request := &assignRequest{
 		Request: admission.Request{
 			ID:   node.process() + "." + strconv.FormatUint(node.sequence.Add(1), 36),
 			Node: node.process(), Zone: node.settings.Load().Zone, Service: c.service, Route: c.route.Name, Priority: c.priority(),
 			Content: c.fingerprint, Prompt: c.prompt, Answer: c.expectedTokens(), Tried: tried, Doubted: doubted,
-			Stride: c.stride(), Pause: c.route.TargetGap, Yields: c.route.Priority >= yieldFrom,
-			Deadline: c.left(),
-			Target:   max(c.route.Target-c.age(), 0), Patience: c.patience(),
+			Stride: c.stride(), Pause: c.route.TargetEventGap, Yields: c.route.Priority >= yieldFrom,
+			Deadline: c.remaining(),
+			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.patience(),
 		},
-		First: len(tried) == 0, Repeat: repeat, Heard: node.heardOf(c.service), Known: node.desk.knownOf(c.fingerprint),
+		First: len(tried) == 0, Repeat: repeat, Heard: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
 	}
 	if c.tenant != nil {
 		request.Tenant = c.tenant.Name
@@ -195,15 +195,15 @@
 	case c.prompt+c.output > 0:
 		return float64(c.prompt + c.output)
 	default:
-		return float64(c.tenant.PlainTokens)
+		return float64(c.tenant.DefaultTokens)
 	}
 }
 
 // patience is how long the request may wait for a place.
 func (c *call) patience() time.Duration {
-	left := c.left()
+	left := c.remaining()
 	if c.route.Kind == catalogStreaming {
-		silence := max(minimumSilence, silenceTargets*c.route.Target, silenceGaps*c.route.TargetGap)
+		silence := max(minimumSilence, silenceTargets*c.route.TargetLatency, silenceGaps*c.route.TargetEventGap)
 		left = min(left, silence-c.age())
 	}
 	return max(time.Duration(float64(left)*patienceShare), 0)
@@ -218,7 +218,7 @@
 	case resultNotSent, resultRejected:
 		return runs == 0 || c.route.Repeatable()
 	default:
-		return c.route.Repeatable() && runs < c.route.Attempts
+		return c.route.Repeatable() && runs < c.route.MaxAttempts
 	}
 }
 
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -38,7 +38,7 @@
 	StopGrace int `yaml:"stop_grace_ms"`
 	// Contact is the time after which a disturbance of the store is forgotten, in
 	// milliseconds.
-	Contact int `yaml:"contact_ms"`
+	StoreRecoveryWindow int `yaml:"contact_ms"`
 	// ConfigurationBound is the time in which an accepted configuration is to be in force
 	// everywhere, in milliseconds.
 	ConfigurationBound int `yaml:"configuration_bound_ms"`
@@ -49,7 +49,7 @@
 	Cores float64 `yaml:"cores"`
 	// Link is the bandwidth of the machine in megabits a second; nodes with a wide one
 	// are preferred for what many others ask for. Zero means that it is not known.
-	Link float64 `yaml:"link_mbps"`
+	LinkMbps float64 `yaml:"link_mbps"`
 	// RetryRatio, RetryWindow (seconds) and RetrySlack bound repeated sends.
 	RetryRatio  float64 `yaml:"retry_ratio"`
 	RetryWindow float64 `yaml:"retry_window_s"`
@@ -67,11 +67,11 @@
 	// ColdOverage (a factor) and ColdSlack (requests) are how much more than a service's cold
 	// replicas bear in a second one of them may get in any; zero for both means that they are
 	// not spared.
-	ColdOverage float64 `yaml:"cold_overage"`
-	ColdSlack   float64 `yaml:"cold_slack"`
+	SlowStartOverage float64 `yaml:"cold_overage"`
+	SlowStartSlack   float64 `yaml:"cold_slack"`
 	// BarredAfter is under how many ends of replicas a request is no longer sent; zero
 	// switches that off.
-	BarredAfter int `yaml:"barred_after_ends"`
+	BlockedAfter int `yaml:"barred_after_ends"`
 	// FirstStart is true on the very first start of the whole system.
 	FirstStart bool `yaml:"first_start"`
 }
@@ -88,7 +88,7 @@
 
 // ParseSettings reads and checks the content of a settings file.
 func ParseSettings(content []byte) (*Settings, error) {
-	settings := &Settings{StopGrace: 8000, Contact: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 20, QuotaWindow: 10, BarredAfter: poison.DefaultPolicy().Ends}
+	settings := &Settings{StopGrace: 8000, StoreRecoveryWindow: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 20, QuotaWindow: 10, BlockedAfter: poison.DefaultPolicy().CrashThreshold}
 	if err := yaml.Unmarshal(content, settings); err != nil {
 		return nil, errkind.New(errkind.InvalidSettings, "settings: %s", yaml.FormatError(err, false, true))
 	}
@@ -121,10 +121,10 @@
 	}{
 		{"peer_port", float64(s.PeerPort), 1, highestPort},
 		{"stop_grace_ms", float64(s.StopGrace), 100, 600_000},
-		{"contact_ms", float64(s.Contact), 1, 600_000},
+		{"contact_ms", float64(s.StoreRecoveryWindow), 1, 600_000},
 		{"configuration_bound_ms", float64(s.ConfigurationBound), 100, 600_000},
 		{"cores", s.Cores, 0, 1024},
-		{"link_mbps", s.Link, 0, 10_000_000},
+		{"link_mbps", s.LinkMbps, 0, 10_000_000},
 		{"retry_ratio", s.RetryRatio, 0, 10},
 		{"retry_window_s", s.RetryWindow, 0.1, 3600},
 		{"retry_slack", s.RetrySlack, 0, 1_000_000},
@@ -133,9 +133,9 @@
 		{"quota_slack", s.QuotaSlack, 0, 1e12},
 		{"rollout_share", s.RolloutShare, 0, 1},
 		{"rollout_slack", s.RolloutSlack, 0, 1_000_000},
-		{"cold_overage", s.ColdOverage, 0, 1000},
-		{"cold_slack", s.ColdSlack, 0, 1_000_000},
-		{"barred_after_ends", float64(s.BarredAfter), 0, contents.MostLives},
+		{"cold_overage", s.SlowStartOverage, 0, 1000},
+		{"cold_slack", s.SlowStartSlack, 0, 1_000_000},
+		{"barred_after_ends", float64(s.BlockedAfter), 0, contents.MaxIncarnations},
 	}
 	for _, field := range bounds {
 		if field.value < field.low || field.value > field.high {
@@ -188,21 +188,21 @@
 
 // warmings returns what cold replicas get of each service. Where the settings bound nothing, or a
 // service's replicas are never cold, that is not bounded.
-func (s *Settings) warmings(services []catalog.Service) map[string]admission.Warming {
-	warmings := make(map[string]admission.Warming, len(services))
+func (s *Settings) warmings(services []catalog.Service) map[string]admission.SlowStart {
+	warmings := make(map[string]admission.SlowStart, len(services))
 	for _, service := range services {
-		allowed := service.ColdRate*s.ColdOverage + s.ColdSlack
-		if service.ColdRate <= 0 || s.ColdOverage <= 0 {
+		allowed := service.SlowStartRate*s.SlowStartOverage + s.SlowStartSlack
+		if service.SlowStartRate <= 0 || s.SlowStartOverage <= 0 {
 			allowed = 0
 		}
-		warmings[service.Name] = admission.NewWarming(allowed, service.ColdTime)
+		warmings[service.Name] = admission.NewSlowStart(allowed, service.WarmupTime)
 	}
 	return warmings
 }
 
 func (s *Settings) contentPolicy() poison.Policy {
 	policy := poison.DefaultPolicy()
-	policy.Ends = s.BarredAfter
+	policy.CrashThreshold = s.BlockedAfter
 	return policy
 }
 
@@ -214,4 +214,6 @@
 	return time.Duration(behindShare * float64(s.ConfigurationBound) * float64(time.Millisecond))
 }
 
-func (s *Settings) contact() time.Duration { return time.Duration(s.Contact) * time.Millisecond }
+func (s *Settings) contact() time.Duration {
+	return time.Duration(s.StoreRecoveryWindow) * time.Millisecond
+}
--- a/entry/silence.go
+++ b/entry/silence.go
@@ -16,7 +16,7 @@
 // by a new one, something between took old connections away without a word, and those to
 // replicas that rest may be gone as well. They are closed: a request that must not run
 // twice and is written to one of them is lost.
-func (n *Node) linkFellSilent(address string) {
+func (n *Node) handleSilentLink(address string) {
 	ctx, cancel := context.WithTimeout(n.ctx, linkTrial)
 	defer cancel()
 	err := n.peers.Ping(ctx, address)
@@ -27,12 +27,12 @@
 		n.log.Write(eventlog.Event{Kind: "peer", Outcome: "silent", Detail: address})
 		return
 	}
-	n.closeRested("connection to a peer silent: " + address)
+	n.closeIdle("connection to a peer silent: " + address)
 }
 
 // closeRested closes the connections to replicas that rested for as long as it takes to
 // find out that connections fell silent; those used since then are well.
-func (n *Node) closeRested(reason string) {
+func (n *Node) closeIdle(reason string) {
 	closed := n.pool.CloseRested(peer.SilenceTime)
 	n.counter("links.silent").Inc(1)
 	n.log.Write(eventlog.Event{Kind: "connections", Outcome: "closed", Reason: reason, Count: closed})
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -25,7 +25,7 @@
 func (n *Node) Stop() {
 	n.stopping.Store(int64(max(n.now(), 1)))
 	n.log.Write(eventlog.Event{Kind: "process.stop", Outcome: "begun", Count: int(n.inFlight.Load())})
-	n.sendBeats()
+	n.sendHeartbeats()
 	begun := n.now()
 	limit := n.settings.Load().stopGrace() - stopMargin
 	closed := false
@@ -55,7 +55,7 @@
 		_ = server.Close()
 	}
 	_ = n.inbound.Close()
-	_ = n.beats.Close()
+	_ = n.heartbeatConn.Close()
 	n.peers.Close()
 	n.group.Wait()
 }
--- a/entry/store.go
+++ b/entry/store.go
@@ -62,7 +62,7 @@
 	for n.ctx.Err() == nil {
 		if (known || n.isInformed() || n.awaitsDelegates()) && !n.callsStore() {
 			n.setSteady(false)
-			n.pause(beatInterval)
+			n.sleep(heartbeatInterval)
 			continue
 		}
 		scope := n.scope()
@@ -72,12 +72,12 @@
 			continue
 		}
 		if errors.Is(err, errkind.OtherEra) {
-			n.pause(firstPause)
+			n.sleep(firstPause)
 			continue
 		}
 		if err != nil {
 			n.storeFailed(err)
-			if !n.pause(pause) {
+			if !n.sleep(pause) {
 				return
 			}
 			pause = min(pause*2, longestPause)
@@ -94,7 +94,7 @@
 			n.follow(revision)
 			continue
 		}
-		n.pause(firstPause)
+		n.sleep(firstPause)
 	}
 }
 
@@ -126,12 +126,12 @@
 	if scope != outside.ScopeAll || !n.leavesConfigurationToPeers() {
 		return 0
 	}
-	return int64(n.settings.Load().Link * 1e6 / bitsPerByte * quickRead.Seconds())
+	return int64(n.settings.Load().LinkMbps * 1e6 / bitsPerByte * quickRead.Seconds())
 }
 
 // hasNarrowLink returns whether a large configuration takes long on this node's link.
 func (n *Node) hasNarrowLink() bool {
-	link := n.settings.Load().Link
+	link := n.settings.Load().LinkMbps
 	return link > 0 && link < narrowLink
 }
 
@@ -140,7 +140,7 @@
 func (n *Node) peersPatience() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.rank < watchers {
+	if n.watchRank < watchers {
 		return startPatience
 	}
 	return followerPatience
@@ -150,7 +150,7 @@
 // configuration, and returns false if none did in time.
 func (n *Node) awaitConfiguration() bool {
 	for n.catalog.Load() == nil {
-		if n.now() >= n.peersPatience() || !n.pause(startPoll) {
+		if n.now() >= n.peersPatience() || !n.sleep(startPoll) {
 			return false
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // read reads the store and takes what it holds into force.
-func (n *Node) read(scope outside.Scope) (structs.Place, error) {
+func (n *Node) read(scope outside.Scope) (structs.StorePosition, error) {
 	limit := n.readTime(scope)
 	ctx, cancel := context.WithTimeout(n.ctx, limit)
 	defer cancel()
@@ -167,10 +167,10 @@
 	decoded := n.catalogRevision
 	n.triedAt = begun
 	n.mutex.Unlock()
-	update, err := n.depend.Directory.Read(ctx, scope, decoded, n.longestAnswer(scope))
+	update, err := n.deps.Directory.Read(ctx, scope, decoded, n.longestAnswer(scope))
 	n.mutex.Lock()
 	// On a link that the answer filled no heartbeat came through.
-	n.heardAt = n.now()
+	n.lastContactAt = n.now()
 	n.mutex.Unlock()
 	if err != nil {
 		if ctx.Err() != nil {
@@ -193,9 +193,9 @@
 
 // noteRead records that all of the scope is known as of the instant. The caller holds the mutex.
 func (n *Node) noteRead(begun structs.Instant, scope outside.Scope) {
-	n.fresh.Note(begun)
+	n.fresh.Observe(begun)
 	if scope == outside.ScopeAll {
-		n.freshConfiguration.Note(begun)
+		n.freshConfiguration.Observe(begun)
 	}
 }
 
@@ -204,7 +204,7 @@
 // store, so that nothing was missed up to the revision that it has reached.
 func (n *Node) watchMisses() bool {
 	n.mutex.Lock()
-	isWorth := n.readCalls > 1 && n.steady && n.depend.Revisions != nil
+	isWorth := n.readCalls > 1 && n.watchHealthy && n.deps.Revisions != nil
 	begun := n.now()
 	n.mutex.Unlock()
 	if !isWorth {
@@ -212,13 +212,13 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, readTimeout)
 	defer cancel()
-	latest, err := n.depend.Revisions.Revision(ctx)
-	if err != nil || !n.pause(watchDelay) {
+	latest, err := n.deps.Revisions.Revision(ctx)
+	if err != nil || !n.sleep(watchDelay) {
 		return true
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.table.Revision() < latest || latest.Era() != n.era.present {
+	if n.table.CompleteTo() < latest || latest.Era() != n.era.present {
 		return true
 	}
 	n.noteRead(begun, outside.ScopeAll) // the watch is of all keys
@@ -246,14 +246,14 @@
 }
 
 // follow watches from the revision until a watch fails or is due for a read.
-func (n *Node) follow(revision structs.Place) {
+func (n *Node) follow(revision structs.StorePosition) {
 	begun := n.now()
 	for n.ctx.Err() == nil && n.callsStore() && n.now()-begun < rereadAfter {
 		// The configuration comes whole with each change.
 		margin := max(watchMargin, transferMargin*n.configurationTransfer())
 		ctx, cancel := context.WithTimeout(n.ctx, watchWait+margin)
 		n.setWatch(cancel)
-		update, err := n.depend.Directory.Watch(ctx, revision, watchWait)
+		update, err := n.deps.Directory.Watch(ctx, revision, watchWait)
 		cancel()
 		switch {
 		case errors.Is(err, errkind.StaleFence), errors.Is(err, errkind.OtherEra):
@@ -265,7 +265,7 @@
 			return
 		case err != nil:
 			n.storeFailed(err)
-			n.pause(firstPause)
+			n.sleep(firstPause)
 			return
 		}
 		n.storeAnswered()
@@ -274,7 +274,7 @@
 		}
 		if update.Revision > revision {
 			revision = update.Revision
-			n.pause(watchGather)
+			n.sleep(watchGather)
 		}
 	}
 }
@@ -306,16 +306,16 @@
 func (n *Node) setSteady(steady bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if steady && !n.steady {
+	if steady && !n.watchHealthy {
 		n.steadyAt = n.now()
 	}
-	n.steady = steady
+	n.watchHealthy = steady
 }
 
 // steadyFor returns for how long the node has followed the store without trouble.
 // The caller holds the mutex.
-func (n *Node) steadyFor(now structs.Instant) time.Duration {
-	if !n.steady {
+func (n *Node) watchHealthyFor(now structs.Instant) time.Duration {
+	if !n.watchHealthy {
 		return 0
 	}
 	return now - n.steadyAt
@@ -323,7 +323,7 @@
 
 func (n *Node) storeFailed(err error) {
 	n.mutex.Lock()
-	n.storeBadAt, n.steady = n.now(), false
+	n.storeFailedAt, n.watchHealthy = n.now(), false
 	first := !n.storeDown
 	n.storeDown = true
 	endWatch := n.endWatch
@@ -335,17 +335,17 @@
 	n.counter("store.failures").Inc(1)
 	if first && n.ctx.Err() == nil {
 		// Others have to follow the store in this node's place.
-		n.sendBeats()
+		n.sendHeartbeats()
 		n.log.Write(eventlog.Event{Kind: "store", Outcome: "lost", Detail: err.Error()})
 	}
 }
 
 func (n *Node) storeAnswered() {
 	n.mutex.Lock()
-	back, tells := n.storeDown, n.senior
+	back, tells := n.storeDown, n.isCandidate
 	n.storeDown = false
 	if back {
-		n.storeBadAt = n.now()
+		n.storeFailedAt = n.now()
 	}
 	n.mutex.Unlock()
 	if !back {
@@ -353,7 +353,7 @@
 	}
 	if tells {
 		// Those that follow the store are of the senior nodes.
-		n.sendBeats()
+		n.sendHeartbeats()
 	}
 	n.log.Write(eventlog.Event{Kind: "store", Outcome: "regained"})
 }
--- a/entry/storeduty.go
+++ b/entry/storeduty.go
@@ -47,9 +47,9 @@
 
 // storePlace returns this node's place in the order in which it and the nodes with the
 // beats call the store, or the number of them all beyond the probers. The caller holds the mutex.
-func (n *Node) storePlace(others []*liveness.Beat) int {
-	if !n.isOrdinary {
-		order := liveness.Order(append(slices.Clone(others), n.ownBeat()), probers)
+func (n *Node) storeCallRankAmong(others []*liveness.Heartbeat) int {
+	if !n.isNonDelegate {
+		order := liveness.RankNodes(append(slices.Clone(others), n.ownHeartbeat()), probers)
 		if place := slices.Index(order, n.settings.Load().Name); place >= 0 {
 			return place
 		}
@@ -63,20 +63,22 @@
 // themselves for the one that reads it for all. One that is not among the probers has none
 // either: it hears that the store is back before the probers have told that they reach it.
 // The caller holds the mutex and has set the order.
-func (n *Node) storeRank(live []*liveness.Member) int {
-	if n.storeDown || n.order >= probers {
+func (n *Node) watchRankAmong(live []*liveness.Member) int {
+	if n.storeDown || n.storeCallRank >= probers {
 		return len(live) + watchers
 	}
-	reach := slices.DeleteFunc(slices.Clone(live), func(m *liveness.Member) bool { return m.Leaving || m.Storeless })
-	return n.storePlace(liveness.Beats(reach))
+	reach := slices.DeleteFunc(slices.Clone(live), func(m *liveness.Member) bool { return m.Leaving || m.StoreUnreachable })
+	return n.storeCallRankAmong(liveness.Heartbeats(reach))
 }
 
 // isolated returns whether no other node was heard of lately. The caller holds the mutex.
-func (n *Node) isolated(now structs.Instant) bool { return now-n.heardAt > isolation }
+func (n *Node) isolated(now structs.Instant) bool { return now-n.lastContactAt > isolation }
 
 // followsStore returns whether this node follows the store, for others or because it hears
 // none. The caller holds the mutex.
-func (n *Node) followsStore(now structs.Instant) bool { return n.rank < watchers || n.isolated(now) }
+func (n *Node) followsStore(now structs.Instant) bool {
+	return n.watchRank < watchers || n.isolated(now)
+}
 
 // callsStore returns whether this node has to follow the store by itself, or to try a
 // store that failed.
@@ -92,7 +94,7 @@
 	case !n.storeDown:
 		return false
 	}
-	return n.order < probers || now-n.triedAt > probePause*time.Duration(n.order)
+	return n.storeCallRank < probers || now-n.triedAt > probePause*time.Duration(n.storeCallRank)
 }
 
 // readDelay returns how much later than the first node this one reads the store once all
@@ -101,8 +103,8 @@
 	switch {
 	case n.isolated(now):
 		return 0
-	case n.order < probers:
-		return time.Duration(min(n.rank, n.order)) * step
+	case n.storeCallRank < probers:
+		return time.Duration(min(n.watchRank, n.storeCallRank)) * step
 	}
 	return probers*step + time.Duration(n.spreadShare()*float64(spreadTime))
 }
@@ -111,12 +113,12 @@
 // so that this node, which is none of them, waits until they do. The caller holds the
 // mutex.
 func (n *Node) awaitsProbers(now structs.Instant) bool {
-	if n.order < probers || n.isolated(now) {
+	if n.storeCallRank < probers || n.isolated(now) {
 		return false
 	}
 	failing := 0
-	for _, name := range liveness.Order(liveness.Beats(liveness.Delegates(n.members.Live(now))), probers) {
-		if prober, found := n.members.Get(name); found && prober.Storeless {
+	for _, name := range liveness.RankNodes(liveness.Heartbeats(liveness.Delegates(n.members.Live(now))), probers) {
+		if prober, found := n.members.Get(name); found && prober.StoreUnreachable {
 			failing++
 		}
 	}
@@ -126,8 +128,8 @@
 // noteStoreReached records that another node reached the store lately. A node that does
 // not try it again itself has no other way to learn that. The caller holds the mutex.
 func (n *Node) noteStoreReached(now structs.Instant) {
-	if n.storeDown && n.order >= probers {
-		n.storeDown, n.storeBadAt = false, now
+	if n.storeDown && n.storeCallRank >= probers {
+		n.storeDown, n.storeFailedAt = false, now
 	}
 }
 
@@ -138,7 +140,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.table.Latest() > 0
+	return n.table.LatestPosition() > 0
 }
 
 // awaitPeers gives the peers of a starting process time to tell it what they know.
@@ -151,7 +153,7 @@
 		case !n.hasInformedPeer():
 			limit = greetingTime
 		}
-		if n.now() >= limit || !n.pause(startPoll) {
+		if n.now() >= limit || !n.sleep(startPoll) {
 			return
 		}
 	}
@@ -161,7 +163,7 @@
 func (n *Node) hearsNobody() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.heardAt == 0
+	return n.lastContactAt == 0
 }
 
 // delegatesPatience is the age of the process until which a node of a large fleet that is none of
@@ -179,7 +181,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
-	return n.findsDelegates(now) || n.isOrdinary && now < delegatesPatience
+	return n.findsDelegates(now) || n.isNonDelegate && now < delegatesPatience
 }
 
 // findsDelegates returns whether the nodes of a large fleet that may have started just now don't
@@ -192,7 +194,7 @@
 func (n *Node) hasInformedPeer() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.ContainsFunc(n.members.Live(n.now()), func(m *liveness.Member) bool { return m.Version > 0 && m.Latest > 0 })
+	return slices.ContainsFunc(n.members.Live(n.now()), func(m *liveness.Member) bool { return m.Version > 0 && m.LatestPosition > 0 })
 }
 
 // spreadShare is a number from zero to one that differs between nodes and stays.
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -71,7 +71,7 @@
 // limitSilence bounds the wait for the next bytes where the stream can go on
 // at another replica.
 func (c *call) limitSilence(answer *replicahttp.Answer, events int) {
-	if !c.route.Resumable || c.sends+1 >= c.route.Attempts {
+	if !c.route.Resumable || c.sends+1 >= c.route.MaxAttempts {
 		return
 	}
 	limit := stallNext
--- a/entry/unexplained.go
+++ b/entry/unexplained.go
@@ -23,29 +23,29 @@
 )
 
 // unexplainedBreak is a request that a replica broke off, by its end or not.
-type unexplainedBreak struct {
+type unresolvedDisconnect struct {
 	replica replicas.Replica
 	content fingerprint.Fingerprint
-	ended   *endedLife
+	ended   *crashedIncarnation
 	at      structs.Instant
 }
 
-func (n *Node) rememberBreak(broken unexplainedBreak) {
+func (n *Node) deferDisconnect(broken unresolvedDisconnect) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	broken.at = n.now()
-	n.breaks = slices.DeleteFunc(n.breaks, func(held unexplainedBreak) bool { return broken.at-held.at > breakMemory })
-	if len(n.breaks) < maximumBreaks {
-		n.breaks = append(n.breaks, broken)
+	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool { return broken.at-held.at > breakMemory })
+	if len(n.disconnects) < maximumBreaks {
+		n.disconnects = append(n.disconnects, broken)
 	}
 }
 
 // explainBreaks tells of the requests that the replica broke off, now that its end is known.
 // The caller holds the mutex.
-func (n *Node) explainBreaks(replica replicas.Replica) {
+func (n *Node) resolveDisconnects(replica replicas.Replica) {
 	now := n.now()
-	n.breaks = slices.DeleteFunc(n.breaks, func(held unexplainedBreak) bool {
-		if !held.replica.IsSameLife(replica) || now-held.at > breakMemory {
+	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool {
+		if !held.replica.IsSameIncarnation(replica) || now-held.at > breakMemory {
 			return false
 		}
 		go n.tellEnd(&finishRequest{Content: held.content, Ended: held.ended})
@@ -57,8 +57,8 @@
 // whose place was given back before.
 func (n *Node) tellEnd(finished *finishRequest) {
 	n.counter("contents.ends_found_later").Inc(1)
-	n.desk.finish(finished)
+	n.scheduling.finish(finished)
 	if _, address := n.currentScheduler(); address != "" && n.ctx.Err() == nil {
-		n.deliver(undelivered{address: address, message: finished, since: n.now()})
+		n.deliver(unackedFinish{address: address, message: finished, since: n.now()})
 	}
 }
