--- a/entry/unexplained_test.go
+++ b/entry/unexplained_test.go
@@ -20,18 +20,20 @@
 		happens func(n *Node, replica replicas.Replica)
 		counts  bool
 	}{
-		"the entry is gone": {func(n *Node, replica replicas.Replica) { n.vanished(outside.Gone{ID: replica.ID, Revision: 9}) }, true},
+		"the entry is gone": {func(n *Node, replica replicas.Replica) {
+			n.handleEntryRemoved(outside.Gone{ID: replica.ID, Revision: 9})
+		}, true},
 		"it has started again": {func(n *Node, replica replicas.Replica) {
-			replica.Born, replica.Revision = 2, 9
-			n.takeReplica(replica)
+			replica.StartedAt, replica.Position = 2, 9
+			n.applyReplica(replica)
 		}, true},
 		"it drained before its entry is gone": {func(n *Node, replica replicas.Replica) {
-			replica.Draining, replica.Revision = true, 8
-			n.takeReplica(replica)
-			n.vanished(outside.Gone{ID: replica.ID, Revision: 9})
+			replica.Draining, replica.Position = true, 8
+			n.applyReplica(replica)
+			n.handleEntryRemoved(outside.Gone{ID: replica.ID, Revision: 9})
 		}, false},
 		"another replica's entry is gone": {func(n *Node, replica replicas.Replica) {
-			n.vanished(outside.Gone{ID: "other", Revision: 9})
+			n.handleEntryRemoved(outside.Gone{ID: "other", Revision: 9})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,18 +41,18 @@
 				g := gomega.NewWithT(t)
 				log := eventlog.New("n", nil)
 				defer log.Close()
-				n := New(&Settings{Name: "n", BarredAfter: 3}, Dependencies{Log: log})
-				defer n.desk.timer.Stop()
-				replica := replicas.Replica{ID: "r", Service: "s", Revision: 1, Born: 1}
-				n.takeReplica(replica)
-				n.takeReplica(replicas.Replica{ID: "other", Service: "s", Revision: 2})
+				n := New(&Settings{Name: "n", BlockedAfter: 3}, Dependencies{Log: log})
+				defer n.scheduling.timer.Stop()
+				replica := replicas.Replica{ID: "r", Service: "s", Position: 1, StartedAt: 1}
+				n.applyReplica(replica)
+				n.applyReplica(replicas.Replica{ID: "other", Service: "s", Position: 2})
 				content := fingerprint.Of("office", "POST", "a.example", "/x", nil)
-				n.rememberBreak(unexplainedBreak{replica: replica, content: content, ended: &endedLife{Life: contents.LifeOf("r", 1)}})
+				n.deferDisconnect(unresolvedDisconnect{replica: replica, content: content, ended: &crashedIncarnation{Life: contents.IncarnationOf("r", 1)}})
 				n.mutex.Lock()
 				course.happens(n, replica)
 				n.mutex.Unlock()
 				synctest.Wait()
-				_, counted := n.desk.contents.Get(content)
+				_, counted := n.scheduling.contents.Get(content)
 				g.Expect(counted).To(gomega.Equal(course.counts))
 			})
 		})
--- a/entry/warmingdesk.go
+++ b/entry/warmingdesk.go
@@ -5,16 +5,16 @@
 // The desk's part in emptied zones and cold replicas.
 
 // setEmptied takes over which zones get nothing.
-func (d *desk) setEmptied(zones map[string]bool) {
+func (d *schedulingService) setEmptied(zones map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.emptied = zones
-	d.scheduler.SetEmptied(d.clock(), zones)
+	d.scheduler.SetEvacuatedZones(d.clock(), zones)
 	d.decide()
 }
 
 // setWarmings takes over what cold replicas get, by service.
-func (d *desk) setWarmings(warmings map[string]admission.Warming) {
+func (d *schedulingService) setWarmings(warmings map[string]admission.SlowStart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.warmings = warmings
@@ -22,16 +22,16 @@
 	d.decide()
 }
 
-func (d *desk) applyWarmings() {
+func (d *schedulingService) applyWarmings() {
 	for service, warming := range d.warmings {
-		d.scheduler.SetWarming(service, warming)
+		d.scheduler.SetSlowStart(service, warming)
 	}
 }
 
 // setWarms lets the scheduler send to cold replicas while this node schedules for most others: at
 // most two nodes take themselves for that at a time. The caller holds the mutex.
-func (d *desk) setWarms() {
-	if warms := d.leads && d.share > majority; warms != d.scheduler.Warms() {
-		d.scheduler.SetWarms(d.clock(), warms)
+func (d *schedulingService) setWarms() {
+	if warms := d.leads && d.share > majority; warms != d.scheduler.ColdTrafficAllowed() {
+		d.scheduler.SetColdTrafficAllowed(d.clock(), warms)
 	}
 }
--- a/entry/wire_test.go
+++ b/entry/wire_test.go
@@ -29,14 +29,14 @@
 // shared are the messages between nodes and the values in the store that two versions share, by
 // name, empty.
 var shared = map[string]func() any{
-	"beat":          func() any { return &liveness.Beat{} },
-	"place-request": func() any { return &placeRequest{} },
-	"place-reply":   func() any { return &placeReply{} },
+	"beat":          func() any { return &liveness.Heartbeat{} },
+	"place-request": func() any { return &assignRequest{} },
+	"place-reply":   func() any { return &assignReply{} },
 	"finish":        func() any { return &finishRequest{} },
-	"begun":         func() any { return &begunRequest{} },
-	"news-request":  func() any { return &newsRequest{} },
-	"news-reply":    func() any { return &newsReply{} },
-	"contents":      func() any { return &contentsReply{} },
+	"begun":         func() any { return &firstEventRequest{} },
+	"news-request":  func() any { return &updatesRequest{} },
+	"news-reply":    func() any { return &updatesReply{} },
+	"contents":      func() any { return &poisonReply{} },
 	"parts-request": func() any { return &spread.Request{} },
 	"parts-reply":   func() any { return &spread.Reply{} },
 }
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -18,9 +18,9 @@
 
 // zoneLoop tries the zones that nothing comes from.
 func (n *Node) zoneLoop() {
-	for n.pause(zoneTrial) {
+	for n.sleep(zoneTrial) {
 		n.mutex.Lock()
-		suspects := n.zones.Suspects(n.now())
+		suspects := n.zones.SilentZones(n.now())
 		var all []replicas.Replica
 		if len(suspects) > 0 {
 			all = n.table.All()
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, zoneDial)
 	defer cancel()
-	conn, err := n.depend.Network.Dial(ctx, there[rand.IntN(len(there))].Address)
+	conn, err := n.deps.Network.Dial(ctx, there[rand.IntN(len(there))].Address)
 	if err == nil {
 		_ = conn.Close()
 	}
@@ -56,13 +56,13 @@
 func (n *Node) noteZone(zone string, reached bool) {
 	n.mutex.Lock()
 	now := n.now()
-	before := n.zones.IsCut(zone)
+	before := n.zones.IsUnreachable(zone)
 	if reached {
-		n.zones.Answered(now, zone)
+		n.zones.RecordSuccess(now, zone)
 	} else {
-		n.zones.Failed(now, zone)
+		n.zones.RecordFailure(now, zone)
 	}
-	after := n.zones.IsCut(zone)
+	after := n.zones.IsUnreachable(zone)
 	n.mutex.Unlock()
 	if before == after {
 		return
@@ -72,18 +72,18 @@
 		outcome = "cut-off"
 	}
 	n.log.Write(eventlog.Event{Kind: "zone", Outcome: outcome, Detail: zone})
-	n.chooseScheduler()
+	n.selectScheduler()
 }
 
 // cutReplicas returns the replicas of the zones that can't be reached. The caller holds
 // the mutex.
-func (n *Node) cutReplicas() []string {
-	if !n.zones.AnyCut() {
+func (n *Node) unreachableZoneReplicas() []string {
+	if !n.zones.AnyUnreachable() {
 		return nil // every placement asks, and the list of replicas is long
 	}
 	var ids []string
 	for _, replica := range n.table.All() {
-		if n.zones.IsCut(replica.Zone) {
+		if n.zones.IsUnreachable(replica.Zone) {
 			ids = append(ids, replica.ID)
 		}
 	}
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -51,8 +51,8 @@
 	Pause int64 `json:"pause_ms,omitempty"`
 	// Left is what the caller's or the route's time leaves, and Expected the wait
 	// that was predicted, both in milliseconds.
-	Left     int64 `json:"left_ms,omitempty"`
-	Expected int64 `json:"expected_ms,omitempty"`
+	Remaining int64 `json:"left_ms,omitempty"`
+	Expected  int64 `json:"expected_ms,omitempty"`
 	// Priority is the rank that decided, Waiting the requests ahead and Free the
 	// places that were free then.
 	Priority int `json:"priority,omitempty"`
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -193,7 +193,7 @@
 	engine.ChecksFence = !c.Options.FencelessZones
 	c.Engines = append(c.Engines, engine)
 	return c.addBackend(zone, engine.Handler(), structs.Replica{
-		ID: id, Service: c.Options.EngineService, Kind: structs.KindEngine, Generation: spec.Generation, ChecksFence: !c.Options.FencelessZones,
+		ID: id, Service: c.Options.EngineService, Kind: structs.KindEngine, HardwareGeneration: spec.Generation, ChecksFence: !c.Options.FencelessZones,
 	})
 }
 
--- a/lab/emulator/thornwalk.go
+++ b/lab/emulator/thornwalk.go
@@ -42,7 +42,7 @@
 	n := &thornwalkNode{
 		world: w, zone: zone, name: name,
 		scheduler: scheduler.New(options, random),
-		owner:     shedding.NewOwner(name, lowest, options.FloorHold),
+		owner:     shedding.NewOwner(name, lowest, options.FloorDemandTTL),
 		member:    shedding.NewMember(name, lowest),
 		byID:      map[string]*record{}, demanded: map[scheduler.Demand]time.Duration{},
 	}
@@ -85,7 +85,7 @@
 			n.scheduler.View().Observe(n.world.now, n.world.reportOf(r))
 		}
 	}
-	for _, plan := range n.scheduler.Pump(n.world.now) {
+	for _, plan := range n.scheduler.Schedule(n.world.now) {
 		n.carryOut(plan)
 	}
 	n.sendDemands()
@@ -137,7 +137,7 @@
 }
 
 func (n *thornwalkNode) done(r *record) {
-	n.scheduler.Finish(n.world.now, r.arrival.ID, reserve.Result{Connected: true, Whole: true, OutputTokens: r.arrival.OutputTokens})
+	n.scheduler.Finish(n.world.now, r.arrival.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: r.arrival.OutputTokens})
 	n.pump()
 }
 
@@ -168,7 +168,7 @@
 			continue
 		}
 		n.demanded[demand] = n.world.now
-		owner := n.peers[rendezvous.Choose(n.members, rendezvous.Key(demand.Service), 1)[0]]
+		owner := n.peers[rendezvous.Top(n.members, rendezvous.Key(demand.Service), 1)[0]]
 		message := shedding.Demand{Service: demand.Service, Rank: demand.Rank, From: n.name}
 		n.world.after(n.world.deployment.WithinZone, func() {
 			owner.owner.Demand(n.world.now, message)
@@ -180,12 +180,12 @@
 func (n *thornwalkNode) advanceFloor(service string) {
 	for _, outgoing := range n.owner.Tick(n.world.now, service, n.members) {
 		peer := n.peers[outgoing.To]
-		n.world.after(n.world.deployment.WithinZone, func() { n.deliver(peer, outgoing.Set) })
+		n.world.after(n.world.deployment.WithinZone, func() { n.deliver(peer, outgoing.Update) })
 	}
 }
 
 // deliver applies a floor at a peer and carries the acknowledgement back.
-func (n *thornwalkNode) deliver(peer *thornwalkNode, set shedding.Set) {
+func (n *thornwalkNode) deliver(peer *thornwalkNode, set shedding.FloorUpdate) {
 	ack := peer.member.Apply(n.world.now, set)
 	peer.applyFloor(set.Service)
 	n.world.after(n.world.deployment.WithinZone, func() {
--- a/lab/emulator/world.go
+++ b/lab/emulator/world.go
@@ -110,7 +110,7 @@
 	r := &replica{
 		Replica: structs.Replica{
 			ID:      structs.ReplicaID(fmt.Sprintf("%s-%d", w.deployment.Zones[zone], index)),
-			Service: w.deployment.Service, Zone: w.deployment.Zones[zone], Kind: structs.KindEngine, Generation: spec.Generation,
+			Service: w.deployment.Service, Zone: w.deployment.Zones[zone], Kind: structs.KindEngine, HardwareGeneration: spec.Generation,
 		},
 		engine: enginesim.New(spec, blocks), zone: zone,
 	}
--- a/lab/entrylab/entrylab.go
+++ b/lab/entrylab/entrylab.go
@@ -105,7 +105,7 @@
 	settings := &entry.Settings{
 		Name: host, Zone: zone, Callers: at(host, callersPort), Readiness: at(host, readinessPort), Operators: at(host, operatorsPort),
 		Host: host, PeerPort: peerPort, Seeds: seeds, Store: at(d.options.StoreHost, storePort),
-		StopGrace: 8000, Contact: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, RolloutShare: 0.1, RolloutSlack: 50, ColdOverage: 1.5, ColdSlack: 5, BarredAfter: 3, FirstStart: true,
+		StopGrace: 8000, StoreRecoveryWindow: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, RolloutShare: 0.1, RolloutSlack: 50, SlowStartOverage: 1.5, SlowStartSlack: 5, BlockedAfter: 3, FirstStart: true,
 	}
 	if d.options.Adjust != nil {
 		d.options.Adjust(settings)
@@ -128,8 +128,8 @@
 	}
 	node := entry.New(settings, entry.Dependencies{
 		Sleep: sleep, Now: now,
-		Network: hostNetwork, Datagrams: d.options.Datagrams(host), Directory: directory, Revisions: directory, Rollouts: directory, Contents: directory,
-		Headers: platform.Headers(), ReadAnswer: platform.ReadAnswer, ReadyPath: platform.ReadyPath, Log: log, Incarnation: incarnation,
+		Network: hostNetwork, Datagrams: d.options.Datagrams(host), Directory: directory, Revisions: directory, Rollouts: directory, PoisonRecords: directory,
+		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Log: log, Incarnation: incarnation,
 	})
 	if err := node.Start(); err != nil {
 		return err
--- a/lab/losses/lines.go
+++ b/lab/losses/lines.go
@@ -85,7 +85,7 @@
 	if event.Kind == "request.received" {
 		request := &Request{
 			ID: event.Request, Node: event.Node, Route: event.Route, At: at,
-			Left: event.Left, Prompt: event.Prompt, Answer: event.Answer,
+			Left: event.Remaining, Prompt: event.Prompt, Answer: event.Answer,
 		}
 		byID[event.Request] = request
 		l.Requests = append(l.Requests, request)
--- a/lab/soak/deployment.go
+++ b/lab/soak/deployment.go
@@ -178,8 +178,8 @@
 	settings := &entry.Settings{
 		Name: fmt.Sprintf("n%d", number), Zone: "east", Host: fmt.Sprintf("%s.%d", block, host), PeerPort: peerPort,
 		Callers: at(block, host, callersPort), Readiness: at(block, host, readinessPort), Operators: at(block, host, operatorsPort),
-		Store: between.address(), StopGrace: int(stopGrace.Milliseconds()), Contact: int(contactBound.Milliseconds()), ConfigurationBound: int(configurationBound.Milliseconds()),
-		Cores: 1, RetryRatio: retryBound.Ratio, RetryWindow: retryBound.Window.Seconds(), RetrySlack: retryBound.Slack, QuotaWindow: quotaWindow.Seconds(), QuotaOverage: quotaOverage, QuotaSlack: quotaSlack, BarredAfter: 3, FirstStart: true,
+		Store: between.address(), StopGrace: int(stopGrace.Milliseconds()), StoreRecoveryWindow: int(contactBound.Milliseconds()), ConfigurationBound: int(configurationBound.Milliseconds()),
+		Cores: 1, RetryRatio: retryBound.Ratio, RetryWindow: retryBound.Window.Seconds(), RetrySlack: retryBound.Slack, QuotaWindow: quotaWindow.Seconds(), QuotaOverage: quotaOverage, QuotaSlack: quotaSlack, BlockedAfter: 3, FirstStart: true,
 	}
 	for seed := range nodeCount {
 		settings.Seeds = append(settings.Seeds, at(block, seed+1, operatorsPort))
--- a/node/backend.go
+++ b/node/backend.go
@@ -225,7 +225,7 @@
 		return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "%v", err)
 	}
 	defer response.Body.Close()
-	x.answer.SetHead(answer.Head{Status: response.StatusCode, Header: response.Header})
+	x.answer.SetHead(answer.ResponseHead{Status: response.StatusCode, Header: response.Header})
 	return n.copyBody(x, response.Body)
 }
 
--- a/node/callers.go
+++ b/node/callers.go
@@ -168,7 +168,7 @@
 }
 
 func statusOf(found *answer.Answer) RequestStatus {
-	view, _ := found.Look(0)
+	view, _ := found.Snapshot(0)
 	status := RequestStatus{RequestID: found.RequestID, State: "waiting", Receipt: view.Receipt}
 	switch {
 	case view.Ended:
@@ -222,9 +222,9 @@
 		n.writeError(writer, errkind.New(errkind.NotFound, "no request under this key is remembered in the zone"), "", "")
 		return
 	}
-	states := map[registry.State]string{registry.Registered: "waiting", registry.Dispatched: "dispatched", registry.Ended: "ended"}
-	status := RequestStatus{RequestID: entry.RequestID, State: states[entry.State], Receipt: entry.Receipt, Node: entry.Node}
-	if entry.State == registry.Ended {
+	states := map[registry.Progress]string{registry.Registered: "waiting", registry.Dispatched: "dispatched", registry.Ended: "ended"}
+	status := RequestStatus{RequestID: entry.RequestID, State: states[entry.Progress], Receipt: entry.Receipt, Node: entry.Node}
+	if entry.Progress == registry.Ended {
 		status.Outcome = entry.Outcome.String()
 	}
 	writeJSON(writer, http.StatusOK, status)
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -38,7 +38,7 @@
 	g := gomega.NewWithT(t)
 	n := &Node{
 		scheduler: scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 1))),
-		reports:   gossip.NewQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.SpreadOnce),
+		reports:   gossip.NewBroadcastQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.RetransmitMinimal),
 	}
 	n.scheduler.View().Upsert(structs.Replica{ID: sample.Replica, Kind: structs.KindEngine})
 	state, _ := n.scheduler.View().Get(sample.Replica)
--- a/node/execute.go
+++ b/node/execute.go
@@ -145,7 +145,7 @@
 	x.cancel()
 	x.answer.End(structs.OutcomeNotRun, err)
 	if x.entry.RequestID != "" {
-		x.entry.State, x.entry.Outcome = registry.Ended, structs.OutcomeNotRun
+		x.entry.Progress, x.entry.Outcome = registry.Ended, structs.OutcomeNotRun
 		n.updateRegistry(n.ctx, x.entry)
 	}
 	n.tickets.free(x.call.ticket, x.request.ID)
@@ -162,7 +162,7 @@
 	_ = faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Finish, x.request.ID) // the outcome is settled whatever happens here
 	x.cancel()
 	x.answer.End(outcome, err)
-	n.answers.Ended(n.now(), x.answer)
+	n.answers.MarkEnded(n.now(), x.answer)
 	if outcome == structs.OutcomeNotRun {
 		n.tickets.free(x.call.ticket, x.request.ID)
 	}
@@ -173,7 +173,7 @@
 	n.mutex.Unlock()
 	n.countOutcome(x, outcome)
 	if x.entry.RequestID != "" {
-		x.entry.State, x.entry.Outcome = registry.Ended, outcome
+		x.entry.Progress, x.entry.Outcome = registry.Ended, outcome
 		n.updateRegistry(n.ctx, x.entry)
 	}
 	if x.claimed && outcome == structs.OutcomeNotRun {
@@ -305,7 +305,7 @@
 		n.count("connect.failed")
 		return structs.OutcomePending, err
 	}
-	n.release(x, reserve.Result{Connected: true, Whole: outcome == structs.OutcomeAnswered, OutputTokens: x.tokens})
+	n.release(x, reserve.Result{Connected: true, Complete: outcome == structs.OutcomeAnswered, OutputTokens: x.tokens})
 	return outcome, err
 }
 
@@ -327,7 +327,7 @@
 	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Gate, x.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
 	}
-	x.entry.State, x.entry.Receipt = registry.Dispatched, sealed
+	x.entry.Progress, x.entry.Receipt = registry.Dispatched, sealed
 	return n.confirmDispatch(x)
 }
 
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -57,9 +57,9 @@
 
 // joinReply tells a new node what it needs before it admits work.
 type joinReply struct {
-	Members []membership.Rumor `msgpack:"m"`
-	Floors  []shedding.Set     `msgpack:"f"`
-	Reports []digest           `msgpack:"l"`
+	Members []membership.Rumor     `msgpack:"m"`
+	Floors  []shedding.FloorUpdate `msgpack:"f"`
+	Reports []digest               `msgpack:"l"`
 }
 
 // handlePeers registers the handlers of the peer protocol.
@@ -81,7 +81,7 @@
 func (n *Node) heartbeatLoop() {
 	for n.awaitHeartbeat(n.settings.Compiled().Node.HeartbeatInterval) {
 		n.mutex.Lock()
-		targets := n.table.Targets(probesPerInterval)
+		targets := n.table.ProbeTargets(probesPerInterval)
 		n.mutex.Unlock()
 		for _, target := range targets {
 			n.group.Go(func() { n.probe(target) })
@@ -144,7 +144,7 @@
 
 func (n *Node) probeIndirectly(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
-	helpers := n.table.Targets(indirectProbes)
+	helpers := n.table.ProbeTargets(indirectProbes)
 	n.mutex.Unlock()
 	answers := make(chan bool, len(helpers))
 	ctx, cancel := context.WithTimeout(n.ctx, timeout)
@@ -273,7 +273,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.table.Heard(now, message.From)
-	reply := &joinReply{Members: n.table.All(), Floors: n.floorMember.Export(now)}
+	reply := &joinReply{Members: n.table.All(), Floors: n.floorMember.Snapshot(now)}
 	for _, replica := range n.scheduler.View().Replicas() {
 		if state, found := n.scheduler.View().Get(replica.ID); found && state.HasReport {
 			report := state.Report
@@ -313,7 +313,7 @@
 	return &struct{}{}, nil
 }
 
-func (n *Node) serveFloorSet(_ context.Context, set *shedding.Set) (*shedding.Ack, error) {
+func (n *Node) serveFloorSet(_ context.Context, set *shedding.FloorUpdate) (*shedding.Ack, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	ack := n.takeSet(*set)
@@ -327,7 +327,7 @@
 // isDelegate returns whether this node is one of the zone's delegates. The
 // mutex is held.
 func (n *Node) isDelegate() bool {
-	for _, name := range rendezvous.Choose(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegates) {
+	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegates) {
 		if name == n.config.Name {
 			return true
 		}
--- a/node/identity.go
+++ b/node/identity.go
@@ -73,7 +73,7 @@
 func (n *Node) keepers(key registry.Key) []membership.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	names := rendezvous.Choose(n.table.LiveNames(), rendezvous.Key("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
+	names := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
 	keepers := make([]membership.Member, 0, len(names))
 	for _, name := range names {
 		if known, found := n.table.Get(name); found {
@@ -100,7 +100,7 @@
 func (n *Node) identify(ctx context.Context, x *execution) (*answer.Answer, error) {
 	entry := registry.Entry{
 		Key: registry.Key{Tenant: x.call.tenant.Name, Key: x.call.key}, BodyHash: x.call.bodyHash, RequestID: x.request.ID,
-		Node: n.config.Name, Process: uint64(n.startMilliseconds()), Address: n.CallerAddress(), State: registry.Registered,
+		Node: n.config.Name, Process: uint64(n.startMilliseconds()), Address: n.CallerAddress(), Progress: registry.Registered,
 	}
 	replaces := ""
 	for range takeOverPatience {
@@ -178,7 +178,7 @@
 			entries = append(entries, registry.Entry{
 				Key: registry.Key{Tenant: x.call.tenant.Name, Key: x.call.key}, BodyHash: x.call.bodyHash, RequestID: x.request.ID,
 				Node: n.config.Name, Process: uint64(n.startMilliseconds()), Address: n.CallerAddress(),
-				State: registry.Registered, Receipt: x.answer.Receipt(),
+				Progress: registry.Registered, Receipt: x.answer.Receipt(),
 			})
 		}
 	}
@@ -188,7 +188,7 @@
 	n.group.Go(func() {
 		for _, entry := range entries {
 			if entry.Receipt != "" {
-				entry.State = registry.Dispatched
+				entry.Progress = registry.Dispatched
 			}
 			n.updateRegistry(n.ctx, entry)
 		}
@@ -205,7 +205,7 @@
 		}
 	} else if n.processLives(holder.Node, holder.Process) {
 		return n.relay(holder.Address, holder.RequestID, x.call.tenant.Name, holder.Receipt), false, nil
-	} else if holder.State == registry.Registered {
+	} else if holder.Progress == registry.Registered {
 		return nil, true, nil
 	}
 	if holder.Receipt == "" {
--- a/node/node.go
+++ b/node/node.go
@@ -51,8 +51,8 @@
 	peers           *peer.Client
 	answers         *answer.Store
 	claims          *claims.Committer
-	settings        *settingsync.Holder
-	acceptor        settingsync.Acceptor
+	settings        *settingsync.Current
+	acceptor        settingsync.Committer
 	metrics         metrics.Registry
 	explains        *decisionLog
 	tickets         *ticketBook
@@ -78,9 +78,9 @@
 	limitOwner   *limits.Owner
 	limitMember  *limits.Member
 	executions   map[string]*execution
-	reports      *gossip.Queue[structs.ReplicaID, datedDigest]
+	reports      *gossip.BroadcastQueue[structs.ReplicaID, datedDigest]
 	heardZones   map[string]structs.Instant
-	sentPrefixes *gossip.Queue[uint64, sentPrefix]
+	sentPrefixes *gossip.BroadcastQueue[uint64, sentPrefix]
 	machines     machineView
 	polling      map[structs.ReplicaID]bool
 	cursors      map[structs.ReplicaID]uint64
@@ -121,14 +121,14 @@
 		answers: answer.NewStore(), metrics: metrics.NewRegistry(),
 		explains: newDecisionLog(maximumDecisions), tickets: newTicketBook(maximumTickets),
 		executions:   map[string]*execution{},
-		reports:      gossip.NewQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.SpreadOnce),
-		sentPrefixes: gossip.NewQueue[uint64, sentPrefix](maximumSent, gossip.SpreadOnce),
+		reports:      gossip.NewBroadcastQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.RetransmitMinimal),
+		sentPrefixes: gossip.NewBroadcastQueue[uint64, sentPrefix](maximumSent, gossip.RetransmitMinimal),
 		heardZones:   map[string]structs.Instant{}, polling: map[structs.ReplicaID]bool{}, cursors: map[structs.ReplicaID]uint64{}, told: map[structs.ReplicaID]toldReport{}, nudge: make(chan struct{}, 1),
 		demanded: map[scheduler.Demand]structs.Instant{}, generations: map[string]heardGeneration{},
 	}
 	n.traffic = newTrafficMeter(n.metrics)
 	n.peers = peer.NewClient(n.peerNetwork(), n.traffic)
-	n.acceptor = settingsync.Acceptor{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
+	n.acceptor = settingsync.Committer{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
 	return n, n.initialise()
 }
 
@@ -138,7 +138,7 @@
 	if document == nil {
 		document = &settingsync.Document{}
 	}
-	holder, err := settingsync.NewHolder(document, n.settingsChanged)
+	holder, err := settingsync.NewCurrent(document, n.settingsChanged)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	n.random = random
 	n.scheduler = scheduler.New(options, random)
 	n.scheduler.SetOverflow(n.overflowZones)
-	n.floorOwner = shedding.NewOwner(n.processName(), options.LowestRank, options.FloorHold)
+	n.floorOwner = shedding.NewOwner(n.processName(), options.LowestRank, options.FloorDemandTTL)
 	n.floorMember = shedding.NewMember(n.config.Name, options.LowestRank)
 	n.limitOwner = limits.NewOwner()
 	n.limitMember = limits.NewMember()
--- a/node/polling.go
+++ b/node/polling.go
@@ -63,7 +63,7 @@
 		if replica.Zone != n.config.Zone || n.polling[replica.ID] {
 			continue
 		}
-		pollers := rendezvous.Choose(live, rendezvous.Key("poll/"+string(replica.ID)), pollersPerReplica)
+		pollers := rendezvous.Top(live, rendezvous.Key("poll/"+string(replica.ID)), pollersPerReplica)
 		place := slices.Index(pollers, n.config.Name)
 		if place == 0 || (place > 0 && n.isOverdue(replica.ID)) {
 			n.polling[replica.ID] = true
--- a/node/relay.go
+++ b/node/relay.go
@@ -32,10 +32,10 @@
 
 // relayLine is one line of a relayed answer; one field is set.
 type relayLine struct {
-	Receipt string       `json:"receipt,omitempty"`
-	Head    *answer.Head `json:"head,omitempty"`
-	Part    []byte       `json:"part,omitempty"`
-	End     *relayEnd    `json:"end,omitempty"`
+	Receipt string               `json:"receipt,omitempty"`
+	Head    *answer.ResponseHead `json:"head,omitempty"`
+	Part    []byte               `json:"part,omitempty"`
+	End     *relayEnd            `json:"end,omitempty"`
 }
 
 // relayEnd is the end of a relayed answer.
@@ -60,7 +60,7 @@
 
 func (n *Node) runRelay(relayed *answer.Answer, address string) {
 	err := n.readRelay(relayed, address)
-	view, _ := relayed.Look(0)
+	view, _ := relayed.Snapshot(0)
 	if view.Ended {
 		return
 	}
@@ -156,7 +156,7 @@
 	sent := 0
 	receiptSent, headSent := false, false
 	for {
-		view, changed := found.Look(sent)
+		view, changed := found.Snapshot(sent)
 		if view.Receipt != "" && !receiptSent {
 			receiptSent = true
 			_ = encoder.Encode(relayLine{Receipt: view.Receipt}) // a broken connection shows at the flush
--- a/node/respond.go
+++ b/node/respond.go
@@ -88,7 +88,7 @@
 	writeJSON(writer, http.StatusOK, completion)
 }
 
-func setAnswerHeader(header http.Header, view *answer.View) {
+func setAnswerHeader(header http.Header, view *answer.Snapshot) {
 	header.Set(HeaderRequestID, view.RequestID)
 	setIfAny(header, HeaderReceipt, view.Receipt)
 }
@@ -134,7 +134,7 @@
 }
 
 // awaitNext waits for the next part and keeps the connection alive meanwhile.
-func (n *Node) awaitNext(request *http.Request, writer http.ResponseWriter, found *answer.Answer, from int) (answer.View, error) {
+func (n *Node) awaitNext(request *http.Request, writer http.ResponseWriter, found *answer.Answer, from int) (answer.Snapshot, error) {
 	for {
 		ctx, cancel := context.WithTimeout(request.Context(), keepAliveInterval)
 		view, err := found.Await(ctx, from, 1)
@@ -199,9 +199,9 @@
 }
 
 // awaitHead waits past the receipt, until there is a head or the end.
-func awaitHead(ctx context.Context, found *answer.Answer) (answer.View, error) {
+func awaitHead(ctx context.Context, found *answer.Answer) (answer.Snapshot, error) {
 	for {
-		view, changed := found.Look(0)
+		view, changed := found.Snapshot(0)
 		if view.Head != nil || view.Ended {
 			return view, nil
 		}
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -39,7 +39,7 @@
 	options.AgingLimit = compiled.Node.AgingLimit
 	options.QueueLimit = compiled.Node.QueueLimit
 	options.SampleSize = compiled.Node.SampleSize
-	options.FloorHold = compiled.Node.FloorHold
+	options.FloorDemandTTL = compiled.Node.FloorHold
 	return options
 }
 
@@ -54,7 +54,7 @@
 	defer n.mutex.Unlock()
 	options := n.schedulerOptions(compiled)
 	n.scheduler.SetOptions(options)
-	n.floorOwner.SetTiers(options.LowestRank, options.FloorHold)
+	n.floorOwner.SetTiers(options.LowestRank, options.FloorDemandTTL)
 	n.floorMember.SetLowest(options.LowestRank)
 	n.registry.SetLimits(compiled.Node.RegistryLimit, compiled.Node.AnswerRetention)
 	if n.table != nil {
@@ -137,7 +137,7 @@
 
 // pump carries out what the scheduler plans. The mutex is held.
 func (n *Node) pump() {
-	for _, plan := range n.scheduler.Pump(n.now()) {
+	for _, plan := range n.scheduler.Schedule(n.now()) {
 		n.deliver(plan)
 	}
 	n.sendDemands()
@@ -158,7 +158,7 @@
 // floorOwnerOf returns the member that owns the floor of the service. The
 // mutex is held.
 func (n *Node) floorOwnerOf(service string) string {
-	return rendezvous.Choose(n.table.LiveNames(), rendezvous.Key("floor/"+service), 1)[0]
+	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("floor/"+service), 1)[0]
 }
 
 // sendDemands carries new demands to the owners of the floors. The mutex is held.
@@ -210,7 +210,7 @@
 		return
 	}
 	for _, outgoing := range n.floorOwner.Tick(n.now(), service, n.table.LiveNames()) {
-		set := outgoing.Set
+		set := outgoing.Update
 		n.tell(outgoing.To, func(ctx context.Context, address string) error {
 			var ack shedding.Ack
 			if err := n.peers.Call(ctx, address, peerwire.KindFloorSet, set, &ack); err != nil {
@@ -225,7 +225,7 @@
 }
 
 // takeSet applies a floor and returns the acknowledgement. The mutex is held.
-func (n *Node) takeSet(set shedding.Set) shedding.Ack {
+func (n *Node) takeSet(set shedding.FloorUpdate) shedding.Ack {
 	ack := n.floorMember.Apply(n.now(), set)
 	n.applyFloor(set.Service)
 	return ack
@@ -272,13 +272,13 @@
 }
 
 func (n *Node) limitOwnerOf(tenant string) string {
-	return rendezvous.Choose(n.table.LiveNames(), rendezvous.Key("limit/"+tenant), 1)[0]
+	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("limit/"+tenant), 1)[0]
 }
 
 // divideLimits is the owner's side. The mutex is held.
 func (n *Node) divideLimits(report limits.Report) limits.Grant {
 	compiled := n.settings.Compiled()
-	return n.limitOwner.Divide(n.now(), report, func(tenant string) limits.Limit {
+	return n.limitOwner.Allocate(n.now(), report, func(tenant string) limits.Limit {
 		named, found := compiled.Tenant(tenant)
 		if !found {
 			return limits.Limit{}
--- a/node/settings.go
+++ b/node/settings.go
@@ -111,7 +111,7 @@
 	}
 	document, err := settingsync.Decode(data)
 	if err == nil {
-		_, err = n.settings.Offer(document)
+		_, err = n.settings.InstallIfNewer(document)
 	}
 	if err != nil {
 		klog.ErrorS(err, "settings in the store refused", "node", n.config.Name, "in_force", n.settings.Compiled().Generation)
@@ -146,21 +146,21 @@
 }
 
 func (n *Node) serveSettingsPull(_ context.Context, message *settingsPull) (*settingsReply, error) {
-	data, err := n.settings.Newer(message.Have)
+	data, err := n.settings.EncodedIfNewer(message.Have)
 	return &settingsReply{Document: data}, err
 }
 
 // Change accepts a change of the settings and takes it into force here. Errors
 // are those of settingsync.Acceptor.Accept.
 func (n *Node) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
-	record, document, err := n.acceptor.Accept(ctx, change)
+	record, document, err := n.acceptor.Commit(ctx, change)
 	if err != nil {
 		if document != nil && errors.Is(err, errkind.Conflict) {
-			_, _ = n.settings.Offer(document) // what conflicts is newer than what is in force here
+			_, _ = n.settings.InstallIfNewer(document) // what conflicts is newer than what is in force here
 		}
 		return record, err
 	}
-	if _, err := n.settings.Offer(document); err != nil {
+	if _, err := n.settings.InstallIfNewer(document); err != nil {
 		return record, err
 	}
 	return record, nil
@@ -188,7 +188,7 @@
 				coordinators[service] = coordinator
 			}
 			n.mutex.Lock()
-			candidate := rendezvous.Choose(n.table.LiveNames(), rendezvous.Key("placement/"+service), 1)[0] == n.config.Name
+			candidate := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("placement/"+service), 1)[0] == n.config.Name
 			n.mutex.Unlock()
 			if candidate {
 				coordinator.Step(n.ctx)
@@ -200,7 +200,7 @@
 func (n *Node) newCoordinator(service string) *placement.Coordinator {
 	return &placement.Coordinator{
 		Store: n.depend.Store, Sender: n.adapter, Zone: n.config.Zone, Service: service, Node: n.config.Name,
-		Now: n.now, World: func() placement.World { return n.placementWorld(service) }, Faults: n.depend.Faults,
+		Now: n.now, ClusterState: func() placement.ClusterState { return n.placementWorld(service) }, Faults: n.depend.Faults,
 		Log: func(order placement.Order, err error) {
 			n.count("placement.orders")
 			if n.depend.LogDecisions {
@@ -217,9 +217,9 @@
 	return err.Error()
 }
 
-func (n *Node) placementWorld(service string) placement.World {
+func (n *Node) placementWorld(service string) placement.ClusterState {
 	compiled := n.settings.Compiled()
-	world := placement.World{ReadRate: compiled.Node.WeightReadRate}
+	world := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
 	for _, model := range compiled.Models(service) {
 		world.Demands = append(world.Demands, placement.Demand{Model: model.Name, Replicas: model.Values.Replicas})
 	}
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -33,7 +33,7 @@
 		})
 		go server.Serve(ctx, listener)
 		n := &Node{ctx: ctx, peers: peer.NewClient(fabric.Host("n"), nil)}
-		n.settings, err = settingsync.NewHolder(&settingsync.Document{}, nil)
+		n.settings, err = settingsync.NewCurrent(&settingsync.Document{}, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		begun := time.Now()
 		for range 5 {
--- a/operator/client.go
+++ b/operator/client.go
@@ -47,7 +47,7 @@
 
 // Lift lets a request be sent again that an entry daemon bars.
 func (c *Client) Lift(ctx context.Context, content string) error {
-	return c.do(ctx, http.MethodPost, entry.PathLift+url.PathEscape(content), nil, nil)
+	return c.do(ctx, http.MethodPost, entry.PathUnblock+url.PathEscape(content), nil, nil)
 }
 
 // Peers returns the members of the zone as the node sees them.
--- a/operator/story/story.go
+++ b/operator/story/story.go
@@ -122,7 +122,7 @@
 		name  string
 		value int64
 	}{{"status", int64(event.Status)}, {"waited_ms", event.Waited}, {"took_ms", event.Took}, {"age_ms", event.Age}, {"revision", event.Revision}, {"version", event.Version},
-		{"left_ms", event.Left}, {"priority", int64(event.Priority)}, {"prompt", int64(event.Prompt)}, {"answer", int64(event.Answer)},
+		{"left_ms", event.Remaining}, {"priority", int64(event.Priority)}, {"prompt", int64(event.Prompt)}, {"answer", int64(event.Answer)},
 		{"waiting", int64(event.Waiting)}, {"free", int64(event.Free)}, {"expected_ms", event.Expected},
 		{"first_ms", event.First}, {"pause_ms", event.Pause},
 	} {
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -15,22 +15,22 @@
 // Gone is news that a replica's entry was removed.
 type Gone struct {
 	ID       string
-	Revision structs.Place
+	Revision structs.StorePosition
 }
 
 // Update is news of the directory.
 type Update struct {
 	// Revision is the place in the directory's history up to which the news goes.
-	Revision structs.Place
+	Revision structs.StorePosition
 	// Complete is true if Replicas lists every replica, and Whole if also Orders, Records and
 	// Evacuations list every one.
-	Complete, Whole bool
+	Complete, FullSnapshot bool
 	// Calls is how many calls the update took.
 	Calls int
 	// Catalog is nil if the configuration did not change, and CatalogRevision is its
 	// revision.
 	Catalog         *catalog.Document
-	CatalogRevision structs.Place
+	CatalogRevision structs.StorePosition
 	Replicas        []replicas.Replica
 	Gone            []Gone
 	// Evacuations are the orders to empty zones, and to take them back; a whole update lists
@@ -42,7 +42,7 @@
 	// Contents are the requests that replicas ended under, as the store's record of that
 	// revision names them; zero means that the update tells nothing of them.
 	Contents         []contents.Record
-	ContentsRevision structs.Place
+	ContentsRevision structs.StorePosition
 	// Problems are entries that did not parse and were left out.
 	Problems []error
 }
@@ -73,18 +73,18 @@
 	// TooLarge if an answer has more than the longest number of bytes, unless that is
 	// zero, OtherEra if the store came back from a copy between the pages of one read, and else
 	// StoreUnavailable.
-	Read(ctx context.Context, scope Scope, configuration structs.Place, longest int64) (*Update, error)
+	Read(ctx context.Context, scope Scope, configuration structs.StorePosition, longest int64) (*Update, error)
 	// Watch returns what changed after the revision as soon as something did,
 	// or an empty update after the wait. The error is of kind StaleFence if the
 	// history is gone and OtherEra if the store came back from a copy, after which only Read
 	// helps, and else StoreUnavailable.
-	Watch(ctx context.Context, after structs.Place, wait time.Duration) (*Update, error)
+	Watch(ctx context.Context, after structs.StorePosition, wait time.Duration) (*Update, error)
 }
 
 // Revisions tells how far the directory's history goes, at the cost of one small call.
 type Revisions interface {
 	// Revision returns the place of the latest change. The error is of kind StoreUnavailable.
-	Revision(ctx context.Context) (structs.Place, error)
+	Revision(ctx context.Context) (structs.StorePosition, error)
 }
 
 // Rollouts keeps the progress of roll-outs and tells it to the operators.
@@ -95,7 +95,7 @@
 	// StoreUnavailable if surely nothing was written, and StoreUnknown if the write may have
 	// taken effect or may do so later, or if it was done in another era than that of the revision,
 	// where this stands for another value.
-	WriteRollout(ctx context.Context, record rollouts.Record) (structs.Place, error)
+	WriteRollout(ctx context.Context, record rollouts.Record) (structs.StorePosition, error)
 	// ReadRollout returns the service's record as it is now, with revision zero if there is
 	// none. The error is of kind StoreUnavailable.
 	ReadRollout(ctx context.Context, service string) (rollouts.Record, error)
@@ -105,10 +105,10 @@
 type Contents interface {
 	// WriteContents writes the records if the store's have the revision; zero means that it
 	// has none. It returns the new revision. Its errors are those of Rollouts.WriteRollout.
-	WriteContents(ctx context.Context, records []contents.Record, revision structs.Place) (structs.Place, error)
+	WriteContents(ctx context.Context, records []contents.Record, revision structs.StorePosition) (structs.StorePosition, error)
 	// ReadContents returns the records and their revision, which is zero if there are none.
 	// The error is of kind StoreUnavailable.
-	ReadContents(ctx context.Context) ([]contents.Record, structs.Place, error)
+	ReadContents(ctx context.Context) ([]contents.Record, structs.StorePosition, error)
 }
 
 // HeaderNames are the names of the headers that carry what the daemon reads
--- a/state/answer/answer.go
+++ b/state/answer/answer.go
@@ -13,7 +13,7 @@
 )
 
 // Head is what precedes the content of an answer.
-type Head struct {
+type ResponseHead struct {
 	// Status and Header are those of a plain service; Status is zero for the
 	// answer of an engine.
 	Status int
@@ -28,7 +28,7 @@
 
 	mutex   sync.Mutex
 	source  string
-	head    *Head
+	head    *ResponseHead
 	receipt string
 	parts   [][]byte
 	size    int
@@ -73,7 +73,7 @@
 }
 
 // SetHead records the head; parts follow it.
-func (a *Answer) SetHead(head Head) {
+func (a *Answer) SetHead(head ResponseHead) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.head = &head
@@ -105,10 +105,10 @@
 }
 
 // View is the state of an answer at one moment.
-type View struct {
+type Snapshot struct {
 	// RequestID is that of the request whose answer this is.
 	RequestID string
-	Head      *Head
+	Head      *ResponseHead
 	Receipt   string
 	// Parts are those from the number that was asked for.
 	Parts   [][]byte
@@ -119,14 +119,14 @@
 
 // Look returns the answer's state, with the parts from the number on, and a
 // channel that is closed at the next change.
-func (a *Answer) Look(from int) (View, <-chan struct{}) {
+func (a *Answer) Snapshot(from int) (Snapshot, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	source := a.RequestID
 	if a.source != "" {
 		source = a.source
 	}
-	return View{
+	return Snapshot{
 		RequestID: source, Head: a.head, Receipt: a.receipt, Parts: a.parts[min(from, len(a.parts)):],
 		Ended: a.ended, Outcome: a.outcome, Err: a.err,
 	}, a.changed
@@ -134,9 +134,9 @@
 
 // Await returns once there is a part from the number on or the end; from zero
 // also once there is a head or a receipt, unless known is positive.
-func (a *Answer) Await(ctx context.Context, from, known int) (View, error) {
+func (a *Answer) Await(ctx context.Context, from, known int) (Snapshot, error) {
 	for {
-		view, changed := a.Look(from)
+		view, changed := a.Snapshot(from)
 		if view.Ended || len(view.Parts) > 0 || (from == 0 && known < 1 && (view.Head != nil || view.Receipt != "")) {
 			return view, nil
 		}
@@ -149,9 +149,9 @@
 }
 
 // AwaitEnd returns the whole answer once it has ended.
-func (a *Answer) AwaitEnd(ctx context.Context) (View, error) {
+func (a *Answer) AwaitEnd(ctx context.Context) (Snapshot, error) {
 	for {
-		view, changed := a.Look(0)
+		view, changed := a.Snapshot(0)
 		if view.Ended {
 			return view, nil
 		}
@@ -205,7 +205,7 @@
 }
 
 // Ended starts the retention of an answer.
-func (s *Store) Ended(now structs.Instant, answer *Answer) {
+func (s *Store) MarkEnded(now structs.Instant, answer *Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	size := answer.Size()
--- a/state/backend/speed.go
+++ b/state/backend/speed.go
@@ -59,9 +59,9 @@
 
 // Speed returns the pace to expect of the replica: its report's, else its
 // generation's, else a default; slowed by what its answers showed.
-func (v *View) Speed(state *State) Speed {
+func (v *Table) Speed(state *ReplicaState) Speed {
 	speed := defaultSpeed
-	if learned, known := v.speeds.byGeneration[state.Replica.Generation]; known {
+	if learned, known := v.speeds.byGeneration[state.Replica.HardwareGeneration]; known {
 		speed = learned
 	}
 	if state.Report.PrefillRate > 0 {
@@ -77,7 +77,7 @@
 
 // Learn compares an answer with what was expected of it. Both times are from
 // dispatch to end; ratios near one leave the replica's weight as it is.
-func (s *State) Learn(expected, observed time.Duration) {
+func (s *ReplicaState) UpdateSlowdown(expected, observed time.Duration) {
 	if expected <= 0 || observed <= 0 {
 		return
 	}
@@ -91,14 +91,14 @@
 }
 
 // ConnectFailed suspends the replica for a time that doubles with each failure.
-func (s *State) ConnectFailed(now structs.Instant) {
+func (s *ReplicaState) RecordConnectFailure(now structs.Instant) {
 	suspension := min(firstSuspension<<min(s.failures, 10), longestSuspension)
 	s.failures++
 	s.SuspendedUntil = now + suspension
 }
 
 // Connected ends a suspension.
-func (s *State) Connected() {
+func (s *ReplicaState) RecordConnectSuccess() {
 	s.failures = 0
 	s.SuspendedUntil = 0
 }
--- a/state/backend/view.go
+++ b/state/backend/view.go
@@ -9,19 +9,19 @@
 )
 
 // View holds the replicas by service. It is not safe for concurrent use.
-type View struct {
+type Table struct {
 	pools    map[string]*Pool
-	replicas map[structs.ReplicaID]*State
+	replicas map[structs.ReplicaID]*ReplicaState
 	speeds   *Speeds
 }
 
 // Pool is the replicas of one service, in the order of their ids.
 type Pool struct {
-	States []*State
+	States []*ReplicaState
 }
 
 // State is what the node knows of one replica.
-type State struct {
+type ReplicaState struct {
 	Replica structs.Replica
 	// IDHash is the rendezvous hash of the id.
 	IDHash uint64
@@ -52,12 +52,12 @@
 }
 
 // NewView returns an empty view.
-func NewView() *View {
-	return &View{pools: map[string]*Pool{}, replicas: map[structs.ReplicaID]*State{}, speeds: newSpeeds()}
+func NewTable() *Table {
+	return &Table{pools: map[string]*Pool{}, replicas: map[structs.ReplicaID]*ReplicaState{}, speeds: newSpeeds()}
 }
 
 // Pool returns the replicas of the service; the pool of an unknown service is empty.
-func (v *View) Pool(service string) *Pool {
+func (v *Table) Pool(service string) *Pool {
 	if pool, found := v.pools[service]; found {
 		return pool
 	}
@@ -65,13 +65,13 @@
 }
 
 // Get returns the state of the replica.
-func (v *View) Get(id structs.ReplicaID) (*State, bool) {
+func (v *Table) Get(id structs.ReplicaID) (*ReplicaState, bool) {
 	state, found := v.replicas[id]
 	return state, found
 }
 
 // Replicas returns all replicas in the order of their ids.
-func (v *View) Replicas() []structs.Replica {
+func (v *Table) Replicas() []structs.Replica {
 	var replicas []structs.Replica
 	for _, state := range v.replicas {
 		replicas = append(replicas, state.Replica)
@@ -92,7 +92,7 @@
 
 // Upsert adds the replica or changes its fixed part. Leaving never turns back
 // to false for the same address: a leaving replica comes back under a new one.
-func (v *View) Upsert(replica structs.Replica) {
+func (v *Table) Upsert(replica structs.Replica) {
 	state, found := v.replicas[replica.ID]
 	if found && state.Replica.Service == replica.Service {
 		replica.Leaving = replica.Leaving || (state.Replica.Leaving && state.Replica.Address == replica.Address)
@@ -106,7 +106,7 @@
 	if found {
 		v.Remove(replica.ID)
 	}
-	state = &State{
+	state = &ReplicaState{
 		Replica:  replica,
 		IDHash:   rendezvous.Key(string(replica.ID)),
 		Slowdown: 1,
@@ -118,30 +118,30 @@
 		pool = &Pool{}
 		v.pools[replica.Service] = pool
 	}
-	index, _ := slices.BinarySearchFunc(pool.States, replica.ID, func(s *State, id structs.ReplicaID) int { return compareIDs(s.Replica.ID, id) })
+	index, _ := slices.BinarySearchFunc(pool.States, replica.ID, func(s *ReplicaState, id structs.ReplicaID) int { return compareIDs(s.Replica.ID, id) })
 	pool.States = slices.Insert(pool.States, index, state)
 }
 
 // Remove forgets the replica. Its requests in flight are not affected.
-func (v *View) Remove(id structs.ReplicaID) {
+func (v *Table) Remove(id structs.ReplicaID) {
 	state, found := v.replicas[id]
 	if !found {
 		return
 	}
 	delete(v.replicas, id)
 	pool := v.pools[state.Replica.Service]
-	pool.States = slices.DeleteFunc(pool.States, func(s *State) bool { return s == state })
+	pool.States = slices.DeleteFunc(pool.States, func(s *ReplicaState) bool { return s == state })
 }
 
 // MarkLeaving closes the replica to new work; it never reopens.
-func (v *View) MarkLeaving(id structs.ReplicaID) {
+func (v *Table) MarkLeaving(id structs.ReplicaID) {
 	if state, found := v.replicas[id]; found {
 		state.Replica.Leaving = true
 	}
 }
 
 // Observe applies a report and returns false if it is older than the last one.
-func (v *View) Observe(now structs.Instant, report structs.LoadReport) bool {
+func (v *Table) Observe(now structs.Instant, report structs.LoadReport) bool {
 	state, found := v.replicas[report.Replica]
 	if !found {
 		return false
@@ -157,13 +157,13 @@
 		state.Replica.Leaving = true
 	}
 	state.subtractOwn()
-	v.speeds.observe(state.Replica.Generation, report)
+	v.speeds.observe(state.Replica.HardwareGeneration, report)
 	return true
 }
 
 // subtractOwn splits the reported load into others' part and this node's part
 // as of the time of the report.
-func (s *State) subtractOwn() {
+func (s *ReplicaState) subtractOwn() {
 	ownCount, ownPrefill := 0, 0
 	count := func(f *flight) {
 		if f.dispatchedAt > s.ObservedAt {
@@ -190,29 +190,29 @@
 }
 
 // Occupancy estimates the requests at the replica now, batch and queue.
-func (s *State) Occupancy() int { return s.othersOccupancy + len(s.inFlight) }
+func (s *ReplicaState) Occupancy() int { return s.othersOccupancy + len(s.inFlight) }
 
 // OwnInFlight returns the number of this node's requests at the replica.
-func (s *State) OwnInFlight() int { return len(s.inFlight) }
+func (s *ReplicaState) OwnInFlight() int { return len(s.inFlight) }
 
 // PrefillAhead estimates the prompt tokens that wait for prefill now. Others'
 // part is taken to be worked off at the reported rate since the report.
-func (s *State) PrefillAhead(now structs.Instant) int {
+func (s *ReplicaState) PrefillAhead(now structs.Instant) int {
 	done := (now - s.ObservedAt).Seconds() * s.Report.PrefillRate
 	return max(0, s.othersPrefill-int(done)) + s.ownPrefill
 }
 
 // Age returns the time since the state of the last report was seen.
-func (s *State) Age(now structs.Instant) time.Duration { return now - s.ObservedAt }
+func (s *ReplicaState) Age(now structs.Instant) time.Duration { return now - s.ObservedAt }
 
 // Reserve enters a request of this node in the ledger, before it is sent.
-func (s *State) Reserve(now structs.Instant, id string, prefillTokens int) {
+func (s *ReplicaState) Reserve(now structs.Instant, id string, prefillTokens int) {
 	s.inFlight[id] = &flight{dispatchedAt: now, prefill: prefillTokens}
 	s.ownPrefill += prefillTokens
 }
 
 // FirstToken records that the request left prefill.
-func (s *State) FirstToken(now structs.Instant, id string) {
+func (s *ReplicaState) FirstToken(now structs.Instant, id string) {
 	entry, found := s.inFlight[id]
 	if !found || entry.firstTokenAt != 0 {
 		return
@@ -222,7 +222,7 @@
 }
 
 // Release takes the request out of the ledger, whatever its end.
-func (s *State) Release(now structs.Instant, id string) {
+func (s *ReplicaState) Release(now structs.Instant, id string) {
 	entry, found := s.inFlight[id]
 	if !found {
 		return
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -15,21 +15,21 @@
 )
 
 // Kind says what may be repeated.
-type Kind string
+type RouteKind string
 
 // The kinds of routes.
 const (
 	// KindSafe requests may run more than once.
-	KindSafe Kind = "safe"
+	KindSafe RouteKind = "safe"
 	// KindUnsafe requests run at most once.
-	KindUnsafe Kind = "unsafe"
+	KindUnsafe RouteKind = "unsafe"
 	// KindStreaming answers are series of events; they run at most once unless
 	// the route is resumable.
-	KindStreaming Kind = "streaming"
+	KindStreaming RouteKind = "streaming"
 )
 
 // Backend is a service that a route sends a share of its requests to.
-type Backend struct {
+type WeightedService struct {
 	Service string `msgpack:"s"`
 	// Weight is the share, relative to the other backends of the route.
 	Weight int `msgpack:"w"`
@@ -37,24 +37,24 @@
 
 // Route matches requests by host and path prefix.
 type Route struct {
-	Name       string `msgpack:"n"`
-	Host       string `msgpack:"h"`
-	PathPrefix string `msgpack:"p"`
-	Kind       Kind   `msgpack:"k"`
+	Name       string    `msgpack:"n"`
+	Host       string    `msgpack:"h"`
+	PathPrefix string    `msgpack:"p"`
+	Kind       RouteKind `msgpack:"k"`
 	// Timeout is the longest time that a request is held; zero means no bound.
 	Timeout time.Duration `msgpack:"t"`
 	// Target is the time within which an answer earns its full credit.
-	Target time.Duration `msgpack:"a"`
+	TargetLatency time.Duration `msgpack:"a"`
 	// TargetGap is the longest pause between two events of a stream.
-	TargetGap time.Duration `msgpack:"g"`
+	TargetEventGap time.Duration `msgpack:"g"`
 	// Priority orders routes; zero is the most urgent.
-	Priority int       `msgpack:"r"`
-	Backends []Backend `msgpack:"b"`
+	Priority int               `msgpack:"r"`
+	Backends []WeightedService `msgpack:"b"`
 	// Attempts bounds the replicas that may run one request.
-	Attempts  int  `msgpack:"m"`
-	Public    bool `msgpack:"u"`
-	Sticky    bool `msgpack:"y"`
-	Resumable bool `msgpack:"e"`
+	MaxAttempts int  `msgpack:"m"`
+	Public      bool `msgpack:"u"`
+	Sticky      bool `msgpack:"y"`
+	Resumable   bool `msgpack:"e"`
 }
 
 // Repeatable returns whether a request of the route may run more than once.
@@ -66,10 +66,10 @@
 type Engine struct {
 	Slots int `msgpack:"s"`
 	// Stride is the number of tokens in one event of a stream.
-	Stride        int  `msgpack:"d"`
-	TokenCapacity int  `msgpack:"k"`
-	Moves         bool `msgpack:"m"`
-	Backups       bool `msgpack:"b"`
+	TokensPerEvent int  `msgpack:"d"`
+	TokenCapacity  int  `msgpack:"k"`
+	Moves          bool `msgpack:"m"`
+	Backups        bool `msgpack:"b"`
 }
 
 // Service is a pool of replicas.
@@ -78,8 +78,8 @@
 	MaxConnections int    `msgpack:"c"`
 	// ColdTime is how long a replica stays cold after its start, and ColdRate the requests a
 	// second that it bears meanwhile; zero means any.
-	ColdTime time.Duration `msgpack:"ct,omitempty"`
-	ColdRate float64       `msgpack:"cr,omitempty"`
+	WarmupTime    time.Duration `msgpack:"ct,omitempty"`
+	SlowStartRate float64       `msgpack:"cr,omitempty"`
 	// Engine is nil for plain services.
 	Engine *Engine `msgpack:"e"`
 }
@@ -98,7 +98,7 @@
 	// CountTokens is true if the quota counts tokens and false if requests.
 	CountTokens bool `msgpack:"t"`
 	// PlainTokens is what a request without a token count stands for.
-	PlainTokens int `msgpack:"l"`
+	DefaultTokens int `msgpack:"l"`
 }
 
 // Limits bound what callers may send.
@@ -213,7 +213,7 @@
 	if len(route.Backends) == 0 {
 		return errkind.New(errkind.InvalidSettings, "routes/%s: names no service", route.Name)
 	}
-	route.Attempts = max(route.Attempts, 1)
+	route.MaxAttempts = max(route.MaxAttempts, 1)
 	host := strings.ToLower(route.Host)
 	routes, known := c.byHost[host]
 	if !known {
@@ -251,7 +251,7 @@
 
 // Choose returns the service for a request, where draw is evenly spread over
 // 0 (included) to 1 (excluded).
-func (r *Route) Choose(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, backend := range r.Backends {
 		total += max(backend.Weight, 0)
--- a/state/catalog/catalog_test.go
+++ b/state/catalog/catalog_test.go
@@ -18,7 +18,7 @@
 			routes[i].Kind = KindSafe
 		}
 		if routes[i].Backends == nil {
-			routes[i].Backends = []Backend{{Service: "s", Weight: 1}}
+			routes[i].Backends = []WeightedService{{Service: "s", Weight: 1}}
 		}
 	}
 	return &Document{Version: 1, Routes: routes, Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}}}}
@@ -45,7 +45,7 @@
 		"version: 0":             {},
 		"routes/r/kind: \"odd\"": document(Route{Name: "r", Kind: "odd", PathPrefix: "/"}),
 		"routes/r/path_prefix":   document(Route{Name: "r", PathPrefix: "x"}),
-		"names no service":       document(Route{Name: "r", PathPrefix: "/", Backends: []Backend{}}),
+		"names no service":       document(Route{Name: "r", PathPrefix: "/", Backends: []WeightedService{}}),
 	} {
 		_, err := Compile(wrong)
 		g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(text)))
@@ -55,13 +55,13 @@
 
 func TestSplitFollowsTheWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
-	route := Route{Backends: []Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
+	route := Route{Backends: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[route.Choose(float64(i)/1000)]++
+		counts[route.PickService(float64(i)/1000)]++
 	}
 	g.Expect(counts).To(gomega.Equal(map[string]int{"a": 900, "b": 100}))
-	g.Expect((&Route{Backends: []Backend{{Service: "only"}}}).Choose(0.5)).To(gomega.Equal("only"))
+	g.Expect((&Route{Backends: []WeightedService{{Service: "only"}}}).PickService(0.5)).To(gomega.Equal("only"))
 }
 
 // Any routes and any path: what is found is what looking at each route finds.
@@ -78,7 +78,7 @@
 		}
 		document := &Document{Version: 1}
 		for i := range rapid.IntRange(0, 12).Draw(t, "routes") {
-			document.Routes = append(document.Routes, Route{Name: fmt.Sprint(i), Host: "h", PathPrefix: path("prefix"), Kind: KindSafe, Backends: []Backend{{Service: "s"}}})
+			document.Routes = append(document.Routes, Route{Name: fmt.Sprint(i), Host: "h", PathPrefix: path("prefix"), Kind: KindSafe, Backends: []WeightedService{{Service: "s"}}})
 		}
 		compiled, err := Compile(document)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/state/catalog/parts.go
+++ b/state/catalog/parts.go
@@ -58,7 +58,7 @@
 }
 
 // Packed is a part as it travels: encoded and compressed. It is immutable.
-type Packed struct {
+type CompressedPart struct {
 	Hash    Hash
 	Content []byte
 	// Size is the length of the content before compression, in bytes.
@@ -123,7 +123,7 @@
 }
 
 // Pack compresses the content of a part.
-func Pack(hash Hash, content []byte) (*Packed, error) {
+func Compress(hash Hash, content []byte) (*CompressedPart, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
 	if err != nil {
@@ -135,12 +135,12 @@
 	if err := writer.Close(); err != nil {
 		return nil, errkind.Wrap(errkind.InvalidSettings, err)
 	}
-	return &Packed{Hash: hash, Content: bytes.Clone(buffer.Bytes()), Size: len(content)}, nil
+	return &CompressedPart{Hash: hash, Content: bytes.Clone(buffer.Bytes()), Size: len(content)}, nil
 }
 
 // Unpack checks and decodes what a peer sent. The error is of kind BadFrame for content
 // that is cut short, too long or not a part.
-func Unpack(compressed []byte) (*Packed, *Part, error) {
+func Decompress(compressed []byte) (*CompressedPart, *Part, error) {
 	reader := flate.NewReader(bytes.NewReader(compressed))
 	content, err := io.ReadAll(io.LimitReader(reader, MaximumPart+1))
 	if err != nil {
@@ -153,6 +153,6 @@
 	if err := msgpack.Unmarshal(content, part); err != nil {
 		return nil, nil, errkind.Wrap(errkind.BadFrame, err)
 	}
-	packed := &Packed{Hash: Hash(xxhash.Sum64(content)), Content: compressed, Size: len(content)}
+	packed := &CompressedPart{Hash: Hash(xxhash.Sum64(content)), Content: compressed, Size: len(content)}
 	return packed, part, nil
 }
--- a/state/catalog/parts_test.go
+++ b/state/catalog/parts_test.go
@@ -21,7 +21,7 @@
 	for range routes {
 		document.Routes = append(document.Routes, Route{
 			Name: fmt.Sprintf("r-%07x", random.Uint32()), Host: fmt.Sprintf("h%04x.example", random.Uint32()%0x10000), PathPrefix: fmt.Sprintf("/p%08x/", random.Uint32()),
-			Kind: KindSafe, Backends: []Backend{{Service: "registry", Weight: 1}}, Attempts: 2,
+			Kind: KindSafe, Backends: []WeightedService{{Service: "registry", Weight: 1}}, MaxAttempts: 2,
 		})
 	}
 	return document
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		packed, err := Pack(hash, content)
+		packed, err := Compress(hash, content)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,9 +67,9 @@
 		for _, part := range Split(document) {
 			hash, content, err := part.Encode()
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			sent, err := Pack(hash, content)
+			sent, err := Compress(hash, content)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			packed, got, err := Unpack(sent.Content)
+			packed, got, err := Decompress(sent.Content)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(packed.Hash).To(gomega.Equal(hash))
 			parts = append(parts, *got)
@@ -91,7 +91,7 @@
 	t.Logf("%d parts, %d bytes compressed", len(before), whole)
 	for _, place := range []int{0, 17, 2800, 5599} {
 		changed := largeDocument(2, 5600)
-		changed.Routes[place].Attempts = 3
+		changed.Routes[place].MaxAttempts = 3
 		after, _ := names(t, changed)
 		g.Expect(lacking(before, after)).To(gomega.Equal(1), "route %d has other attempts", place)
 		removed := largeDocument(3, 5600)
@@ -110,15 +110,15 @@
 	part := Split(largeDocument(1, 300))[2]
 	hash, content, err := part.Encode()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	packed, err := Pack(hash, content)
+	packed, err := Compress(hash, content)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for _, bad := range [][]byte{nil, packed.Content[:len(packed.Content)/2], []byte("no compressed part")} {
-		_, _, err := Unpack(bad)
+		_, _, err := Decompress(bad)
 		g.Expect(err).To(gomega.MatchError(errkind.BadFrame))
 	}
-	zeros, err := Pack(0, make([]byte, MaximumPart+1))
+	zeros, err := Compress(0, make([]byte, MaximumPart+1))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, _, err = Unpack(zeros.Content)
+	_, _, err = Decompress(zeros.Content)
 	g.Expect(err).To(gomega.MatchError(errkind.BadFrame), "few bytes that stand for very many")
 }
 
@@ -129,13 +129,13 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	packed, err := Pack(hash, content)
+	packed, err := Compress(hash, content)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(packed.Content)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		packed, part, err := Unpack(content)
+		packed, part, err := Decompress(content)
 		if err == nil && (part == nil || packed.Size > MaximumPart) {
 			t.Fatal("neither a part nor an error")
 		}
--- a/state/evacuations/evacuations.go
+++ b/state/evacuations/evacuations.go
@@ -20,20 +20,20 @@
 
 	Zone string `json:"zone"`
 	// Place is that of the order in the store's history.
-	Place structs.Place `json:"place"`
+	Position structs.StorePosition `json:"place"`
 	// Lifted is true if the zone may be sent to again.
 	Lifted bool `json:"lifted"`
 }
 
 // MostZones bounds the zones that a table knows. Orders for more are false input: a platform has
 // some ten zones.
-const MostZones = 64
+const MaxZones = 64
 
 // Table is the set of known orders, the latest of each zone.
 type Table struct {
 	orders map[string]Order
 	// restored is set while the store has just come back from a copy.
-	restored structs.Restored
+	restored structs.RestoreWindow
 }
 
 // NewTable returns a table that knows no order.
@@ -41,12 +41,12 @@
 
 // SetRestored tells that the store came back from a copy: what it lists takes back no order that
 // came later. It ends with the zero value.
-func (t *Table) SetRestored(restored structs.Restored) { t.restored = restored }
+func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
 
 // Put applies an order and returns whether the zone is emptied or taken back by it.
 func (t *Table) Put(order Order) bool {
 	known, found := t.orders[order.Zone]
-	if found && !t.restored.IsBefore(known.Place, order.Place) {
+	if found && !t.restored.IsBefore(known.Position, order.Position) {
 		return false
 	}
 	if !found && !t.makeRoom(order) {
@@ -59,7 +59,7 @@
 // makeRoom returns whether one more zone may be known. A zone that was taken back longest ago
 // gives way to one that is emptied.
 func (t *Table) makeRoom(order Order) bool {
-	if len(t.orders) < MostZones {
+	if len(t.orders) < MaxZones {
 		return true
 	}
 	if order.Lifted {
@@ -79,25 +79,25 @@
 
 // Missing returns the orders by which the zones are taken back that a complete list as of the
 // place does not name.
-func (t *Table) Missing(listed []Order, place structs.Place) []Order {
+func (t *Table) LiftsForUnlisted(listed []Order, place structs.StorePosition) []Order {
 	var lifts []Order
 	for _, known := range t.All() {
 		isListed := slices.ContainsFunc(listed, func(order Order) bool { return order.Zone == known.Zone })
-		if known.isInForce() && !isListed && t.restored.IsBefore(known.Place, place) {
-			lifts = append(lifts, Order{Zone: known.Zone, Place: place, Lifted: true})
+		if known.isInForce() && !isListed && t.restored.IsBefore(known.Position, place) {
+			lifts = append(lifts, Order{Zone: known.Zone, Position: place, Lifted: true})
 		}
 	}
 	return lifts
 }
 
 // IsEmptied returns whether nothing is to be sent to the zone.
-func (t *Table) IsEmptied(zone string) bool {
+func (t *Table) IsEvacuated(zone string) bool {
 	order := t.orders[zone]
 	return order.isInForce()
 }
 
 // Emptied returns the zones that nothing is to be sent to.
-func (t *Table) Emptied() map[string]bool {
+func (t *Table) EvacuatedZones() map[string]bool {
 	zones := map[string]bool{}
 	for zone, order := range t.orders {
 		if order.isInForce() {
@@ -114,7 +114,7 @@
 		orders = append(orders, order)
 	}
 	slices.SortFunc(orders, func(a, b Order) int {
-		return cmp.Or(cmp.Compare(a.Place, b.Place), cmp.Compare(a.Zone, b.Zone))
+		return cmp.Or(cmp.Compare(a.Position, b.Position), cmp.Compare(a.Zone, b.Zone))
 	})
 	return orders
 }
--- a/state/gossip/gossip.go
+++ b/state/gossip/gossip.go
@@ -13,8 +13,8 @@
 // that is told once. SpreadOnce passes an item on a few times only, for values
 // that are soon replaced by newer ones.
 const (
-	SpreadSurely = 4
-	SpreadOnce   = 0
+	RetransmitReliable = 4
+	RetransmitMinimal  = 0
 )
 
 // onceSends is how often a node passes an item on under SpreadOnce.
@@ -30,7 +30,7 @@
 
 // Queue holds the items that a node still passes on, at most one for a key.
 // It is not safe for concurrent use.
-type Queue[Key comparable, Value any] struct {
+type BroadcastQueue[Key comparable, Value any] struct {
 	items   map[Key]*item[Key, Value]
 	limit   int
 	factor  int
@@ -40,12 +40,12 @@
 // NewQueue returns a queue that keeps at most limit items; of more, those that
 // were passed on most often are dropped first. The factor is SpreadSurely or
 // SpreadOnce.
-func NewQueue[Key comparable, Value any](limit, factor int) *Queue[Key, Value] {
-	return &Queue[Key, Value]{items: map[Key]*item[Key, Value]{}, limit: limit, factor: factor}
+func NewBroadcastQueue[Key comparable, Value any](limit, factor int) *BroadcastQueue[Key, Value] {
+	return &BroadcastQueue[Key, Value]{items: map[Key]*item[Key, Value]{}, limit: limit, factor: factor}
 }
 
 // Put enters a new value for the key, to be passed on afresh.
-func (q *Queue[Key, Value]) Put(key Key, value Value) {
+func (q *BroadcastQueue[Key, Value]) Put(key Key, value Value) {
 	q.counter++
 	q.items[key] = &item[Key, Value]{key: key, value: value, order: q.counter}
 	if len(q.items) > q.limit {
@@ -56,7 +56,7 @@
 
 // Take returns up to count values, those passed on least often first, for one
 // message in a zone of the given size.
-func (q *Queue[Key, Value]) Take(count, members int) []Value {
+func (q *BroadcastQueue[Key, Value]) Take(count, members int) []Value {
 	if len(q.items) == 0 || count <= 0 {
 		return nil
 	}
@@ -73,7 +73,7 @@
 	return values
 }
 
-func (q *Queue[Key, Value]) sorted() []*item[Key, Value] {
+func (q *BroadcastQueue[Key, Value]) sorted() []*item[Key, Value] {
 	sorted := make([]*item[Key, Value], 0, len(q.items))
 	for _, entry := range q.items {
 		sorted = append(sorted, entry)
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -30,31 +30,31 @@
 }
 
 // View maps prefix blocks to the replicas thought to hold them.
-type View struct {
+type LRUIndex struct {
 	blocks *simplelru.LRU[uint64, []structs.ReplicaID]
 }
 
 // NewView returns a view of at most capacity blocks.
-func NewView(capacity int) *View {
+func NewLRUIndex(capacity int) *LRUIndex {
 	blocks, err := simplelru.NewLRU[uint64, []structs.ReplicaID](max(capacity, 1), nil)
 	if err != nil {
 		panic(err) // unreachable: the size is positive
 	}
-	return &View{blocks: blocks}
+	return &LRUIndex{blocks: blocks}
 }
 
 // Len returns the number of blocks in the view.
-func (v *View) Len() int { return v.blocks.Len() }
+func (v *LRUIndex) Len() int { return v.blocks.Len() }
 
 // Sent records that the replica was sent a prompt with the chain.
-func (v *View) Sent(replica structs.ReplicaID, chain []uint64) {
+func (v *LRUIndex) Sent(replica structs.ReplicaID, chain []uint64) {
 	for _, block := range chain {
 		v.add(replica, block)
 	}
 }
 
 // Event applies a cache event of the replica.
-func (v *View) Event(replica structs.ReplicaID, event structs.CacheEvent) {
+func (v *LRUIndex) Event(replica structs.ReplicaID, event structs.CacheEvent) {
 	if event.Stored {
 		v.add(replica, event.Block)
 		return
@@ -63,13 +63,13 @@
 }
 
 // Forget drops everything known of the replica, such as after it restarted.
-func (v *View) Forget(replica structs.ReplicaID) {
+func (v *LRUIndex) Forget(replica structs.ReplicaID) {
 	for _, block := range v.blocks.Keys() {
 		v.remove(replica, block)
 	}
 }
 
-func (v *View) add(replica structs.ReplicaID, block uint64) {
+func (v *LRUIndex) add(replica structs.ReplicaID, block uint64) {
 	holders, _ := v.blocks.Get(block)
 	if slices.Contains(holders, replica) {
 		return
@@ -82,7 +82,7 @@
 	v.blocks.Add(block, append(grown, replica))
 }
 
-func (v *View) remove(replica structs.ReplicaID, block uint64) {
+func (v *LRUIndex) remove(replica structs.ReplicaID, block uint64) {
 	holders, found := v.blocks.Peek(block)
 	if !found || !slices.Contains(holders, replica) {
 		return
@@ -98,7 +98,7 @@
 // CachedTokens returns the prompt tokens that the replica is thought to hold.
 // It looks from the end of the chain: of what other nodes sent only the last
 // block is known, and a block that is held stands for all before it.
-func (v *View) CachedTokens(replica structs.ReplicaID, chain []uint64) int {
+func (v *LRUIndex) CachedTokens(replica structs.ReplicaID, chain []uint64) int {
 	for index := len(chain) - 1; index >= 0; index-- {
 		holders, known := v.blocks.Peek(chain[index])
 		if known && slices.Contains(holders, replica) {
@@ -110,7 +110,7 @@
 
 // Holders returns the replicas thought to hold the longest known part of the
 // chain. The result must not be changed.
-func (v *View) Holders(chain []uint64) []structs.ReplicaID {
+func (v *LRUIndex) Holders(chain []uint64) []structs.ReplicaID {
 	for index := len(chain) - 1; index >= 0; index-- {
 		if holders, known := v.blocks.Peek(chain[index]); known {
 			return holders
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -20,7 +20,7 @@
 	// LimitNone means that the replica takes any rate.
 	LimitNone
 	// LimitNamed means that it takes PerSecond.
-	LimitNamed
+	LimitSet
 )
 
 // Limit is the rate that a replica takes from all nodes together.
@@ -34,7 +34,7 @@
 }
 
 // Statement is what one answer says. The zero value says nothing.
-type Statement struct {
+type Signals struct {
 	// Leaving is true if the replica takes no new requests until it ends.
 	Leaving bool
 	Limit   Limit
@@ -43,14 +43,14 @@
 }
 
 // Known is a limit with the instant as of which it holds.
-type Known struct {
+type TimedLimit struct {
 	Limit Limit
 	AsOf  structs.Instant
 }
 
 // Put takes the limit over if it is later than the one that is held, and returns whether it is
 // another one. What was never named does not end.
-func (k *Known) Put(limit Limit, asOf structs.Instant) bool {
+func (k *TimedLimit) Update(limit Limit, asOf structs.Instant) bool {
 	isFirst := k.Limit.State == LimitUnknown
 	if limit.State == LimitUnknown || isFirst && limit.State == LimitNone || !isFirst && asOf <= k.AsOf {
 		return false
@@ -61,11 +61,11 @@
 }
 
 // IsNamed returns whether there is a limit.
-func (k *Known) IsNamed() bool { return k.Limit.State == LimitNamed }
+func (k *TimedLimit) IsSet() bool { return k.Limit.State == LimitSet }
 
 // Life is one start of a replica. One that starts again under its id says nothing of what it said
 // before.
-type Life struct {
+type Incarnation struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -75,14 +75,16 @@
 }
 
 // LifeOf returns the life of the replica as it is listed.
-func LifeOf(replica replicas.Replica) Life { return Life{Replica: replica.ID, Born: replica.Born} }
+func IncarnationOf(replica replicas.Replica) Incarnation {
+	return Incarnation{Replica: replica.ID, Born: replica.StartedAt}
+}
 
 // Note is what a node tells another one of a replica.
-type Note struct {
+type Report struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Life Life
+	Life Incarnation
 	// Limit is of so long ago.
 	Limit Limit
 	Age   time.Duration
@@ -93,14 +95,14 @@
 }
 
 // NoteOf returns what is known of the replica's limit.
-func (k *Known) NoteOf(now structs.Instant, life Life) Note {
-	return Note{Life: life, Limit: k.Limit, Age: now - k.AsOf}
+func (k *TimedLimit) ReportOf(now structs.Instant, life Incarnation) Report {
+	return Report{Life: life, Limit: k.Limit, Age: now - k.AsOf}
 }
 
 // record is what one replica said to this node.
 type record struct {
 	leaving     bool
-	limit       Known
+	limit       TimedLimit
 	pausedUntil structs.Instant
 	// isOnTrial is true from a pause on until an answer asks for none; one request at a time, the
 	// last at triedAt, then finds out.
@@ -122,60 +124,60 @@
 const trialTime = time.Second
 
 // Book is what replicas said to one node. It is not safe for concurrent use.
-type Book struct {
-	records map[Life]*record
+type Tracker struct {
+	records map[Incarnation]*record
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{records: map[Life]*record{}} }
+func NewTracker() *Tracker { return &Tracker{records: map[Incarnation]*record{}} }
 
 // Change is what an answer changed of what the book holds of a replica.
 type Change struct {
 	// Left is true if the replica says for the first time that it leaves.
-	Left bool
+	StartedLeaving bool
 	// Limited is true if the limit is another one than before, or ended.
-	Limited bool
+	LimitChanged bool
 	// Paused is true if the replica asks for a pause.
-	Paused bool
+	PauseRequested bool
 }
 
 // Hear enters what an answer says that arrived now to a request sent at the given instant. An
 // answer without a limit ends one only if its request was sent after that was heard: answers
 // overtake each other.
-func (b *Book) Hear(now, sent structs.Instant, life Life, said Statement) Change {
+func (b *Tracker) Observe(now, sent structs.Instant, life Incarnation, said Signals) Change {
 	held := b.records[life]
 	if held == nil {
-		if !said.Leaving && said.Pause <= 0 && said.Limit.State != LimitNamed {
+		if !said.Leaving && said.Pause <= 0 && said.Limit.State != LimitSet {
 			return Change{}
 		}
 		held = &record{}
 		b.records[life] = held
 	}
 	held.heardAt = now
-	change := Change{Left: said.Leaving && !held.leaving, Paused: said.Pause > 0}
+	change := Change{StartedLeaving: said.Leaving && !held.leaving, PauseRequested: said.Pause > 0}
 	held.leaving = held.leaving || said.Leaving
 	held.hearPause(now, sent, said)
 	asOf := now
 	if said.Limit.State == LimitNone {
 		asOf = sent
 	}
-	change.Limited = held.limit.Put(said.Limit, asOf)
+	change.LimitChanged = held.limit.Update(said.Limit, asOf)
 	return change
 }
 
 // hearPause begins or ends a pause. Answers to requests that were sent before its end say nothing of
 // what comes after.
-func (r *record) hearPause(now, sent structs.Instant, said Statement) {
+func (r *record) hearPause(now, sent structs.Instant, said Signals) {
 	switch {
 	case said.Pause > 0:
 		r.pausedUntil, r.isOnTrial = max(r.pausedUntil, now+said.Pause), true
-	case sent >= r.pausedUntil && said != (Statement{}):
+	case sent >= r.pausedUntil && said != (Signals{}):
 		r.isOnTrial = false
 	}
 }
 
 // PauseLeft returns for how long this node is to send nothing to the replica.
-func (b *Book) PauseLeft(now structs.Instant, life Life) time.Duration {
+func (b *Tracker) PauseLeft(now structs.Instant, life Incarnation) time.Duration {
 	held := b.records[life]
 	if held == nil {
 		return 0
@@ -185,46 +187,46 @@
 
 // Sent enters that a request is sent to the replica. After a pause it is the only one for a while, so
 // that not all that were held back come at once.
-func (b *Book) Sent(now structs.Instant, life Life) {
+func (b *Tracker) Sent(now structs.Instant, life Incarnation) {
 	if held := b.records[life]; held != nil && held.isOnTrial {
 		held.triedAt = now
 	}
 }
 
 // HearLimit enters what another node knows of a replica's limit.
-func (b *Book) HearLimit(now structs.Instant, note Note) {
+func (b *Tracker) MergeLimit(now structs.Instant, note Report) {
 	held := b.records[note.Life]
 	if held == nil {
-		if note.Limit.State != LimitNamed {
+		if note.Limit.State != LimitSet {
 			return
 		}
 		held = &record{}
 		b.records[note.Life] = held
 	}
 	held.heardAt = now
-	held.limit.Put(note.Limit, now-note.Age)
+	held.limit.Update(note.Limit, now-note.Age)
 }
 
 // IsLimited returns whether the replica names a limit.
-func (b *Book) IsLimited(life Life) bool {
+func (b *Tracker) IsLimited(life Incarnation) bool {
 	held := b.records[life]
-	return held != nil && held.limit.IsNamed()
+	return held != nil && held.limit.IsSet()
 }
 
 // IsLeaving returns whether the replica said that it leaves.
-func (b *Book) IsLeaving(life Life) bool {
+func (b *Tracker) IsLeaving(life Incarnation) bool {
 	held := b.records[life]
 	return held != nil && held.leaving
 }
 
 // Notes returns what the node that schedules has to know of those replicas that are picked.
-func (b *Book) Notes(now structs.Instant, picks func(life Life) bool) []Note {
-	var notes []Note
+func (b *Tracker) Reports(now structs.Instant, picks func(life Incarnation) bool) []Report {
+	var notes []Report
 	for life, held := range b.records {
 		if !held.isWorthTelling(now) || !picks(life) {
 			continue
 		}
-		note := held.limit.NoteOf(now, life)
+		note := held.limit.ReportOf(now, life)
 		note.Leaving, note.Pause = held.leaving, held.pauseLeft(now)
 		if notes = append(notes, note); len(notes) == mostNotes {
 			break
@@ -239,7 +241,7 @@
 // isWorthTelling returns whether the record holds requests back, or did until lately: the end of a
 // limit is told for as long as another node may take it for valid.
 func (r *record) isWorthTelling(now structs.Instant) bool {
-	return r.leaving || r.pauseLeft(now) > 0 || r.limit.IsNamed() || r.limit.Limit.State == LimitNone && now-r.limit.AsOf < endToldFor
+	return r.leaving || r.pauseLeft(now) > 0 || r.limit.IsSet() || r.limit.Limit.State == LimitNone && now-r.limit.AsOf < endToldFor
 }
 
 // endToldFor is how long the end of a limit is told.
@@ -250,7 +252,7 @@
 const memory = 10 * time.Minute
 
 // Forget drops replicas that are no longer known, some time after they last said anything.
-func (b *Book) Forget(now structs.Instant, isKnown func(life Life) bool) {
+func (b *Tracker) Forget(now structs.Instant, isKnown func(life Incarnation) bool) {
 	for life, held := range b.records {
 		if now-held.heardAt > memory && !isKnown(life) {
 			delete(b.records, life)
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -183,7 +183,7 @@
 
 // Below returns the waiting requests of ranks greater than the given one,
 // which are lower tiers, lowest first.
-func (q *Queue) Below(rank structs.Rank) []*structs.Request {
+func (q *Queue) LowerTiers(rank structs.Rank) []*structs.Request {
 	var requests []*structs.Request
 	for i := len(q.tiers) - 1; i >= 0 && q.tiers[i].rank > rank; i-- {
 		requests = append(requests, q.tiers[i].requests()...)
@@ -192,7 +192,7 @@
 }
 
 // All returns every waiting request, lowest tier first.
-func (q *Queue) All() []*structs.Request { return q.Below(-1) }
+func (q *Queue) All() []*structs.Request { return q.LowerTiers(-1) }
 
 func (t *tier) requests() []*structs.Request {
 	var requests []*structs.Request
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -18,11 +18,11 @@
 }
 
 // State is how far a keyed request has come.
-type State uint8
+type Progress uint8
 
 const (
 	// Registered means that nothing was sent to a back end.
-	Registered State = iota + 1
+	Registered Progress = iota + 1
 	// Dispatched means that a byte may have been sent.
 	Dispatched
 	// Ended means that the dispatcher told its caller the outcome.
@@ -39,9 +39,9 @@
 	Node    string `msgpack:"n"`
 	Process uint64 `msgpack:"p"`
 	// Address is where that process serves callers.
-	Address string          `msgpack:"a"`
-	State   State           `msgpack:"s"`
-	Outcome structs.Outcome `msgpack:"o"`
+	Address  string          `msgpack:"a"`
+	Progress Progress        `msgpack:"s"`
+	Outcome  structs.Outcome `msgpack:"o"`
 	// Receipt is set from Dispatched on.
 	Receipt string `msgpack:"c"`
 }
@@ -84,7 +84,7 @@
 	t.sweep(now)
 	existing, found := t.entries[entry.Key]
 	if found && existing.RequestID == entry.RequestID {
-		if entry.State >= existing.State {
+		if entry.Progress >= existing.Progress {
 			t.entries[entry.Key] = &kept{Entry: entry, at: now}
 		}
 		return t.entries[entry.Key].Entry, true, nil
@@ -93,7 +93,7 @@
 		return Entry{}, false, errkind.New(errkind.KeyReused, "the key belongs to a request with another body")
 	}
 	// A request that ended as not run frees its key: it did not run.
-	if found && !(existing.State == Ended && existing.Outcome == structs.OutcomeNotRun) {
+	if found && !(existing.Progress == Ended && existing.Outcome == structs.OutcomeNotRun) {
 		return existing.Entry, false, nil
 	}
 	if !found && len(t.entries) >= t.limit && !t.dropEnded() {
@@ -110,9 +110,9 @@
 	if found && existing.RequestID != entry.RequestID {
 		return false
 	}
-	if !found || entry.State >= existing.State {
+	if !found || entry.Progress >= existing.Progress {
 		t.entries[entry.Key] = &kept{Entry: entry, at: now}
-		if entry.State == Ended {
+		if entry.Progress == Ended {
 			t.ended = append(t.ended, entry.Key)
 		}
 	}
@@ -124,7 +124,7 @@
 // wrong, the old process learns it from Update before it dispatches.
 func (t *Table) TakeOver(now structs.Instant, old string, entry Entry) bool {
 	existing, found := t.entries[entry.Key]
-	if found && (existing.RequestID != old || existing.State != Registered) {
+	if found && (existing.RequestID != old || existing.Progress != Registered) {
 		return false
 	}
 	t.entries[entry.Key] = &kept{Entry: entry, at: now}
@@ -153,11 +153,11 @@
 	t.sweptAt = now
 	t.ended = slices.DeleteFunc(t.ended, func(key Key) bool {
 		entry, found := t.entries[key]
-		return !found || entry.State != Ended
+		return !found || entry.Progress != Ended
 	})
 	for key, entry := range t.entries {
 		age := now - entry.at
-		if (entry.State == Ended && age > t.retention) || age > openRetentionFactor*t.retention {
+		if (entry.Progress == Ended && age > t.retention) || age > openRetentionFactor*t.retention {
 			delete(t.entries, key)
 		}
 	}
@@ -168,7 +168,7 @@
 	for len(t.ended) > 0 {
 		key := t.ended[0]
 		t.ended = t.ended[1:]
-		if entry, found := t.entries[key]; found && entry.State == Ended {
+		if entry, found := t.entries[key]; found && entry.Progress == Ended {
 			delete(t.entries, key)
 			return true
 		}
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -11,8 +11,8 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-func entry(key, request string, state State) Entry {
-	return Entry{Key: Key{"t", key}, BodyHash: 1, RequestID: request, State: state}
+func entry(key, request string, state Progress) Entry {
+	return Entry{Key: Key{"t", key}, BodyHash: 1, RequestID: request, Progress: state}
 }
 
 func TestSecondRequestJoinsTheFirst(t *testing.T) {
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -32,7 +32,7 @@
 func Key(text string) uint64 { return xxhash.Sum64String(text) }
 
 // Choose returns up to count members, heaviest first.
-func Choose(members []string, key uint64, count int) []string {
+func Top(members []string, key uint64, count int) []string {
 	if count > len(members) {
 		count = len(members)
 	}
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -30,21 +30,23 @@
 	// Draining closes the replica to new work.
 	Draining bool `msgpack:"d" json:"draining"`
 	// Revision is the place of the entry in the store's history.
-	Revision structs.Place `msgpack:"r" json:"revision"`
+	Position structs.StorePosition `msgpack:"r" json:"revision"`
 	// Born is when it started, in Unix milliseconds by its own clock; zero if it tells none.
 	// One that starts again may take the id that it had.
-	Born int64 `msgpack:"b,omitempty" json:"born,omitempty"`
+	StartedAt int64 `msgpack:"b,omitempty" json:"born,omitempty"`
 	// Warmup is for how much longer the replica stayed cold when it wrote the entry.
 	Warmup time.Duration `msgpack:"w,omitempty" json:"warmup,omitempty"`
 }
 
 // IsSameLife returns whether both are of one start of the server. Starts are told apart and
 // not put in order: the server's clock may have been set back between them.
-func (r *Replica) IsSameLife(other Replica) bool { return r.ID == other.ID && r.Born == other.Born }
+func (r *Replica) IsSameIncarnation(other Replica) bool {
+	return r.ID == other.ID && r.StartedAt == other.StartedAt
+}
 
 // removed remembers a replica that must not come back.
 type removed struct {
-	revision structs.Place
+	revision structs.StorePosition
 	at       structs.Instant
 }
 
@@ -66,11 +68,11 @@
 	byID    map[string]Replica
 	removed map[string]removed
 	// revision is the store's revision up to which the table is complete.
-	revision structs.Place
-	latest   structs.Place
+	revision structs.StorePosition
+	latest   structs.StorePosition
 	version  uint64
 	// restored is set while the store has just come back from a copy.
-	restored structs.Restored
+	restored structs.RestoreWindow
 }
 
 // NewTable returns an empty table.
@@ -79,42 +81,42 @@
 }
 
 // Revision returns the store's revision up to which the table is complete.
-func (t *Table) Revision() structs.Place { return t.revision }
+func (t *Table) CompleteTo() structs.StorePosition { return t.revision }
 
 // Version rises with each change that matters to placement.
-func (t *Table) Version() uint64 { return t.version }
+func (t *Table) ChangeCount() uint64 { return t.version }
 
 // SetRevision records that all changes up to the revision were applied.
-func (t *Table) SetRevision(revision structs.Place) { t.revision = max(t.revision, revision) }
+func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.revision = max(t.revision, revision) }
 
 // SetRestored tells that the store came back from a copy: what it lists brings no replica back
 // that left since the copy was made. It ends with the zero value, when the entry of a replica that
 // left has run out: what is listed then lives.
-func (t *Table) SetRestored(restored structs.Restored) { t.restored = restored }
+func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
 
 // Put applies news of one replica and returns whether it changed anything.
 func (t *Table) Put(replica Replica) bool {
-	if gone, found := t.removed[replica.ID]; found && !t.restored.IsBefore(gone.revision, replica.Revision) {
+	if gone, found := t.removed[replica.ID]; found && !t.restored.IsBefore(gone.revision, replica.Position) {
 		return false
 	}
 	known, found := t.byID[replica.ID]
-	if found && !t.restored.IsBefore(known.Revision, replica.Revision) {
+	if found && !t.restored.IsBefore(known.Position, replica.Position) {
 		return false
 	}
-	if found && known.Draining && known.IsSameLife(replica) {
+	if found && known.Draining && known.IsSameIncarnation(replica) {
 		replica.Draining = true
 	}
 	t.byID[replica.ID] = replica
 	delete(t.doubted, replica.ID)
-	t.latest = max(t.latest, replica.Revision)
+	t.latest = max(t.latest, replica.Position)
 	t.version++
 	return true
 }
 
 // Remove applies news that the replica's entry is gone.
-func (t *Table) Remove(now structs.Instant, id string, revision structs.Place) bool {
+func (t *Table) Remove(now structs.Instant, id string, revision structs.StorePosition) bool {
 	known, found := t.byID[id]
-	if found && t.restored.IsBefore(revision, known.Revision) {
+	if found && t.restored.IsBefore(revision, known.Position) {
 		return false
 	}
 	t.removed[id] = removed{revision: revision, at: now}
@@ -130,7 +132,7 @@
 // Doubt records that the replica's entry vanished while the store was unwell,
 // which need not mean that the replica is gone: it stays until its entry comes back
 // or RemoveDoubted is called.
-func (t *Table) Doubt(id string) {
+func (t *Table) MarkUnconfirmed(id string) {
 	if known, found := t.byID[id]; found && !known.Draining {
 		t.doubted[id] = true
 	}
@@ -138,22 +140,22 @@
 
 // RemoveDoubted removes the replicas whose entries did not come back, and returns
 // their ids.
-func (t *Table) RemoveDoubted(now structs.Instant) []string {
+func (t *Table) RemoveUnconfirmed(now structs.Instant) []string {
 	gone := make([]string, 0, len(t.doubted))
 	for id := range t.doubted {
 		gone = append(gone, id)
 	}
 	sort.Strings(gone)
 	for _, id := range gone {
-		t.Remove(now, id, t.Absence(id, t.revision))
+		t.Remove(now, id, t.RemovalPosition(id, t.revision))
 	}
 	return gone
 }
 
 // Absence returns the place at which a replica is gone that a complete list as of the revision
 // does not hold: of a store that came back from a copy the revision may come before the entry.
-func (t *Table) Absence(id string, revision structs.Place) structs.Place {
-	if known := t.byID[id].Revision; t.restored.IsBefore(revision, known) {
+func (t *Table) RemovalPosition(id string, revision structs.StorePosition) structs.StorePosition {
+	if known := t.byID[id].Position; t.restored.IsBefore(revision, known) {
 		return known
 	}
 	return revision
@@ -161,14 +163,14 @@
 
 // Missing returns the known replicas that a complete list as of the revision
 // does not hold.
-func (t *Table) Missing(list []Replica, revision structs.Place) []string {
+func (t *Table) Missing(list []Replica, revision structs.StorePosition) []string {
 	listed := make(map[string]bool, len(list))
 	for _, replica := range list {
 		listed[replica.ID] = true
 	}
 	var gone []string
 	for id, known := range t.byID {
-		if !listed[id] && known.Revision <= revision {
+		if !listed[id] && known.Position <= revision {
 			gone = append(gone, id)
 		}
 	}
@@ -177,12 +179,12 @@
 }
 
 // Latest returns the revision of the latest change that was applied.
-func (t *Table) Latest() structs.Place { return t.latest }
+func (t *Table) LatestPosition() structs.StorePosition { return t.latest }
 
 // RemovedSince returns, with their revisions, the removals after the revision and those of
 // the last moments, which may have come late.
-func (t *Table) RemovedSince(now structs.Instant, revision structs.Place) map[string]structs.Place {
-	gone := map[string]structs.Place{}
+func (t *Table) RemovedSince(now structs.Instant, revision structs.StorePosition) map[string]structs.StorePosition {
+	gone := map[string]structs.StorePosition{}
 	for id, mark := range t.removed {
 		if mark.revision > revision || now-mark.at < toldFor {
 			gone[id] = mark.revision
@@ -207,10 +209,10 @@
 }
 
 // Since returns the known replicas whose entries changed after the revision, by id.
-func (t *Table) Since(revision structs.Place) []Replica {
+func (t *Table) Since(revision structs.StorePosition) []Replica {
 	var changed []Replica
 	for _, replica := range t.All() {
-		if replica.Revision > revision {
+		if replica.Position > revision {
 			changed = append(changed, replica)
 		}
 	}
--- a/state/replicas/replicas_test.go
+++ b/state/replicas/replicas_test.go
@@ -17,38 +17,38 @@
 func TestOldNewsBringsNothingBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	g.Expect(table.Put(Replica{ID: "a", Revision: 5})).To(gomega.BeTrue())
-	g.Expect(table.Put(Replica{ID: "a", Revision: 7, Draining: true})).To(gomega.BeTrue())
-	g.Expect(table.Put(Replica{ID: "a", Revision: 6})).To(gomega.BeFalse())
-	table.Put(Replica{ID: "a", Revision: 9})
+	g.Expect(table.Put(Replica{ID: "a", Position: 5})).To(gomega.BeTrue())
+	g.Expect(table.Put(Replica{ID: "a", Position: 7, Draining: true})).To(gomega.BeTrue())
+	g.Expect(table.Put(Replica{ID: "a", Position: 6})).To(gomega.BeFalse())
+	table.Put(Replica{ID: "a", Position: 9})
 	kept, _ := table.Get("a")
 	g.Expect(kept.Draining).To(gomega.BeTrue())
 	g.Expect(table.Remove(0, "a", 10)).To(gomega.BeTrue())
-	g.Expect(table.Put(Replica{ID: "a", Revision: 8})).To(gomega.BeFalse())
+	g.Expect(table.Put(Replica{ID: "a", Position: 8})).To(gomega.BeFalse())
 	g.Expect(table.All()).To(gomega.BeEmpty())
 }
 
 func TestCompleteListNamesWhatIsMissingButNotWhatIsNewer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	table.Put(Replica{ID: "old", Revision: 1})
-	table.Put(Replica{ID: "newer", Revision: 9})
+	table.Put(Replica{ID: "old", Position: 1})
+	table.Put(Replica{ID: "newer", Position: 9})
 	g.Expect(table.Missing([]Replica{}, 5)).To(gomega.Equal([]string{"old"}))
 }
 
 func TestDoubtedReplicaStaysUntilItIsRemovedOrComesBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	table.Put(Replica{ID: "a", Revision: 1})
-	table.Put(Replica{ID: "b", Revision: 1})
-	table.Put(Replica{ID: "leaving", Revision: 1, Draining: true})
+	table.Put(Replica{ID: "a", Position: 1})
+	table.Put(Replica{ID: "b", Position: 1})
+	table.Put(Replica{ID: "leaving", Position: 1, Draining: true})
 	for _, id := range []string{"a", "b", "leaving", "unknown"} {
-		table.Doubt(id)
+		table.MarkUnconfirmed(id)
 	}
-	table.Put(Replica{ID: "b", Revision: 4})
+	table.Put(Replica{ID: "b", Position: 4})
 	g.Expect(table.All()).To(gomega.HaveLen(3))
-	g.Expect(table.RemoveDoubted(5 * time.Second)).To(gomega.Equal([]string{"a"}))
-	g.Expect(table.RemoveDoubted(6 * time.Second)).To(gomega.BeEmpty())
+	g.Expect(table.RemoveUnconfirmed(5 * time.Second)).To(gomega.Equal([]string{"a"}))
+	g.Expect(table.RemoveUnconfirmed(6 * time.Second)).To(gomega.BeEmpty())
 	g.Expect(table.All()).To(gomega.HaveLen(2))
 }
 
@@ -56,23 +56,23 @@
 func TestAReplicaThatStartsAgainUnderItsIDIsOfferedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	first := Replica{ID: "a", Service: "s", Revision: 1, Born: 1000}
+	first := Replica{ID: "a", Service: "s", Position: 1, StartedAt: 1000}
 	table.Put(first)
-	first.Draining, first.Revision = true, 2
+	first.Draining, first.Position = true, 2
 	table.Put(first)
-	first.Draining, first.Revision = false, 3
+	first.Draining, first.Position = false, 3
 	table.Put(first)
 	known, _ := table.Get("a")
 	g.Expect(known.Draining).To(gomega.BeTrue(), "a drain is not taken back in the same life")
-	table.Put(Replica{ID: "a", Service: "s", Revision: 4, Born: 900}) // its clock was set back
+	table.Put(Replica{ID: "a", Service: "s", Position: 4, StartedAt: 900}) // its clock was set back
 	known, _ = table.Get("a")
 	g.Expect(known.Draining).To(gomega.BeFalse())
-	g.Expect(known.IsSameLife(first)).To(gomega.BeFalse())
+	g.Expect(known.IsSameIncarnation(first)).To(gomega.BeFalse())
 }
 
 // place returns the place of the revision in the era.
-func place(era, revision int64) structs.Place {
-	at, err := structs.PlaceOf(era, revision)
+func place(era, revision int64) structs.StorePosition {
+	at, err := structs.NewStorePosition(era, revision)
 	if err != nil {
 		panic(err)
 	}
@@ -84,30 +84,30 @@
 func TestACopyBringsNoReplicaBackThatLeft(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	table.Put(Replica{ID: "a", Revision: place(1, 5)})
+	table.Put(Replica{ID: "a", Position: place(1, 5)})
 	table.Remove(0, "a", place(1, 90))
-	table.SetRestored(structs.Restored{Base: 1, Era: 2, Listed: 20})
-	g.Expect(table.Put(Replica{ID: "a", Revision: place(2, 5)})).To(gomega.BeFalse())
-	g.Expect(table.Put(Replica{ID: "a", Revision: place(2, 21)})).To(gomega.BeTrue(), "written since")
+	table.SetRestoreWindow(structs.RestoreWindow{Base: 1, Era: 2, Listed: 20})
+	g.Expect(table.Put(Replica{ID: "a", Position: place(2, 5)})).To(gomega.BeFalse())
+	g.Expect(table.Put(Replica{ID: "a", Position: place(2, 21)})).To(gomega.BeTrue(), "written since")
 	table.Remove(0, "a", place(2, 22))
-	table.Put(Replica{ID: "b", Revision: place(1, 6)})
+	table.Put(Replica{ID: "b", Position: place(1, 6)})
 	table.Remove(0, "b", place(1, 91))
-	table.SetRestored(structs.Restored{})
-	g.Expect(table.Put(Replica{ID: "a", Revision: place(2, 5)})).To(gomega.BeFalse())
-	g.Expect(table.Put(Replica{ID: "b", Revision: place(2, 6)})).To(gomega.BeTrue())
+	table.SetRestoreWindow(structs.RestoreWindow{})
+	g.Expect(table.Put(Replica{ID: "a", Position: place(2, 5)})).To(gomega.BeFalse())
+	g.Expect(table.Put(Replica{ID: "b", Position: place(2, 6)})).To(gomega.BeTrue())
 }
 
 func TestADoubtedReplicaOfAnEarlierEraIsRemovedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	table.Put(Replica{ID: "a", Revision: place(1, 90)})
-	table.SetRestored(structs.Restored{Base: 1, Era: 2, Listed: 20})
-	table.SetRevision(place(2, 20))
+	table.Put(Replica{ID: "a", Position: place(1, 90)})
+	table.SetRestoreWindow(structs.RestoreWindow{Base: 1, Era: 2, Listed: 20})
+	table.SetCompleteTo(place(2, 20))
 	g.Expect(table.Missing(nil, place(2, 20))).To(gomega.Equal([]string{"a"}))
-	table.Doubt("a")
-	g.Expect(table.RemoveDoubted(0)).To(gomega.Equal([]string{"a"}))
+	table.MarkUnconfirmed("a")
+	g.Expect(table.RemoveUnconfirmed(0)).To(gomega.Equal([]string{"a"}))
 	g.Expect(table.All()).To(gomega.BeEmpty())
-	g.Expect(table.Put(Replica{ID: "a", Revision: place(2, 21)})).To(gomega.BeTrue())
+	g.Expect(table.Put(Replica{ID: "a", Position: place(2, 21)})).To(gomega.BeTrue())
 }
 
 // truth is a store with one key for each replica, as it really was.
@@ -122,7 +122,7 @@
 //
 // placeOf gives the places, and draw the course. The error names what a table knows and the store
 // does not list, or the other way round.
-func hearOfCopies(draw func(low, high int, label string) int, placeOf func(era, revision int64) structs.Place) error {
+func hearOfCopies(draw func(low, high int, label string) int, placeOf func(era, revision int64) structs.StorePosition) error {
 	tables := [2]*Table{NewTable(), NewTable()}
 	store := truth{listed: map[string]int64{}}
 	var copies []truth
@@ -132,19 +132,19 @@
 		now := placeOf(store.era, store.revision)
 		var list []Replica
 		for id, revision := range store.listed {
-			list = append(list, Replica{ID: id, Revision: placeOf(store.era, revision)})
+			list = append(list, Replica{ID: id, Position: placeOf(store.era, revision)})
 			table.Put(list[len(list)-1])
 		}
 		for _, id := range table.Missing(list, now) {
-			table.Remove(0, id, table.Absence(id, now))
+			table.Remove(0, id, table.RemovalPosition(id, now))
 		}
-		table.SetRevision(now)
+		table.SetCompleteTo(now)
 	}
 	tell := func(from, to *Table) {
-		for _, replica := range from.Since(to.Latest()) {
+		for _, replica := range from.Since(to.LatestPosition()) {
 			to.Put(replica)
 		}
-		for id, gone := range from.RemovedSince(0, to.Latest()) {
+		for id, gone := range from.RemovedSince(0, to.LatestPosition()) {
 			to.Remove(0, id, gone)
 		}
 	}
@@ -168,7 +168,7 @@
 			restored.era = store.era + 1
 			store = restored
 			for _, table := range tables {
-				table.SetRestored(structs.Restored{Base: base, Era: store.era, Listed: store.revision})
+				table.SetRestoreWindow(structs.RestoreWindow{Base: base, Era: store.era, Listed: store.revision})
 			}
 		case 5:
 			read(tables[which])
@@ -177,7 +177,7 @@
 		}
 	}
 	for _, table := range tables {
-		table.SetRestored(structs.Restored{})
+		table.SetRestoreWindow(structs.RestoreWindow{})
 	}
 	for _, table := range tables {
 		read(table)
@@ -214,7 +214,7 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		draw := func(low, high int, _ string) int { return low + random.IntN(high-low+1) }
-		if hearOfCopies(draw, func(_, revision int64) structs.Place { return structs.Place(revision) }) != nil {
+		if hearOfCopies(draw, func(_, revision int64) structs.StorePosition { return structs.StorePosition(revision) }) != nil {
 			wrong++
 		}
 	}
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -7,17 +7,17 @@
 )
 
 // Use says how a replica of some version may be used.
-type Use uint8
+type Access uint8
 
 // The uses of a version's replicas.
 const (
 	// UseFree: like any other replica.
-	UseFree Use = iota
+	AccessUnrestricted Access = iota
 	// UseBudgeted: only for a request that is counted against what the version may get
 	// until it is judged.
-	UseBudgeted
+	AccessBudgeted
 	// UseBarred: for no new request.
-	UseBarred
+	AccessDenied
 )
 
 // VersionPolicy says which versions of a service's replicas get new requests. The zero
@@ -26,9 +26,9 @@
 	// Service is empty if no roll-out of the service is known.
 	Service string
 	// Order is the revision of the order that the policy follows from.
-	Order          structs.Place
+	OrderPosition  structs.StorePosition
 	Target, Stable string
-	Barred         []string
+	Excluded       []string
 	Phase          Phase
 }
 
@@ -36,26 +36,26 @@
 func (p *VersionPolicy) Active() bool { return p.Service != "" }
 
 // Use returns how a replica of the version may be used.
-func (p *VersionPolicy) Use(version string) Use {
+func (p *VersionPolicy) AccessFor(version string) Access {
 	switch {
 	case !p.Active():
-		return UseFree
+		return AccessUnrestricted
 	case p.Phase != 0 && version == p.Target:
 		return p.useOfTarget()
-	case p.Phase == PhaseSwitching || p.Phase == PhaseCompleted || slices.Contains(p.Barred, version):
-		return UseBarred
+	case p.Phase == PhaseSwitching || p.Phase == PhaseCompleted || slices.Contains(p.Excluded, version):
+		return AccessDenied
 	}
-	return UseFree
+	return AccessUnrestricted
 }
 
-func (p *VersionPolicy) useOfTarget() Use {
+func (p *VersionPolicy) useOfTarget() Access {
 	switch p.Phase {
 	case PhaseSwitching, PhaseCompleted:
-		return UseFree
-	case PhaseJudging:
-		return UseBudgeted
+		return AccessUnrestricted
+	case PhaseCanary:
+		return AccessBudgeted
 	}
-	return UseBarred
+	return AccessDenied
 }
 
 // Policy returns the policy for the service. An order that nobody has recorded yet is a
@@ -67,11 +67,11 @@
 	if !ordered && !recorded {
 		return VersionPolicy{}
 	}
-	if !recorded || ordered && record.Order < order.Revision {
-		record = Begin(order, record, inService)
+	if !recorded || ordered && record.OrderPosition < order.Position {
+		record = NewRecord(order, record, inService)
 	}
 	return VersionPolicy{
-		Service: service, Order: record.Order, Target: record.Target, Stable: record.Stable, Barred: record.Barred, Phase: record.Phase,
+		Service: service, OrderPosition: record.OrderPosition, Target: record.Target, Stable: record.Stable, Excluded: record.Excluded, Phase: record.Phase,
 	}
 }
 
@@ -83,9 +83,9 @@
 // service goes back to the version that it had before, or to the one that was completed.
 // A target that the service has already, or that had replicas before the order, needs no
 // judgement.
-func Begin(order Order, before Record, inService bool) Record {
-	record := Record{Service: order.Service, Order: order.Revision, Target: order.Target, Stable: before.Stable, Phase: PhaseJudging}
-	barred := slices.Clone(before.Barred)
+func NewRecord(order Order, before Record, inService bool) Record {
+	record := Record{Service: order.Service, OrderPosition: order.Position, Target: order.Target, Stable: before.Stable, Phase: PhaseCanary}
+	barred := slices.Clone(before.Excluded)
 	switch {
 	case before.Target == "":
 	case before.Phase == PhaseCompleted || before.Phase == PhaseSwitching:
@@ -97,8 +97,8 @@
 		barred = append(barred, before.Target)
 	}
 	barred = slices.DeleteFunc(barred, func(version string) bool { return version == order.Target || version == record.Stable })
-	record.Barred = barred[max(0, len(barred)-maximumBarred):]
-	if order.Target == record.Stable || inService && !slices.Contains(before.Barred, order.Target) && order.Target != before.Target {
+	record.Excluded = barred[max(0, len(barred)-maximumBarred):]
+	if order.Target == record.Stable || inService && !slices.Contains(before.Excluded, order.Target) && order.Target != before.Target {
 		record.Phase = PhaseSwitching
 	}
 	return record
--- a/state/rollouts/rollouts.go
+++ b/state/rollouts/rollouts.go
@@ -21,7 +21,7 @@
 	// Duration is the time in which the service is to be moved.
 	Duration time.Duration `msgpack:"d" json:"duration"`
 	// Revision is the store's revision of the order.
-	Revision structs.Place `msgpack:"r" json:"revision"`
+	Position structs.StorePosition `msgpack:"r" json:"revision"`
 }
 
 // Phase is how far a roll-out is.
@@ -30,7 +30,7 @@
 // The phases of a roll-out, in their order.
 const (
 	// PhaseJudging: a bounded share of the requests goes to the target version.
-	PhaseJudging Phase = iota + 1
+	PhaseCanary Phase = iota + 1
 	// PhaseSwitching: the target was found good and gets every new request; requests still
 	// run at the other versions.
 	PhaseSwitching
@@ -38,7 +38,7 @@
 	PhaseCompleted
 	// PhaseReturning: the target was found bad or could not be judged and gets no new
 	// request, which not every node may know yet.
-	PhaseReturning
+	PhaseRollingBack
 	// PhaseRolledBack: no node sends to the target any more.
 	PhaseRolledBack
 )
@@ -53,20 +53,20 @@
 }
 
 // Ended returns whether nothing is left to do.
-func (p Phase) Ended() bool { return p == PhaseCompleted || p == PhaseRolledBack }
+func (p Phase) IsTerminal() bool { return p == PhaseCompleted || p == PhaseRolledBack }
 
 // Evidence counts the answers on one route while the target was judged.
 type Evidence struct {
 	// Good and Bad are of the target's answers, OldGood and OldBad of the others'.
-	Good    int `msgpack:"g" json:"good"`
-	Bad     int `msgpack:"b" json:"bad"`
-	OldGood int `msgpack:"h" json:"old_good"`
-	OldBad  int `msgpack:"c" json:"old_bad"`
+	Good         int `msgpack:"g" json:"good"`
+	Bad          int `msgpack:"b" json:"bad"`
+	BaselineGood int `msgpack:"h" json:"old_good"`
+	BaselineBad  int `msgpack:"c" json:"old_bad"`
 }
 
 // Plus returns the sum of both.
-func (e Evidence) Plus(other Evidence) Evidence {
-	return Evidence{Good: e.Good + other.Good, Bad: e.Bad + other.Bad, OldGood: e.OldGood + other.OldGood, OldBad: e.OldBad + other.OldBad}
+func (e Evidence) Add(other Evidence) Evidence {
+	return Evidence{Good: e.Good + other.Good, Bad: e.Bad + other.Bad, BaselineGood: e.BaselineGood + other.BaselineGood, BaselineBad: e.BaselineBad + other.BaselineBad}
 }
 
 // Record is the progress of a roll-out as it lies in the store. It is written only under
@@ -74,13 +74,13 @@
 type Record struct {
 	Service string `msgpack:"s" json:"service"`
 	// Order is the revision of the order.
-	Order  structs.Place `msgpack:"o" json:"order"`
-	Target string        `msgpack:"t" json:"target"`
+	OrderPosition structs.StorePosition `msgpack:"o" json:"order"`
+	Target        string                `msgpack:"t" json:"target"`
 	// Stable is the version that the service goes back to, and Barred are versions that
 	// were rolled back or whose roll-out was replaced before its end.
-	Stable string   `msgpack:"v" json:"stable"`
-	Barred []string `msgpack:"x" json:"barred,omitempty"`
-	Phase  Phase    `msgpack:"p" json:"phase"`
+	Stable   string   `msgpack:"v" json:"stable"`
+	Excluded []string `msgpack:"x" json:"barred,omitempty"`
+	Phase    Phase    `msgpack:"p" json:"phase"`
 	// Reason says why the roll-out went the way it did.
 	Reason string `msgpack:"y" json:"reason,omitempty"`
 	// Requests counts those that reached the service since the order, as far as they were
@@ -91,9 +91,9 @@
 	// Elapsed is the time from the order to the write, at least.
 	Elapsed time.Duration `msgpack:"l" json:"elapsed"`
 	// Routes has the evidence by the name of the route.
-	Routes map[string]Evidence `msgpack:"u" json:"routes,omitempty"`
+	EvidenceByRoute map[string]Evidence `msgpack:"u" json:"routes,omitempty"`
 	// Revision is the store's revision of the record; zero means that there is none.
-	Revision structs.Place `msgpack:"r" json:"-"`
+	Position structs.StorePosition `msgpack:"r" json:"-"`
 }
 
 // known is what is known of one service: its latest order and record, and when this process
@@ -110,9 +110,9 @@
 type Table struct {
 	services map[string]*known
 	// knownTo is the revision up to which all orders and records are known.
-	knownTo structs.Place
+	knownTo structs.StorePosition
 	// restored is set while the store has just come back from a copy.
-	restored structs.Restored
+	restored structs.RestoreWindow
 }
 
 // NewTable returns an empty table.
@@ -129,24 +129,24 @@
 }
 
 // Known returns the revision up to which all orders and records are known.
-func (t *Table) Known() structs.Place { return t.knownTo }
+func (t *Table) CompleteTo() structs.StorePosition { return t.knownTo }
 
 // SetKnown records that all changes up to the revision were applied.
-func (t *Table) SetKnown(revision structs.Place) { t.knownTo = max(t.knownTo, revision) }
+func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.knownTo = max(t.knownTo, revision) }
 
 // SetRestored tells that the store came back from a copy: what it lists takes back no order or
 // record that came later, and an order like the known one is that one, written again. It ends with
 // the zero value.
-func (t *Table) SetRestored(restored structs.Restored) { t.restored = restored }
+func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
 
 // PutOrder applies news of an order and returns whether it was news.
 func (t *Table) PutOrder(now structs.Instant, order Order) bool {
 	held := t.of(order.Service)
-	if !t.restored.IsBefore(held.order.Revision, order.Revision) {
+	if !t.restored.IsBefore(held.order.Position, order.Position) {
 		return false
 	}
 	if t.isWrittenAgain(held.order, order) {
-		held.rename(order.Revision)
+		held.rename(order.Position)
 		return true
 	}
 	held.order, held.orderAt = order, now
@@ -156,22 +156,22 @@
 // isWrittenAgain returns whether the order is the known one, which its writer wrote again as the
 // store had lost it. Taken for another, it would be judged a second time.
 func (t *Table) isWrittenAgain(known, order Order) bool {
-	return t.restored.Era > t.restored.Base && known.Revision > 0 && known.Revision.Era() < order.Revision.Era() &&
+	return t.restored.Era > t.restored.Base && known.Position > 0 && known.Position.Era() < order.Position.Era() &&
 		known.Target == order.Target && known.Duration == order.Duration
 }
 
 // rename gives the order its new place, and its record with it.
-func (k *known) rename(place structs.Place) {
-	if k.record.Revision > 0 && k.record.Order == k.order.Revision {
-		k.record.Order, k.isRenamed = place, true
+func (k *known) rename(place structs.StorePosition) {
+	if k.record.Position > 0 && k.record.OrderPosition == k.order.Position {
+		k.record.OrderPosition, k.isRenamed = place, true
 	}
-	k.order.Revision = place
+	k.order.Position = place
 }
 
 // PutRecord applies news of a record and returns whether it was news.
 func (t *Table) PutRecord(now structs.Instant, record Record) bool {
 	held := t.of(record.Service)
-	if !t.restored.IsBefore(held.record.Revision, record.Revision) {
+	if !t.restored.IsBefore(held.record.Position, record.Position) {
 		return false
 	}
 	held.record, held.recordAt, held.isRenamed = record, now, false
@@ -179,11 +179,11 @@
 }
 
 // Lost returns the services whose records the store of that era may lack, by name.
-func (t *Table) Lost(era int64) []string {
+func (t *Table) ServicesToRewrite(era int64) []string {
 	var names []string
 	for _, service := range t.Services() {
 		held := t.services[service]
-		if held.record.Revision > 0 && (held.isRenamed || held.record.Revision.Era() < era) {
+		if held.record.Position > 0 && (held.isRenamed || held.record.Position.Era() < era) {
 			names = append(names, service)
 		}
 	}
@@ -192,16 +192,16 @@
 
 // IsBehind returns whether the record tells of an earlier state than the other: of an earlier
 // order, or of the same one after a shorter time.
-func (r *Record) IsBehind(other Record) bool {
-	if r.Order != other.Order {
-		return r.Order < other.Order
+func (r *Record) IsOlderThan(other Record) bool {
+	if r.OrderPosition != other.OrderPosition {
+		return r.OrderPosition < other.OrderPosition
 	}
 	return r.Phase < other.Phase || r.Phase == other.Phase && r.Elapsed < other.Elapsed
 }
 
 // ReplaceRecord takes over what the store itself just said of the record, also if that is
 // older than what was known, or nothing.
-func (t *Table) ReplaceRecord(now structs.Instant, record Record) {
+func (t *Table) OverwriteRecord(now structs.Instant, record Record) {
 	held := t.of(record.Service)
 	held.record, held.recordAt, held.isRenamed = record, now, false
 }
@@ -209,7 +209,7 @@
 // Order returns the latest order for the service.
 func (t *Table) Order(service string) (Order, bool) {
 	if held, found := t.services[service]; found {
-		return held.order, held.order.Revision > 0
+		return held.order, held.order.Position > 0
 	}
 	return Order{}, false
 }
@@ -217,7 +217,7 @@
 // Record returns the latest record of the service.
 func (t *Table) Record(service string) (Record, bool) {
 	if held, found := t.services[service]; found {
-		return held.record, held.record.Revision > 0
+		return held.record, held.record.Position > 0
 	}
 	return Record{}, false
 }
@@ -227,7 +227,7 @@
 func (t *Table) Elapsed(now structs.Instant, service string) time.Duration {
 	held := t.of(service)
 	elapsed := now - held.orderAt
-	if held.record.Revision > 0 && held.record.Order == held.order.Revision {
+	if held.record.Position > 0 && held.record.OrderPosition == held.order.Position {
 		elapsed = max(elapsed, held.record.Elapsed+now-held.recordAt)
 	}
 	return elapsed
@@ -237,7 +237,7 @@
 func (t *Table) Services() []string {
 	names := make([]string, 0, len(t.services))
 	for name, held := range t.services {
-		if held.order.Revision > 0 || held.record.Revision > 0 {
+		if held.order.Position > 0 || held.record.Position > 0 {
 			names = append(names, name)
 		}
 	}
@@ -246,15 +246,15 @@
 }
 
 // Since returns the orders and records that changed after the revision, by service.
-func (t *Table) Since(revision structs.Place) ([]Order, []Record) {
+func (t *Table) Since(revision structs.StorePosition) ([]Order, []Record) {
 	var orders []Order
 	var records []Record
 	for _, service := range t.Services() {
 		held := t.services[service]
-		if held.order.Revision > revision {
+		if held.order.Position > revision {
 			orders = append(orders, held.order)
 		}
-		if held.record.Revision > revision {
+		if held.record.Position > revision {
 			records = append(records, held.record)
 		}
 	}
@@ -262,10 +262,10 @@
 }
 
 // Latest returns the revision of the latest order or record.
-func (t *Table) Latest() structs.Place {
-	latest := structs.Place(0)
+func (t *Table) LatestPosition() structs.StorePosition {
+	latest := structs.StorePosition(0)
 	for _, held := range t.services {
-		latest = max(latest, held.order.Revision, held.record.Revision)
+		latest = max(latest, held.order.Position, held.record.Position)
 	}
 	return latest
 }
--- a/structs/place.go
+++ b/structs/place.go
@@ -9,7 +9,7 @@
 //
 // Places are ordered as numbers are, the era first. In era zero, that of a store that tells none,
 // a place is its revision; so nodes of versions that know no eras order all places rightly, too.
-type Place int64
+type StorePosition int64
 
 // revisionBits is the part of a place that holds the revision: 10^12 of them, at 400 writes a
 // second 87 years. Eight million eras are left.
@@ -17,25 +17,25 @@
 
 // PlaceOf returns the place of the revision in the era. It fails if either is negative or too
 // large.
-func PlaceOf(era, revision int64) (Place, error) {
+func NewStorePosition(era, revision int64) (StorePosition, error) {
 	if era < 0 || era >= 1<<(63-revisionBits) || revision < 0 || revision >= 1<<revisionBits {
 		return 0, fmt.Errorf("era %d, revision %d: not a place in a store's history", era, revision)
 	}
-	return Place(era<<revisionBits | revision), nil
+	return StorePosition(era<<revisionBits | revision), nil
 }
 
 // Era returns the era.
-func (p Place) Era() int64 { return int64(p) >> revisionBits }
+func (p StorePosition) Era() int64 { return int64(p) >> revisionBits }
 
 // Revision returns the revision within the era, which the store knows.
-func (p Place) Revision() int64 { return int64(p) & (1<<revisionBits - 1) }
+func (p StorePosition) Revision() int64 { return int64(p) & (1<<revisionBits - 1) }
 
 // String returns both for people.
-func (p Place) String() string { return fmt.Sprintf("%d.%d", p.Era(), p.Revision()) }
+func (p StorePosition) String() string { return fmt.Sprintf("%d.%d", p.Era(), p.Revision()) }
 
 // Restored tells of a store that came back from a copy so lately that its writers need not have
 // written again what it lost. Until they have, what it lists may be older than what is known.
-type Restored struct {
+type RestoreWindow struct {
 	// Base is the era of before, and Era the present one: equal if nothing is restored.
 	Base, Era int64
 	// Listed is the revision of the first answer of the present era. Up to there an entry may
@@ -45,12 +45,14 @@
 
 // Effective returns the place by which an entry is ordered: one that may be of the copy has the
 // place that its revision had before, so that it takes back nothing that came later.
-func (r Restored) Effective(p Place) Place {
+func (r RestoreWindow) OrderingPosition(p StorePosition) StorePosition {
 	if p.Era() <= r.Base || p.Era() > r.Era || p.Revision() > r.Listed {
 		return p
 	}
-	return Place(r.Base<<revisionBits | p.Revision())
+	return StorePosition(r.Base<<revisionBits | p.Revision())
 }
 
 // IsBefore returns whether the first place comes before the second.
-func (r Restored) IsBefore(first, second Place) bool { return r.Effective(first) < r.Effective(second) }
+func (r RestoreWindow) IsBefore(first, second StorePosition) bool {
+	return r.OrderingPosition(first) < r.OrderingPosition(second)
+}
--- a/structs/replica.go
+++ b/structs/replica.go
@@ -36,7 +36,7 @@
 	Kind    Kind      `msgpack:"k" json:"kind"`
 	// Generation names the hardware; speeds are learned per generation
 	// before they are known per replica.
-	Generation string `msgpack:"g" json:"generation"`
+	HardwareGeneration string `msgpack:"g" json:"generation"`
 	// ChecksFence is true when the engine refuses orders with a stale fence.
 	ChecksFence bool `msgpack:"f" json:"checks_fence"`
 	// Leaving closes the replica to new work.
--- a/test/entry/copy_test.go
+++ b/test/entry/copy_test.go
@@ -312,7 +312,7 @@
 		s.Expect(s.lab.Store.Value("thornwalk/barred")).To(gomega.BeEmpty())
 		time.Sleep(2 * time.Second)
 		s.Expect(s.lab.Store.Value("thornwalk/barred")).NotTo(gomega.BeEmpty())
-		s.Expect(s.lab.Node("n1").Status().Barred).To(gomega.HaveLen(1))
+		s.Expect(s.lab.Node("n1").Status().Blocked).To(gomega.HaveLen(1))
 	})
 }
 
--- a/test/entry/crashes_test.go
+++ b/test/entry/crashes_test.go
@@ -313,7 +313,7 @@
 
 // lift asks the node as the operators' command line does, and returns the status.
 func (s *crashScene) lift(node, content string) int {
-	request, err := http.NewRequest(http.MethodPost, "http://"+entrylab.OperatorsAddress(node)+entry.PathLift+content, nil)
+	request, err := http.NewRequest(http.MethodPost, "http://"+entrylab.OperatorsAddress(node)+entry.PathUnblock+content, nil)
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	return s.scene.send(request).status
 }
@@ -326,21 +326,21 @@
 		}
 		time.Sleep(300 * time.Millisecond) // three heartbeats, and before the first trial
 		for _, host := range hosts {
-			s.Expect(s.lab.Node(host).Status().Barred).To(gomega.HaveLen(1), host)
+			s.Expect(s.lab.Node(host).Status().Blocked).To(gomega.HaveLen(1), host)
 		}
-		barred := s.lab.Node("n1").Status().Barred[0]
-		s.Expect(barred.Lives).To(gomega.HaveLen(enoughEnds))
+		barred := s.lab.Node("n1").Status().Blocked[0]
+		s.Expect(barred.Incarnations).To(gomega.HaveLen(enoughEnds))
 		s.Expect(barred.Route).To(gomega.Equal("stream"))
 		refused := s.ask("n2", "stream", deadlyPath)
 		s.Expect(refused.status).To(gomega.Equal(http.StatusServiceUnavailable))
 		s.Expect(refused.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 		s.Expect(refused.took).To(gomega.BeNumerically("<", 100*time.Millisecond))
 		s.Expect(s.lift("n1", "nothing")).To(gomega.Equal(http.StatusNotFound))
-		s.Expect(s.lift("n1", barred.Content.String())).To(gomega.Equal(http.StatusOK))
-		s.Expect(s.lift("n1", barred.Content.String())).To(gomega.Equal(http.StatusNotFound), "nothing is left to lift")
+		s.Expect(s.lift("n1", barred.Fingerprint.String())).To(gomega.Equal(http.StatusOK))
+		s.Expect(s.lift("n1", barred.Fingerprint.String())).To(gomega.Equal(http.StatusNotFound), "nothing is left to lift")
 		time.Sleep(500 * time.Millisecond)
 		for _, host := range hosts {
-			s.Expect(s.lab.Node(host).Status().Barred).To(gomega.BeEmpty(), host)
+			s.Expect(s.lab.Node(host).Status().Blocked).To(gomega.BeEmpty(), host)
 		}
 		for _, keeper := range s.kept {
 			keeper.Mend()
@@ -411,7 +411,7 @@
 		t.Logf("%d replicas ended; answers %v", len(s.ends()), s.others)
 		s.Expect(len(s.ends())).To(gomega.BeNumerically("<=", 12), "three lives and two trials each, and one for luck")
 		s.Expect(s.others[http.StatusOK]).To(gomega.BeNumerically(">=", count-24), "two others at most at each of twelve replicas")
-		s.Expect(s.lab.Node("n1").Status().Barred).To(gomega.HaveLen(2))
+		s.Expect(s.lab.Node("n1").Status().Blocked).To(gomega.HaveLen(2))
 	})
 }
 
--- a/test/entry/large_fleet_test.go
+++ b/test/entry/large_fleet_test.go
@@ -24,9 +24,9 @@
 func playLarge(t *testing.T, nodes int, test func(s *relayScene)) {
 	t.Helper()
 	playNodes(t, nodes, func(s *relayScene, settings *entry.Settings) {
-		settings.Cores, settings.Link = 0.2, 20
+		settings.Cores, settings.LinkMbps = 0.2, 20
 		if slices.Index(s.nodes, settings.Name)%(nodes/strongNodes) < 1 {
-			settings.Cores, settings.Link = 0.8, 200
+			settings.Cores, settings.LinkMbps = 0.8, 200
 		}
 	}, startTime, test)
 }
@@ -46,7 +46,7 @@
 func (s *relayScene) delegates() []string {
 	var names []string
 	for _, node := range s.nodes {
-		if !s.lab.Node(node).Status().Ordinary {
+		if !s.lab.Node(node).Status().NonDelegate {
 			names = append(names, node)
 		}
 	}
@@ -155,7 +155,7 @@
 // A new process among many is ready and knows the scheduling node within a second.
 func TestANodeThatStartsInALargeFleetFindsItsPlace(t *testing.T) {
 	playLarge(t, largeNodes, func(s *relayScene) {
-		ordinary := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.lab.Node(node).Status().Ordinary })
+		ordinary := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.lab.Node(node).Status().NonDelegate })
 		for i := range 5 {
 			node := ordinary[i*7]
 			s.lab.Node(node).Kill()
--- a/test/entry/memory_test.go
+++ b/test/entry/memory_test.go
@@ -50,11 +50,11 @@
 // fixedDirectory knows one configuration for good.
 type fixedDirectory struct{ document *catalog.Document }
 
-func (d fixedDirectory) Read(context.Context, outside.Scope, structs.Place, int64) (*outside.Update, error) {
-	return &outside.Update{Complete: true, Revision: structs.Place(d.document.Version), Catalog: d.document}, nil
+func (d fixedDirectory) Read(context.Context, outside.Scope, structs.StorePosition, int64) (*outside.Update, error) {
+	return &outside.Update{Complete: true, Revision: structs.StorePosition(d.document.Version), Catalog: d.document}, nil
 }
 
-func (d fixedDirectory) Watch(ctx context.Context, after structs.Place, wait time.Duration) (*outside.Update, error) {
+func (d fixedDirectory) Watch(ctx context.Context, after structs.StorePosition, wait time.Duration) (*outside.Update, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -127,12 +127,12 @@
 func (c *crowd) start(host string, seen network.Network, document *catalog.Document) bareNode {
 	settings := &entry.Settings{
 		Name: host, Zone: "east", Callers: host + ":8221", Readiness: host + ":8224", Operators: host + ":8229", Host: host, PeerPort: 7600,
-		Seeds: []string{"sender:8229"}, Store: "store:8225", StopGrace: 8000, Contact: 3000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, ConfigurationBound: 3000, FirstStart: true,
+		Seeds: []string{"sender:8229"}, Store: "store:8225", StopGrace: 8000, StoreRecoveryWindow: 3000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, ConfigurationBound: 3000, FirstStart: true,
 	}
 	log := eventlog.New(host, c.written)
 	node := entry.New(settings, entry.Dependencies{
 		Network: seen, Datagrams: c.fabric.Datagrams(host), Directory: fixedDirectory{document},
-		Headers: platform.Headers(), ReadAnswer: platform.ReadAnswer, ReadyPath: platform.ReadyPath, Log: log, Incarnation: 1,
+		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Log: log, Incarnation: 1,
 	})
 	c.Expect(node.Start()).To(gomega.Succeed())
 	return bareNode{node, log}
--- a/test/entry/news_test.go
+++ b/test/entry/news_test.go
@@ -80,7 +80,7 @@
 		}
 		s.fabric.SetBandwidth("store", storeLink*bitsInMegabit)
 		s.start(s.nodes, newsZones, func(settings *entry.Settings) {
-			settings.Cores, settings.Link = 1, links[settings.Name]
+			settings.Cores, settings.LinkMbps = 1, links[settings.Name]
 		})
 		s.awaitReady()
 		defer s.stop(s.nodes)
--- a/test/faultmatrix/harness_test.go
+++ b/test/faultmatrix/harness_test.go
@@ -155,7 +155,7 @@
 	if c.path != pathOrder {
 		return victimZone + "-n0"
 	}
-	return rendezvous.Choose(zoneHosts(victimZone), rendezvous.Key("placement/ezik-servers"), 1)[0]
+	return rendezvous.Top(zoneHosts(victimZone), rendezvous.Key("placement/ezik-servers"), 1)[0]
 }
 
 func (w *world) start(change alter) error {
--- a/test/faultmatrix/variants_test.go
+++ b/test/faultmatrix/variants_test.go
@@ -239,11 +239,11 @@
 			clock = func() time.Duration { return min(time.Since(begun), 5*time.Second) }
 		}
 		engine := placement.Engine{Replica: structs.Replica{ID: "e"}}
-		world := func() placement.World {
-			return placement.World{Demands: []placement.Demand{{Model: "m", Replicas: 1}}, Engines: []placement.Engine{engine}}
+		world := func() placement.ClusterState {
+			return placement.ClusterState{Demands: []placement.Demand{{Model: "m", Replicas: 1}}, Engines: []placement.Engine{engine}}
 		}
-		first := &placement.Coordinator{Store: store, Sender: sender, Node: "first", Now: clock, World: world, Faults: &pausingInjector{pause: 25 * time.Second}}
-		second := &placement.Coordinator{Store: store, Sender: sender, Node: "second", Now: running, World: world}
+		first := &placement.Coordinator{Store: store, Sender: sender, Node: "first", Now: clock, ClusterState: world, Faults: &pausingInjector{pause: 25 * time.Second}}
+		second := &placement.Coordinator{Store: store, Sender: sender, Node: "second", Now: running, ClusterState: world}
 		var group sync.WaitGroup
 		group.Go(func() {
 			for range 3 {
--- a/test/model/model_test.go
+++ b/test/model/model_test.go
@@ -243,7 +243,7 @@
 	store := &flakyStore{random: rand.New(rand.NewPCG(seed, 1)), fault: fault, values: map[string]outside.Value{}}
 	var group sync.WaitGroup
 	for client := range 3 {
-		acceptor := settingsync.Acceptor{Store: store, WallTime: time.Now}
+		acceptor := settingsync.Committer{Store: store, WallTime: time.Now}
 		group.Go(func() {
 			base := uint64(0)
 			for number := range 4 {
@@ -256,11 +256,11 @@
 }
 
 // changeOnce makes a change and returns the base for the next.
-func changeOnce(record *history, acceptor *settingsync.Acceptor, client, number int, base uint64) uint64 {
+func changeOnce(record *history, acceptor *settingsync.Committer, client, number int, base uint64) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	call := record.clock.Add(1)
-	accepted, document, err := acceptor.Accept(ctx, settingsync.Change{
+	accepted, document, err := acceptor.Commit(ctx, settingsync.Change{
 		ID: fmt.Sprintf("c-%d-%d", client, number), Base: base,
 		Edits: []settingsync.Edit{{Path: fmt.Sprintf("tenants/t%d", client), Key: "weight", Text: fmt.Sprint(number + 1)}},
 	})
@@ -281,14 +281,14 @@
 // TestHolderOnlyRises offers generations in any order.
 func TestHolderOnlyRises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		holder, err := settingsync.NewHolder(&settingsync.Document{}, nil)
+		holder, err := settingsync.NewCurrent(&settingsync.Document{}, nil)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		highest := uint64(0)
 		for _, generation := range rapid.SliceOf(rapid.Uint64Range(0, 20)).Draw(rt, "generations") {
 			document := &settingsync.Document{Generation: generation, Branches: []settings.Branch{{Path: "tenants/a"}}}
-			taken, err := holder.Offer(document)
+			taken, err := holder.InstallIfNewer(document)
 			if err != nil || taken != (generation > highest) {
 				rt.Fatalf("generation %d after %d: taken %v, %v", generation, highest, taken, err)
 			}
