--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -77,8 +77,8 @@
 	options []option
 	// contents says which requests replicas ended under, and running counts the places of
 	// the requests that ask for the same.
-	contents *poison.Tracker
-	running  map[fingerprint.Fingerprint]int
+	poisonTracker *poison.Tracker
+	running       map[fingerprint.Fingerprint]int
 	// regions has the region of each zone; a zone that it lacks is one by itself.
 	regions map[string]string
 	// emptied are the zones whose replicas get nothing.
@@ -97,14 +97,14 @@
 // New returns an empty scheduler that bars no request.
 func New() *Scheduler {
 	return &Scheduler{
-		contents: poison.NewTracker(poison.Policy{}), running: map[fingerprint.Fingerprint]int{},
+		poisonTracker: poison.NewTracker(poison.Policy{}), running: map[fingerprint.Fingerprint]int{},
 		services: map[string]*service{}, places: map[string]*place{}, waits: map[string]*waiting{},
 		states: map[string]*replicaState{}, pauses: map[asker]pauses{}, foreign: map[string]map[string]int{}, doubts: map[string]*doubtList{},
 	}
 }
 
 // SetContents has the scheduler go by the ledger of requests that replicas ended under.
-func (s *Scheduler) SetPoisonTracker(contents *poison.Tracker) { s.contents = contents }
+func (s *Scheduler) SetPoisonTracker(contents *poison.Tracker) { s.poisonTracker = contents }
 
 // SetRegions tells which region each zone is in.
 func (s *Scheduler) SetRegions(regions map[string]string) { s.regions = regions }
--- a/coordination/admission/content.go
+++ b/coordination/admission/content.go
@@ -15,7 +15,7 @@
 // decideContent decides what follows from the replicas that ended under the request. If it
 // is not done, the decision's reason says whether the request has to wait for another try.
 func (s *Scheduler) decideContent(now structs.Instant, held *waiting) (Decision, bool) {
-	standing, comeBack := s.contents.State(now, held.Content)
+	standing, comeBack := s.poisonTracker.State(now, held.Content)
 	if standing == poison.Clear {
 		return Decision{}, false
 	}
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -46,7 +46,7 @@
 	kept := pool.queue[:0]
 	ahead := 0
 	// In calm nothing is looked up for each of up to a thousand waiting requests.
-	judged := !s.contents.IsEmpty()
+	judged := !s.poisonTracker.IsEmpty()
 	for _, held := range pool.queue {
 		var decision Decision
 		done := false
@@ -156,9 +156,9 @@
 func (s *Scheduler) give(now structs.Instant, held *waiting, chosen *option) bool {
 	chosen.used++
 	chosen.unread += held.Prompt
-	standing, _ := s.contents.State(now, held.Content)
+	standing, _ := s.poisonTracker.State(now, held.Content)
 	if standing == poison.OnTrial {
-		s.contents.RecordTrial(now, held.Content)
+		s.poisonTracker.RecordTrial(now, held.Content)
 	}
 	s.occupy(held.ID, &place{
 		content: held.Content, node: held.Node, service: held.Service, route: held.Route, replica: chosen.state.replica.ID, born: chosen.state.replica.StartedAt, version: chosen.state.replica.Version,
--- a/coordination/spread/doc.go
+++ b/coordination/dissemination/doc.go
@@ -1,4 +1,4 @@
-// Package spread decides how a version of the configuration goes from node to node.
+// Package dissemination decides how a version of the configuration goes from node to node.
 //
 // A version is a manifest of parts that are named by their content (package catalog).
 // A node that is behind names the parts it has and is sent only what it lacks, in
@@ -11,4 +11,4 @@
 // that is fetched, and they share their parts.
 //
 // The package does no I/O and reads no clock. Its types are safe for concurrent use.
-package spread
+package dissemination
--- a/coordination/spread/library.go
+++ b/coordination/dissemination/library.go
@@ -1,4 +1,4 @@
-package spread
+package dissemination
 
 import (
 	"sync"
--- a/coordination/poison/judgement_test.go
+++ b/coordination/poison/judgement_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/onsi/gomega"
 
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/structs"
 )
 
@@ -21,27 +21,27 @@
 
 // judge is one of the ways.
 type judge interface {
-	standing(now structs.Instant, of contents.Record) State
-	began(now structs.Instant, of contents.Record)
-	ended(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant)
-	answered(now structs.Instant, of contents.Record)
+	standing(now structs.Instant, of poisonrecords.Record) State
+	began(now structs.Instant, of poisonrecords.Record)
+	ended(now structs.Instant, of poisonrecords.Record, life poisonrecords.Incarnation, placed structs.Instant)
+	answered(now structs.Instant, of poisonrecords.Record)
 }
 
 // byCount is the ledger.
 type byCount struct{ *Tracker }
 
-func (j byCount) standing(now structs.Instant, of contents.Record) State {
+func (j byCount) standing(now structs.Instant, of poisonrecords.Record) State {
 	return j.standingAt(now, of)
 }
-func (j byCount) began(now structs.Instant, of contents.Record) {
+func (j byCount) began(now structs.Instant, of poisonrecords.Record) {
 	if j.standingAt(now, of) == OnTrial {
 		j.RecordTrial(now, of.Fingerprint)
 	}
 }
-func (j byCount) ended(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant) {
+func (j byCount) ended(now structs.Instant, of poisonrecords.Record, life poisonrecords.Incarnation, placed structs.Instant) {
 	_, _ = j.RecordCrash(now, of, life, placed)
 }
-func (j byCount) answered(now structs.Instant, of contents.Record) {
+func (j byCount) answered(now structs.Instant, of poisonrecords.Record) {
 	j.RecordSuccess(now, of.Fingerprint)
 }
 
@@ -58,7 +58,7 @@
 	likelihoodBar = 9.2
 )
 
-func (j *byLikelihood) standing(_ structs.Instant, of contents.Record) State {
+func (j *byLikelihood) standing(_ structs.Instant, of poisonrecords.Record) State {
 	switch sum := j.sums[of.Fingerprint]; {
 	case sum >= likelihoodBar:
 		return Blocked
@@ -67,12 +67,12 @@
 	}
 	return Clear
 }
-func (j *byLikelihood) began(structs.Instant, contents.Record) {}
-func (j *byLikelihood) ended(_ structs.Instant, of contents.Record, _ contents.Incarnation, _ structs.Instant) {
+func (j *byLikelihood) began(structs.Instant, poisonrecords.Record) {}
+func (j *byLikelihood) ended(_ structs.Instant, of poisonrecords.Record, _ poisonrecords.Incarnation, _ structs.Instant) {
 	j.sums[of.Fingerprint] += math.Log(deadlyShare / max(j.share, 0.01))
 	j.share += 0.01 * (1 - j.share)
 }
-func (j *byLikelihood) answered(_ structs.Instant, of contents.Record) {
+func (j *byLikelihood) answered(_ structs.Instant, of poisonrecords.Record) {
 	j.sums[of.Fingerprint] = max(0, j.sums[of.Fingerprint]+math.Log((1-deadlyShare)/(1-j.share)))
 	j.share -= 0.01 * j.share
 }
@@ -94,7 +94,7 @@
 }
 
 type run struct {
-	of     contents.Record
+	of     poisonrecords.Record
 	deadly bool
 	placed structs.Instant
 	endsAt structs.Instant
@@ -118,7 +118,7 @@
 	return false
 }
 
-func (w *world) ask(of contents.Record, deadly bool) {
+func (w *world) ask(of poisonrecords.Record, deadly bool) {
 	standing := w.judge.standing(w.now, of)
 	running := 0
 	for i := range w.replicas {
@@ -155,7 +155,7 @@
 	at.life++
 	at.backAt = w.now + downTime
 	for _, held := range at.runs {
-		w.judge.ended(w.now, held.of, contents.Incarnation(fmt.Sprint(number, "/", at.life)), held.placed)
+		w.judge.ended(w.now, held.of, poisonrecords.Incarnation(fmt.Sprint(number, "/", at.life)), held.placed)
 		if held.deadly {
 			w.ends++
 		}
--- a/coordination/poison/ledger.go
+++ b/coordination/poison/ledger.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/structs"
 )
 
@@ -27,7 +27,7 @@
 // reason of their own bar what runs at three of them; a trial that finds no replica that is up
 // goes on until it does. The second is late enough for what struck the first to be over.
 func DefaultPolicy() Policy {
-	return Policy{CrashThreshold: 3, Trials: contents.MaxTrials, FirstTrial: 500 * time.Millisecond, NextTrial: 10 * time.Second}
+	return Policy{CrashThreshold: 3, Trials: poisonrecords.MaxTrials, FirstTrial: 500 * time.Millisecond, NextTrial: 10 * time.Second}
 }
 
 // Standing is what may be done with a request.
@@ -77,7 +77,7 @@
 
 // entry is a record with what this node alone knows of it.
 type entry struct {
-	contents.Record
+	poisonrecords.Record
 	// changed is when something was learned of it, endedAt when the last life was, and
 	// nextTrial when the next trial may be.
 	changed, endedAt, nextTrial structs.Instant
@@ -95,7 +95,7 @@
 	// tries is false while this node must not try barred requests: another one may do so.
 	tries bool
 	// mark is of all records that others are told, unless it is stale.
-	mark  contents.Summary
+	mark  poisonrecords.Summary
 	stale bool
 }
 
@@ -116,13 +116,13 @@
 // returns the request's standing and whether that is news. A request that was placed after
 // the life's end was known cannot have run in that life: the replica had started again under
 // its id, and this node has not heard of it.
-func (l *Tracker) RecordCrash(now structs.Instant, of contents.Record, life contents.Incarnation, placed structs.Instant) (State, bool) {
+func (l *Tracker) RecordCrash(now structs.Instant, of poisonrecords.Record, life poisonrecords.Incarnation, placed structs.Instant) (State, bool) {
 	if l.policy.CrashThreshold <= 0 || of.Fingerprint.IsZero() {
 		return Clear, false
 	}
 	held := l.get(now, of)
 	if slices.Contains(held.Incarnations, life) && placed > held.endedAt {
-		life += contents.Incarnation("+" + strconv.Itoa(len(held.Incarnations)))
+		life += poisonrecords.Incarnation("+" + strconv.Itoa(len(held.Incarnations)))
 	}
 	if !held.Add(life) {
 		return l.standing(held), false
@@ -211,11 +211,11 @@
 }
 
 // get returns the request's entry, which may be a new one.
-func (l *Tracker) get(now structs.Instant, of contents.Record) *entry {
+func (l *Tracker) get(now structs.Instant, of poisonrecords.Record) *entry {
 	held, found := l.entries[of.Fingerprint]
 	if !found {
 		l.makeRoom()
-		held = &entry{Record: contents.Record{Fingerprint: of.Fingerprint, Service: of.Service, Route: of.Route}, changed: now}
+		held = &entry{Record: poisonrecords.Record{Fingerprint: of.Fingerprint, Service: of.Service, Route: of.Route}, changed: now}
 		l.entries[of.Fingerprint] = held
 	}
 	return held
@@ -235,8 +235,8 @@
 
 // Merge enters what another node or the store tells, and returns the requests that are
 // barred since.
-func (l *Tracker) Merge(now structs.Instant, records []contents.Record) []contents.Record {
-	var barred []contents.Record
+func (l *Tracker) Merge(now structs.Instant, records []poisonrecords.Record) []poisonrecords.Record {
+	var barred []poisonrecords.Record
 	for i := range records {
 		if !l.takes(&records[i]) {
 			continue
@@ -262,7 +262,7 @@
 // takes returns whether the record is to be merged. One that this node does not have and
 // that is about to be forgotten by all is left out: nodes would else have it from each other
 // for ever.
-func (l *Tracker) takes(record *contents.Record) bool {
+func (l *Tracker) takes(record *poisonrecords.Record) bool {
 	if record.Fingerprint.IsZero() || l.policy.CrashThreshold <= 0 {
 		return false
 	}
@@ -273,10 +273,10 @@
 }
 
 // Get returns the request's record.
-func (l *Tracker) Get(content fingerprint.Fingerprint) (contents.Record, bool) {
+func (l *Tracker) Get(content fingerprint.Fingerprint) (poisonrecords.Record, bool) {
 	held, found := l.entries[content]
 	if !found {
-		return contents.Record{}, false
+		return poisonrecords.Record{}, false
 	}
 	return held.copy(), true
 }
@@ -284,7 +284,7 @@
 // Recent returns the request's record if something spoke against it lately. Whoever asks for
 // a place passes it on: the scheduling node may have died before it told what it knew. What
 // is older was told since, or made up for by an answer that this node did not see.
-func (l *Tracker) Recent(now structs.Instant, content fingerprint.Fingerprint) *contents.Record {
+func (l *Tracker) Recent(now structs.Instant, content fingerprint.Fingerprint) *poisonrecords.Record {
 	held, found := l.entries[content]
 	if !found || len(held.Incarnations) == 0 || now-held.endedAt > recentMemory {
 		return nil
@@ -294,35 +294,35 @@
 }
 
 // copy returns the record without what is shared.
-func (e *entry) copy() contents.Record {
+func (e *entry) copy() poisonrecords.Record {
 	record := e.Record
 	record.Incarnations = slices.Clone(record.Incarnations)
 	return record
 }
 
 // Told returns what other nodes are to know.
-func (l *Tracker) Shared(now structs.Instant) []contents.Record {
+func (l *Tracker) Shared(now structs.Instant) []poisonrecords.Record {
 	return l.pick(now, func(held *entry) bool { return held.told })
 }
 
 // Lasting returns what has to outlive all nodes; of too many, the ones that changed last.
-func (l *Tracker) Persistent(now structs.Instant) []contents.Record {
+func (l *Tracker) Persistent(now structs.Instant) []poisonrecords.Record {
 	lasting := l.pick(now, func(held *entry) bool { return held.Persistent })
 	if len(lasting) <= maximumLasting {
 		return lasting
 	}
-	slices.SortStableFunc(lasting, func(a, b contents.Record) int { return cmp.Compare(a.Age, b.Age) })
+	slices.SortStableFunc(lasting, func(a, b poisonrecords.Record) int { return cmp.Compare(a.Age, b.Age) })
 	return lasting[:maximumLasting]
 }
 
 // Barred returns the requests that are barred.
-func (l *Tracker) Blocked(now structs.Instant) []contents.Record {
+func (l *Tracker) Blocked(now structs.Instant) []poisonrecords.Record {
 	return l.pick(now, func(held *entry) bool { return l.standing(held) == Blocked })
 }
 
 // pick returns the records for which the function is true, in the order of their contents.
-func (l *Tracker) pick(now structs.Instant, picks func(*entry) bool) []contents.Record {
-	var picked []contents.Record
+func (l *Tracker) pick(now structs.Instant, picks func(*entry) bool) []poisonrecords.Record {
+	var picked []poisonrecords.Record
 	for _, held := range l.entries {
 		if !picks(held) {
 			continue
@@ -331,14 +331,14 @@
 		record.Age = (now - held.changed).Milliseconds()
 		picked = append(picked, record)
 	}
-	slices.SortFunc(picked, func(a, b contents.Record) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
+	slices.SortFunc(picked, func(a, b poisonrecords.Record) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return picked
 }
 
 // Mark returns that of what Told returns.
-func (l *Tracker) Summary() contents.Summary {
+func (l *Tracker) Summary() poisonrecords.Summary {
 	if l.stale {
-		l.stale, l.mark = false, contents.Summary{}
+		l.stale, l.mark = false, poisonrecords.Summary{}
 		for _, held := range l.entries {
 			if held.told {
 				l.mark.Add(&held.Record)
--- a/coordination/poison/ledger_test.go
+++ b/coordination/poison/ledger_test.go
@@ -8,14 +8,14 @@
 	"github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/structs"
 )
 
 // named returns the record of a request.
-func named(name string) contents.Record {
-	return contents.Record{Fingerprint: fingerprint.Of("office", "POST", "a.example", "/"+name, nil), Service: "engines", Route: "chat"}
+func named(name string) poisonrecords.Record {
+	return poisonrecords.Record{Fingerprint: fingerprint.Of("office", "POST", "a.example", "/"+name, nil), Service: "engines", Route: "chat"}
 }
 
 // ledger returns one that tries barred requests.
@@ -26,14 +26,14 @@
 }
 
 // end enters as many ends of lives under the request, each placed when the last was known.
-func end(l *Tracker, of contents.Record, count int) {
+func end(l *Tracker, of poisonrecords.Record, count int) {
 	for i := range count {
 		at := structs.Instant(i+1) * time.Second
-		l.RecordCrash(at, of, contents.Incarnation(fmt.Sprint(of.Fingerprint, i)), at-time.Millisecond)
+		l.RecordCrash(at, of, poisonrecords.Incarnation(fmt.Sprint(of.Fingerprint, i)), at-time.Millisecond)
 	}
 }
 
-func (l *Tracker) standingAt(now structs.Instant, of contents.Record) State {
+func (l *Tracker) standingAt(now structs.Instant, of poisonrecords.Record) State {
 	standing, _ := l.State(now, of.Fingerprint)
 	return standing
 }
@@ -87,7 +87,7 @@
 		if standing == OnTrial {
 			l.RecordTrial(now, of.Fingerprint)
 			tried++
-			_, _ = l.RecordCrash(now, of, contents.Incarnation(fmt.Sprint("trial", tried)), now)
+			_, _ = l.RecordCrash(now, of, poisonrecords.Incarnation(fmt.Sprint("trial", tried)), now)
 		} else {
 			g.Expect(comeBack).To(gomega.BeNumerically(">=", DefaultPolicy().FirstTrial))
 		}
@@ -138,13 +138,13 @@
 func TestLedgersAgreeWhateverTheOrderOfNews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*Tracker{ledger(), ledger(), ledger()}
-		requests := []contents.Record{named("x"), named("y")}
+		requests := []poisonrecords.Record{named("x"), named("y")}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			node := nodes[rapid.IntRange(0, 2).Draw(t, "node")]
 			of := requests[rapid.IntRange(0, 1).Draw(t, "content")]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				_, _ = node.RecordCrash(0, of, contents.Incarnation(fmt.Sprint("life", rapid.IntRange(0, 9).Draw(t, "life"))), -1)
+				_, _ = node.RecordCrash(0, of, poisonrecords.Incarnation(fmt.Sprint("life", rapid.IntRange(0, 9).Draw(t, "life"))), -1)
 			case 2:
 				node.RecordSuccess(0, of.Fingerprint)
 			case 3:
@@ -222,6 +222,6 @@
 func TestNoCallOfAnotherCountsAsOnesOwn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := ledger()
-	_, news := l.RecordCrash(0, contents.Record{}, "a/1", 0)
+	_, news := l.RecordCrash(0, poisonrecords.Record{}, "a/1", 0)
 	g.Expect(news).To(gomega.BeFalse(), "a request whose content is not known is nobody's")
 }
--- a/coordination/refusals/refusals.go
+++ b/coordination/rejections/rejections.go
@@ -1,6 +1,6 @@
-// Package refusals remembers which requests were refused lately, by their content: one that comes
+// Package rejections remembers which requests were refused lately, by their content: one that comes
 // back is told apart from one that comes for the first time. It reads no clock.
-package refusals
+package rejections
 
 import (
 	"time"
--- a/coordination/refusals/refusals_test.go
+++ b/coordination/rejections/rejections_test.go
@@ -1,4 +1,4 @@
-package refusals
+package rejections
 
 import (
 	"testing"
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/coordination/liveness"
-	"github.com/thornwalk/thornwalk/coordination/spread"
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
 	"github.com/thornwalk/thornwalk/state/catalog"
@@ -17,7 +17,7 @@
 
 // A new version of the configuration is read from the store by the few nodes that
 // follow it. All others fetch from these, and from each other, the parts that they lack
-// (package spread).
+// (package dissemination).
 
 // Bounds of fetching.
 const (
@@ -101,8 +101,8 @@
 
 // partsReply gives the turn at this node's link back once it was sent.
 type partsReply struct {
-	spread.Reply `msgpack:",inline"`
-	sent         func()
+	dissemination.Reply `msgpack:",inline"`
+	sent                func()
 }
 
 // Sent implements peer.Tracked.
@@ -113,13 +113,13 @@
 }
 
 // serveParts sends a peer what it lacks of the version in force.
-func (n *Node) serveParts(ctx context.Context, request *spread.Request) (*partsReply, error) {
+func (n *Node) serveParts(ctx context.Context, request *dissemination.Request) (*partsReply, error) {
 	if n.library.Version() <= request.Version {
 		return &partsReply{}, nil
 	}
 	if !n.senders.Acquire(ctx) {
 		n.counter("configuration.busy").Inc(1)
-		return &partsReply{Reply: spread.Reply{Busy: true, Sources: n.holders.Suggest(request)}}, nil
+		return &partsReply{Reply: dissemination.Reply{Busy: true, Sources: n.holders.Suggest(request)}}, nil
 	}
 	reply, whole := n.library.Respond(request, partsBudget)
 	for _, content := range reply.Content {
@@ -197,7 +197,7 @@
 func (n *Node) askForParts(ctx context.Context, address string) (*partsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, partsTimeout)
 	defer cancel()
-	request := &spread.Request{Version: n.version(), HeldParts: n.library.HeldParts(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
+	request := &dissemination.Request{Version: n.version(), HeldParts: n.library.HeldParts(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
 	reply := &partsReply{}
 	if err := n.peers.Call(ctx, address, peerwire.KindConfigurationParts, request, reply); err != nil {
 		return nil, err
@@ -207,7 +207,7 @@
 
 // takeParts enters a reply, and the version that it completes. Whole is true if this
 // node then has a version as new as the peer's.
-func (n *Node) takeParts(reply *spread.Reply, address string) (progress, whole bool, err error) {
+func (n *Node) takeParts(reply *dissemination.Reply, address string) (progress, whole bool, err error) {
 	document, progress, err := n.library.Merge(reply)
 	if err != nil {
 		n.counter("configuration.parts_bad").Inc(1)
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/onsi/gomega"
 
-	"github.com/thornwalk/thornwalk/coordination/spread"
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/state/catalog"
 )
 
@@ -31,10 +31,10 @@
 // it can send all of it on.
 func TestVersionFromTheStoreDuringItsFetchCanBeSentOn(t *testing.T) {
 	g := gomega.NewWithT(t)
-	peer := spread.NewPartStore()
+	peer := dissemination.NewPartStore()
 	g.Expect(peer.Publish(fetchedDocument())).To(gomega.Succeed())
 	n := freshnessNode(0)
-	reply, whole := peer.Respond(&spread.Request{}, partsBudget)
+	reply, whole := peer.Respond(&dissemination.Request{}, partsBudget)
 	g.Expect(whole).To(gomega.BeFalse(), "the version takes several replies")
 	document, _, err := n.library.Merge(reply)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -42,9 +42,9 @@
 	n.offerCatalog(fetchedDocument(), "store")
 	g.Expect(n.version()).To(gomega.Equal(int64(7)))
 	g.Expect(func() {
-		asker := spread.NewPartStore()
+		asker := dissemination.NewPartStore()
 		for asker.Version() == 0 {
-			parts, err := n.serveParts(context.Background(), &spread.Request{Version: asker.Version(), HeldParts: asker.HeldParts()})
+			parts, err := n.serveParts(context.Background(), &dissemination.Request{Version: asker.Version(), HeldParts: asker.HeldParts()})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			made, progress, err := asker.Merge(&parts.Reply)
 			parts.Sent()
--- a/entry/contentdesk.go
+++ b/entry/contentdesk.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/thornwalk/thornwalk/coordination/admission"
 	"github.com/thornwalk/thornwalk/coordination/poison"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/structs"
 )
 
@@ -24,7 +24,7 @@
 func (d *schedulingService) setContentPolicy(policy poison.Policy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.contents.SetPolicy(policy)
+	d.poisonTracker.SetPolicy(policy)
 }
 
 // noteContent enters what the end of a request says of what it asked for. The place is zero
@@ -37,8 +37,8 @@
 		if place.Content.IsZero() {
 			placed = -1 // not known, so that a life counts once
 		}
-		of := contents.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
-		standing, news := d.contents.RecordCrash(now, of, finished.Ended.Life, placed)
+		of := poisonrecords.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
+		standing, news := d.poisonTracker.RecordCrash(now, of, finished.Ended.Life, placed)
 		if !news {
 			return
 		}
@@ -48,30 +48,30 @@
 		}
 		d.tellOf(outcome, finished.Content)
 	case finished.NotRun:
-		d.contents.CancelTrial(place.Content)
+		d.poisonTracker.CancelTrial(place.Content)
 	case finished.Seen.Whole:
-		if d.contents.RecordSuccess(now, finished.Content) {
-			d.onPoisonTransition(contentCleared, contents.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
+		if d.poisonTracker.RecordSuccess(now, finished.Content) {
+			d.onPoisonTransition(contentCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
 		}
 	}
 }
 
 // tellOf tells of a change of the request's standing. The caller holds the mutex.
 func (d *schedulingService) tellOf(outcome string, content fingerprint.Fingerprint) {
-	if record, found := d.contents.Get(content); found {
+	if record, found := d.poisonTracker.Get(content); found {
 		d.onPoisonTransition(outcome, record)
 	}
 }
 
 // merge takes over what others know of requests. The caller holds the mutex.
-func (d *schedulingService) merge(now structs.Instant, records []contents.Record) {
-	for _, record := range d.contents.Merge(now, records) {
+func (d *schedulingService) merge(now structs.Instant, records []poisonrecords.Record) {
+	for _, record := range d.poisonTracker.Merge(now, records) {
 		d.onPoisonTransition(contentHeard, record)
 	}
 }
 
 // mergeContents takes over what others know of requests, and decides what follows.
-func (d *schedulingService) mergeContents(records []contents.Record) {
+func (d *schedulingService) mergeContents(records []poisonrecords.Record) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.merge(d.clock(), records)
@@ -79,53 +79,53 @@
 }
 
 // knownOf returns what this node saw lately of replicas that ended under the request.
-func (d *schedulingService) poisonRecordOf(content fingerprint.Fingerprint) *contents.Record {
+func (d *schedulingService) poisonRecordOf(content fingerprint.Fingerprint) *poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Recent(d.clock(), content)
+	return d.poisonTracker.Recent(d.clock(), content)
 }
 
 // contentsMark marks what other nodes are told.
-func (d *schedulingService) contentsMark() contents.Summary {
+func (d *schedulingService) contentsMark() poisonrecords.Summary {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Summary()
+	return d.poisonTracker.Summary()
 }
 
 // toldContents returns what other nodes are told.
-func (d *schedulingService) toldContents() []contents.Record {
+func (d *schedulingService) toldContents() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Shared(d.clock())
+	return d.poisonTracker.Shared(d.clock())
 }
 
 // lastingContents returns what has to outlive all nodes.
-func (d *schedulingService) lastingContents() []contents.Record {
+func (d *schedulingService) lastingContents() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Persistent(d.clock())
+	return d.poisonTracker.Persistent(d.clock())
 }
 
 // forgetContents drops what is old.
 func (d *schedulingService) expirePoison() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.contents.Sweep(d.clock())
+	d.poisonTracker.Sweep(d.clock())
 }
 
 // barredContents returns the requests that are barred.
-func (d *schedulingService) barredContents() []contents.Record {
+func (d *schedulingService) barredContents() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.contents.Blocked(d.clock())
+	return d.poisonTracker.Blocked(d.clock())
 }
 
 // liftContent clears the request, and returns false if nothing speaks against it.
 func (d *schedulingService) liftContent(content fingerprint.Fingerprint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	record, _ := d.contents.Get(content)
-	lifted := d.contents.Unblock(d.clock(), content)
+	record, _ := d.poisonTracker.Get(content)
+	lifted := d.poisonTracker.Unblock(d.clock(), content)
 	if lifted {
 		d.onPoisonTransition(contentLifted, record)
 		d.decide()
--- a/entry/contents.go
+++ b/entry/contents.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"strings"
 	"time"
 
@@ -12,6 +11,7 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/replicas"
 	"github.com/thornwalk/thornwalk/structs"
 	"github.com/thornwalk/thornwalk/transport/network"
@@ -73,7 +73,7 @@
 }
 
 // noteContent tells of a change of a request's standing.
-func (n *Node) logPoisonTransition(outcome string, record contents.Record) {
+func (n *Node) logPoisonTransition(outcome string, record poisonrecords.Record) {
 	n.counter("contents." + outcome).Inc(1)
 	lives := make([]string, 0, len(record.Incarnations))
 	for _, life := range record.Incarnations {
@@ -102,7 +102,7 @@
 // contentsRequest asks a peer for what it knows of requests that replicas ended under.
 type contentsRequest struct{}
 
-type poisonReply struct{ Records []contents.Record }
+type poisonReply struct{ Records []poisonrecords.Record }
 
 func (n *Node) servePoisonRecords(context.Context, *contentsRequest) (*poisonReply, error) {
 	return &poisonReply{Records: n.scheduling.toldContents()}, nil
@@ -133,17 +133,17 @@
 // storedContents is what the store is known to hold.
 type storedPoisonRecords struct {
 	revision structs.StorePosition
-	mark     contents.Summary
+	mark     poisonrecords.Summary
 }
 
 // takeContents takes what the store holds into force.
-func (n *Node) applyPoisonRecords(records []contents.Record, revision structs.StorePosition) {
+func (n *Node) applyPoisonRecords(records []poisonrecords.Record, revision structs.StorePosition) {
 	if revision == 0 {
 		return
 	}
 	n.mutex.Lock()
 	if revision > n.poisonStored.revision {
-		n.poisonStored = storedPoisonRecords{revision: revision, mark: contents.SummaryOf(records)}
+		n.poisonStored = storedPoisonRecords{revision: revision, mark: poisonrecords.SummaryOf(records)}
 	}
 	n.mutex.Unlock()
 	n.scheduling.mergeContents(records)
@@ -165,7 +165,7 @@
 		n.mutex.Lock()
 		stored := n.poisonStored
 		n.mutex.Unlock()
-		if contents.SummaryOf(lasting) != stored.mark {
+		if poisonrecords.SummaryOf(lasting) != stored.mark {
 			n.storeContents(lasting, stored.revision)
 		}
 	}
@@ -180,7 +180,7 @@
 
 // storeContents writes what is barred. If the store holds something else than this node
 // thought, that is merged, and written with the next step.
-func (n *Node) storeContents(lasting []contents.Record, revision structs.StorePosition) {
+func (n *Node) storeContents(lasting []poisonrecords.Record, revision structs.StorePosition) {
 	ctx, cancel := context.WithTimeout(n.ctx, contentsWriteLimit)
 	defer cancel()
 	written, err := n.deps.PoisonRecords.WriteContents(ctx, lasting, revision)
@@ -203,7 +203,7 @@
 
 // ContentStatus is what operators see of a barred request.
 type PoisonStatus struct {
-	contents.Record
+	poisonrecords.Record
 	// Unchanged is for how long nothing was learned of it, in milliseconds.
 	Unchanged int64 `json:"unchanged_ms"`
 }
@@ -219,7 +219,7 @@
 
 // Lift lets a barred request be sent again, at all nodes.
 func (n *Node) Unblock(content string) error {
-	var wanted contents.Record
+	var wanted poisonrecords.Record
 	if err := wanted.Fingerprint.UnmarshalText([]byte(content)); err != nil {
 		return err
 	}
--- a/entry/desk.go
+++ b/entry/desk.go
@@ -2,17 +2,17 @@
 
 import (
 	"context"
-	"github.com/thornwalk/thornwalk/coordination/refusals"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"sync"
 	"time"
 
 	"github.com/thornwalk/thornwalk/coordination/admission"
 	"github.com/thornwalk/thornwalk/coordination/poison"
 	"github.com/thornwalk/thornwalk/coordination/quota"
+	"github.com/thornwalk/thornwalk/coordination/rejections"
 	"github.com/thornwalk/thornwalk/coordination/retrybudget"
 	"github.com/thornwalk/thornwalk/coordination/rollout"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/pushback"
 	"github.com/thornwalk/thornwalk/state/replicas"
 	"github.com/thornwalk/thornwalk/state/rollouts"
@@ -69,15 +69,15 @@
 	first   bool
 	waiters map[string]chan admission.Decision
 	placed  map[string]placed
-	refused *refusals.Recent
+	refused *rejections.Recent
 	// controllers step the roll-outs of services while this node schedules; longest is how
 	// long the long answers of a service take.
 	rolloutPolicy rollout.Policy
 	// contents says which requests replicas ended under. It outlives what the desk forgets:
 	// what a request did is true whoever schedules.
-	contents *poison.Tracker
+	poisonTracker *poison.Tracker
 	// tell is called with each change of a request's standing.
-	onPoisonTransition func(outcome string, record contents.Record)
+	onPoisonTransition func(outcome string, record poisonrecords.Record)
 	controllers        map[string]*rollout.Controller
 	longest            map[string]time.Duration
 	timer              *time.Timer
@@ -86,7 +86,7 @@
 }
 
 func newSchedulingService(clock func() structs.Instant, policy retrybudget.Policy, first bool) *schedulingService {
-	d := &schedulingService{clock: clock, decidedAt: -decideInterval, share: 1, first: first, term: 1, budget: retrybudget.New(policy, first), contents: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, contents.Record) {}}
+	d := &schedulingService{clock: clock, decidedAt: -decideInterval, share: 1, first: first, term: 1, budget: retrybudget.New(policy, first), poisonTracker: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, poisonrecords.Record) {}}
 	d.clear()
 	d.quotas.CreditDowntime(restartTime, clock()+restartCredit)
 	d.timer = time.AfterFunc(time.Hour, d.wake)
@@ -95,7 +95,7 @@
 
 func (d *schedulingService) clear() {
 	d.scheduler = admission.New()
-	d.scheduler.SetPoisonTracker(d.contents)
+	d.scheduler.SetPoisonTracker(d.poisonTracker)
 	d.scheduler.SetRegions(d.regions)
 	d.scheduler.SetEvacuatedZones(d.clock(), d.emptied)
 	d.applyWarmings()
@@ -110,7 +110,7 @@
 	}
 	d.waiters = map[string]chan admission.Decision{}
 	d.placed = map[string]placed{}
-	d.refused = refusals.New()
+	d.refused = rejections.New()
 	d.controllers, d.longest = map[string]*rollout.Controller{}, map[string]time.Duration{}
 }
 
@@ -142,7 +142,7 @@
 func (d *schedulingService) setShare(share float64, policy retrybudget.Policy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.contents.SetTrialsAllowed(share > majority)
+	d.poisonTracker.SetTrialsAllowed(share > majority)
 	d.share = share
 	d.setWarms()
 	d.budget.SetPolicy(policy)
@@ -252,7 +252,7 @@
 	defer d.mutex.Unlock()
 	now := d.clock()
 	if request.Known != nil {
-		d.merge(now, []contents.Record{*request.Known})
+		d.merge(now, []poisonrecords.Record{*request.Known})
 	}
 	for _, note := range request.Heard {
 		d.scheduler.ApplyPushbackReport(now, note)
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -5,8 +5,8 @@
 
 	"github.com/thornwalk/thornwalk/coordination/admission"
 	"github.com/thornwalk/thornwalk/coordination/quota"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/pushback"
 	"github.com/thornwalk/thornwalk/state/replicas"
 	"github.com/thornwalk/thornwalk/state/rollouts"
@@ -27,7 +27,7 @@
 	Heard []pushback.Report `msgpack:",omitempty"`
 	// Known is what the asking node saw lately of replicas that ended under the request; nil
 	// if it saw none.
-	Known *contents.Record
+	Known *poisonrecords.Record
 }
 
 // placeReply is the decision on a placeRequest.
@@ -74,7 +74,7 @@
 
 // endedLife tells that a replica ended while a request was there.
 type crashedIncarnation struct {
-	Life           contents.Incarnation
+	Life           poisonrecords.Incarnation
 	Service, Route string
 }
 
--- a/entry/news_memory_test.go
+++ b/entry/news_memory_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/thornwalk/thornwalk/coordination/spread"
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/lab/documents"
 	"github.com/thornwalk/thornwalk/lab/memnet"
@@ -40,7 +40,7 @@
 func heldForSlowPeers(b *testing.B, document *catalog.Document, peers, asked int) (body int, held int64) {
 	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
 	n.offerCatalog(document, "test")
-	request := &spread.Request{Version: 1}
+	request := &dissemination.Request{Version: 1}
 	reply, _ := n.library.Respond(request, partsBudget)
 	encoded, err := peerwire.Marshal(reply)
 	if err != nil {
--- a/entry/node.go
+++ b/entry/node.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"github.com/thornwalk/thornwalk/coordination/replicahealth"
-	"github.com/thornwalk/thornwalk/coordination/zones"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -16,9 +14,11 @@
 
 	"github.com/rcrowley/go-metrics"
 
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/coordination/liveness"
-	"github.com/thornwalk/thornwalk/coordination/spread"
+	"github.com/thornwalk/thornwalk/coordination/replicahealth"
 	"github.com/thornwalk/thornwalk/coordination/staleness"
+	"github.com/thornwalk/thornwalk/coordination/zones"
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/outside"
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
@@ -95,9 +95,9 @@
 	offers sync.Mutex
 	// library has the parts of the version in force, which others are sent through
 	// senders, and holders who was sent all of them.
-	library *spread.PartStore
-	senders spread.SendLimiter
-	holders spread.Sources
+	library *dissemination.PartStore
+	senders dissemination.SendLimiter
+	holders dissemination.Sources
 	newer   staleness.NewerVersions
 	// isConfigurationLarge is true once the store's configuration was found to take long on this link.
 	isConfigurationLarge atomic.Bool
@@ -187,7 +187,7 @@
 		pool: replicahttp.NewPool(depend.Network), peers: peer.NewClient(depend.Network, nil),
 		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewTracker(), pushback: pushback.NewTracker(), zones: zones.NewTracker(),
 		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, problems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
-		library: spread.NewPartStore(), senders: spread.NewSendLimiter(settings.LinkMbps),
+		library: dissemination.NewPartStore(), senders: dissemination.NewSendLimiter(settings.LinkMbps),
 	}
 	if n.deps.Now == nil {
 		started := time.Now()
--- a/entry/pull_test.go
+++ b/entry/pull_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/onsi/gomega"
 
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/coordination/liveness"
-	"github.com/thornwalk/thornwalk/coordination/spread"
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/state/replicas"
 	"github.com/thornwalk/thornwalk/structs"
@@ -70,10 +70,10 @@
 	all, err := n.serveUpdates(context.Background(), &updatesRequest{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(all.Replicas).To(gomega.HaveLen(2))
-	parts, err := n.serveParts(context.Background(), &spread.Request{Version: 3})
+	parts, err := n.serveParts(context.Background(), &dissemination.Request{Version: 3})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(parts.Content).To(gomega.BeEmpty(), "the peer has the version")
-	parts, err = n.serveParts(context.Background(), &spread.Request{})
+	parts, err = n.serveParts(context.Background(), &dissemination.Request{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(parts.Manifest.Version).To(gomega.Equal(int64(3)))
 	g.Expect(parts.Content).NotTo(gomega.BeEmpty())
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/thornwalk/thornwalk/coordination/admission"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/pushback"
 )
 
@@ -77,7 +77,7 @@
 // noteLife finds out whether the replica that broke the request off ended under it. Where that
 // can't be told yet, it is remembered.
 func (c *call) noteLife(given *grant, finished *finishRequest) {
-	ended := &crashedIncarnation{Life: contents.IncarnationOf(given.Replica.ID, given.Replica.StartedAt), Service: c.service, Route: c.route.Name}
+	ended := &crashedIncarnation{Life: poisonrecords.IncarnationOf(given.Replica.ID, given.Replica.StartedAt), Service: c.service, Route: c.route.Name}
 	state := incarnationUnknown // of one that fell silent
 	switch c.broke {
 	case breakClosed:
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -13,7 +13,7 @@
 	"github.com/thornwalk/thornwalk/coordination/rollout"
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 	"github.com/thornwalk/thornwalk/state/catalog"
-	"github.com/thornwalk/thornwalk/state/contents"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 )
 
 // Settings is what a process learns from its own file. Fields that are not
@@ -135,7 +135,7 @@
 		{"rollout_slack", s.RolloutSlack, 0, 1_000_000},
 		{"cold_overage", s.SlowStartOverage, 0, 1000},
 		{"cold_slack", s.SlowStartSlack, 0, 1_000_000},
-		{"barred_after_ends", float64(s.BlockedAfter), 0, contents.MaxIncarnations},
+		{"barred_after_ends", float64(s.BlockedAfter), 0, poisonrecords.MaxIncarnations},
 	}
 	for _, field := range bounds {
 		if field.value < field.low || field.value > field.high {
--- a/entry/unexplained_test.go
+++ b/entry/unexplained_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 	"github.com/thornwalk/thornwalk/outside"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
@@ -47,12 +47,12 @@
 				n.applyReplica(replica)
 				n.applyReplica(replicas.Replica{ID: "other", Service: "s", Position: 2})
 				content := fingerprint.Of("office", "POST", "a.example", "/x", nil)
-				n.deferDisconnect(unresolvedDisconnect{replica: replica, content: content, ended: &crashedIncarnation{Life: contents.IncarnationOf("r", 1)}})
+				n.deferDisconnect(unresolvedDisconnect{replica: replica, content: content, ended: &crashedIncarnation{Life: poisonrecords.IncarnationOf("r", 1)}})
 				n.mutex.Lock()
 				course.happens(n, replica)
 				n.mutex.Unlock()
 				synctest.Wait()
-				_, counted := n.scheduling.contents.Get(content)
+				_, counted := n.scheduling.poisonTracker.Get(content)
 				g.Expect(counted).To(gomega.Equal(course.counts))
 			})
 		})
--- a/entry/wire_test.go
+++ b/entry/wire_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"flag"
 	"fmt"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,8 +12,9 @@
 	"github.com/onsi/gomega"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"github.com/thornwalk/thornwalk/coordination/dissemination"
 	"github.com/thornwalk/thornwalk/coordination/liveness"
-	"github.com/thornwalk/thornwalk/coordination/spread"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/rollouts"
 )
 
@@ -37,14 +37,14 @@
 	"news-request":  func() any { return &updatesRequest{} },
 	"news-reply":    func() any { return &updatesReply{} },
 	"contents":      func() any { return &poisonReply{} },
-	"parts-request": func() any { return &spread.Request{} },
-	"parts-reply":   func() any { return &spread.Reply{} },
+	"parts-request": func() any { return &dissemination.Request{} },
+	"parts-reply":   func() any { return &dissemination.Reply{} },
 }
 
 // stored are the values in the store, which are JSON.
 var stored = map[string]func() any{
 	"rollout-record": func() any { return &rollouts.Record{} },
-	"barred":         func() any { return &[]contents.Record{} },
+	"barred":         func() any { return &[]poisonrecords.Record{} },
 }
 
 // fill gives every field that is sent a value other than zero.
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/thornwalk/thornwalk/state/catalog"
-	"github.com/thornwalk/thornwalk/state/contents"
 	"github.com/thornwalk/thornwalk/state/evacuations"
+	"github.com/thornwalk/thornwalk/state/poisonrecords"
 	"github.com/thornwalk/thornwalk/state/replicas"
 	"github.com/thornwalk/thornwalk/state/rollouts"
 	"github.com/thornwalk/thornwalk/structs"
@@ -41,7 +41,7 @@
 	Records []rollouts.Record
 	// Contents are the requests that replicas ended under, as the store's record of that
 	// revision names them; zero means that the update tells nothing of them.
-	Contents         []contents.Record
+	Contents         []poisonrecords.Record
 	ContentsRevision structs.StorePosition
 	// Problems are entries that did not parse and were left out.
 	Problems []error
@@ -105,10 +105,10 @@
 type Contents interface {
 	// WriteContents writes the records if the store's have the revision; zero means that it
 	// has none. It returns the new revision. Its errors are those of Rollouts.WriteRollout.
-	WriteContents(ctx context.Context, records []contents.Record, revision structs.StorePosition) (structs.StorePosition, error)
+	WriteContents(ctx context.Context, records []poisonrecords.Record, revision structs.StorePosition) (structs.StorePosition, error)
 	// ReadContents returns the records and their revision, which is zero if there are none.
 	// The error is of kind StoreUnavailable.
-	ReadContents(ctx context.Context) ([]contents.Record, structs.StorePosition, error)
+	ReadContents(ctx context.Context) ([]poisonrecords.Record, structs.StorePosition, error)
 }
 
 // HeaderNames are the names of the headers that carry what the daemon reads
--- a/state/contents/record.go
+++ b/state/poisonrecords/record.go
@@ -1,6 +1,6 @@
-// Package contents has what is known of requests under which replicas ended: the records that
+// Package poisonrecords has what is known of requests under which replicas ended: the records that
 // nodes tell each other and keep in the store. How they are judged is up to coordination/poison.
-package contents
+package poisonrecords
 
 import (
 	"cmp"
