--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// SetContents has the scheduler go by the ledger of requests that replicas ended under.
+// SetPoisonTracker has the scheduler go by the ledger of requests that replicas ended under.
 func (s *Scheduler) SetPoisonTracker(contents *poison.Tracker) { s.poisonTracker = contents }
 
 // SetRegions tells which region each zone is in.
@@ -163,14 +163,14 @@
 	}
 }
 
-// SetAvoided replaces the replicas that no request is sent to.
+// SetEjected replaces the replicas that no request is sent to.
 func (s *Scheduler) SetEjected(ids map[string]bool) {
 	for id, state := range s.states {
 		state.avoided = ids[id]
 	}
 }
 
-// SetForeign records how many requests the node has in progress at each replica
+// SetExternalInFlight records how many requests the node has in progress at each replica
 // that were not placed by this scheduler.
 func (s *Scheduler) SetExternalInFlight(node string, counts map[string]int) {
 	before := s.foreign[node]
--- a/coordination/admission/messages.go
+++ b/coordination/admission/messages.go
@@ -49,7 +49,7 @@
 	Doubted []string
 }
 
-// After returns the request as it is once so much time has passed.
+// WithElapsed returns the request as it is once so much time has passed.
 func (r Request) WithElapsed(passed time.Duration) Request {
 	r.Deadline = max(r.Deadline-passed, 0)
 	r.Target = max(r.Target-passed, 0)
@@ -96,7 +96,7 @@
 	// RetryAfter tells a refused caller when to come back.
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// Ahead is how many requests were before it, Free the places that were free and
+	// QueuedAhead is how many requests were before it, Free the places that were free and
 	// Expected the wait that was predicted.
 	QueuedAhead, Free int
 	Expected          time.Duration
--- a/coordination/admission/places.go
+++ b/coordination/admission/places.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Begun records that the answer to a request began. Load is the number of
+// RecordFirstEvent records that the answer to a request began. Load is the number of
 // requests that the replica then said to have, or negative; what exceeds the
 // known ones is work that no node reports.
 func (s *Scheduler) RecordFirstEvent(now structs.Instant, id string, load int) {
@@ -25,7 +25,7 @@
 	state.hidden = hiddenLoad{count: max(0, load-state.reported()), at: now}
 }
 
-// Ended is a request with a place that ended.
+// Completion is a request with a place that ended.
 type Completion struct {
 	Content                 fingerprint.Fingerprint
 	Service, Route, Replica string
--- a/coordination/admission/ratelimit.go
+++ b/coordination/admission/ratelimit.go
@@ -54,7 +54,7 @@
 	return max(part*(burstTime.Seconds()*l.known.Limit.PerSecond+burstRequests), 1)
 }
 
-// SetPart tells which part of all nodes follows this scheduler; zero if it does not lead. When it
+// SetFollowerShare tells which part of all nodes follows this scheduler; zero if it does not lead. When it
 // begins to lead, all banks are empty.
 func (s *Scheduler) SetFollowerShare(now structs.Instant, part float64) {
 	if s.part == 0 && part > 0 {
@@ -63,7 +63,7 @@
 	s.part = part
 }
 
-// Hear enters what a replica said to a node. What it tells of lives that are not listed is told again
+// ApplyPushbackReport enters what a replica said to a node. What it tells of lives that are not listed is told again
 // once they are.
 func (s *Scheduler) ApplyPushbackReport(now structs.Instant, note pushback.Report) {
 	state, found := s.states[note.Life.Replica]
@@ -74,7 +74,7 @@
 	state.hearLimit(now, note.Limit, now-note.Age)
 }
 
-// Said enters what the answer to a request with a place says of its replica. An answer ends a limit
+// ApplyPushback enters what the answer to a request with a place says of its replica. An answer ends a limit
 // only if its request was placed after that was heard.
 func (s *Scheduler) ApplyPushback(now structs.Instant, id string, said pushback.Signals) {
 	held, found := s.places[id]
--- a/coordination/admission/trial.go
+++ b/coordination/admission/trial.go
@@ -27,12 +27,12 @@
 	s.service(service).versions = policy
 }
 
-// SetTrial replaces what the replicas of the service get that are judged; nil means nothing.
+// SetCanaryBudget replaces what the replicas of the service get that are judged; nil means nothing.
 func (s *Scheduler) SetCanaryBudget(service string, trial *rollout.CanaryBudget) {
 	s.service(service).trial = trial
 }
 
-// HeldAt counts the requests with a place at replicas of the service whose version gets no
+// InFlightAt counts the requests with a place at replicas of the service whose version gets no
 // new ones.
 func (s *Scheduler) InFlightAt(service string) int {
 	pool := s.service(service)
--- a/coordination/admission/warming.go
+++ b/coordination/admission/warming.go
@@ -14,7 +14,7 @@
 // time, one of which does not know of the other. Each has half of the bound, in a bank that begins
 // empty when it starts to lead: whoever led before gave from a bank of its own.
 
-// Warming bounds what each cold replica of a service gets. The zero value is no bound.
+// SlowStart bounds what each cold replica of a service gets. The zero value is no bound.
 type SlowStart struct {
 	// Rate is paid into the replica's bank, in requests a second, and Burst is what it holds.
 	Rate, Burst float64
@@ -29,7 +29,7 @@
 // concurrentSchedulers is how many schedulers share the bound.
 const concurrentSchedulers = 2
 
-// NewWarming returns the bound of one scheduler where all nodes together may send a cold replica
+// NewSlowStart returns the bound of one scheduler where all nodes together may send a cold replica
 // so many requests in any second; zero means any. A share too small for a whole request is none.
 func NewSlowStart(allowed float64, coldTime time.Duration) SlowStart {
 	if allowed <= 0 {
@@ -51,22 +51,22 @@
 	bank           bank
 }
 
-// SetWarming replaces the bound for the service's cold replicas. Until it was called they get
+// SetSlowStart replaces the bound for the service's cold replicas. Until it was called they get
 // nothing: how much they bear is not known.
 func (s *Scheduler) SetSlowStart(service string, warming SlowStart) {
 	s.service(service).warming = &warming
 }
 
-// SetWarms tells whether this scheduler may send to cold replicas. Each call empties all banks, so
+// SetColdTrafficAllowed tells whether this scheduler may send to cold replicas. Each call empties all banks, so
 // it is made when that begins or ends.
 func (s *Scheduler) SetColdTrafficAllowed(now structs.Instant, warms bool) {
 	s.warms, s.warmsSince = warms, now
 }
 
-// Warms returns whether this scheduler may send to cold replicas.
+// ColdTrafficAllowed returns whether this scheduler may send to cold replicas.
 func (s *Scheduler) ColdTrafficAllowed() bool { return s.warms }
 
-// SetEmptied replaces the zones whose replicas get nothing. The replicas of one that is taken back
+// SetEvacuatedZones replaces the zones whose replicas get nothing. The replicas of one that is taken back
 // count as cold for a while: they may have started meanwhile and not have told so yet.
 func (s *Scheduler) SetEvacuatedZones(now structs.Instant, zones map[string]bool) {
 	for _, state := range s.states {
--- a/coordination/dissemination/holders.go
+++ b/coordination/dissemination/holders.go
@@ -17,7 +17,7 @@
 // holder is a node that was sent the last part of a version.
 type holder struct{ address, zone string }
 
-// Holders remembers the nodes that have the version in force from this node, to name
+// Sources remembers the nodes that have the version in force from this node, to name
 // them to others while this node is busy.
 type Sources struct {
 	mutex   sync.Mutex
@@ -25,7 +25,7 @@
 	nodes   []holder
 }
 
-// Note records that the sender of the request was sent all of the version.
+// Add records that the sender of the request was sent all of the version.
 func (h *Sources) Add(version int64, request *Request) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Name returns addresses of some nodes that have a version newer than the sender's,
+// Suggest returns addresses of some nodes that have a version newer than the sender's,
 // those of its own zone first.
 func (h *Sources) Suggest(request *Request) []string {
 	h.mutex.Lock()
--- a/coordination/dissemination/library.go
+++ b/coordination/dissemination/library.go
@@ -14,7 +14,7 @@
 type Request struct {
 	// Version is the sender's configuration in force; zero means none.
 	Version int64 `msgpack:"v"`
-	// Held names the parts that the sender has.
+	// HeldParts names the parts that the sender has.
 	HeldParts []catalog.Hash `msgpack:"h"`
 	// Address and Zone are the sender's: it will be named to others that ask.
 	Address string `msgpack:"a"`
@@ -28,7 +28,7 @@
 	// Content holds compressed parts that the sender lacks, as many as one reply takes.
 	Content [][]byte `msgpack:"c"`
 	// Busy is true if the peer sends to as many others as it may. Nothing else is set
-	// then but Holders, addresses of nodes that have the version from this peer.
+	// then but Sources, addresses of nodes that have the version from this peer.
 	Busy    bool     `msgpack:"b"`
 	Sources []string `msgpack:"o"`
 }
@@ -39,7 +39,7 @@
 	packed *catalog.CompressedPart
 }
 
-// Library holds the parts of the configuration in force and of the one being fetched.
+// PartStore holds the parts of the configuration in force and of the one being fetched.
 type PartStore struct {
 	mutex    sync.Mutex
 	entries  map[catalog.Hash]entry
@@ -48,7 +48,7 @@
 	dropped  int
 }
 
-// NewLibrary returns a library without a version.
+// NewPartStore returns a library without a version.
 func NewPartStore() *PartStore { return &PartStore{entries: map[catalog.Hash]entry{}} }
 
 // Publish makes the document, which was compiled, the version in force. Parts that are
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Adopt makes the version that Take returned the one in force.
+// Activate makes the version that Merge returned the one in force.
 func (l *PartStore) Activate(version int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Abandon forgets which version is being fetched, as nobody may have all of it any more.
+// CancelFetch forgets which version is being fetched, as nobody may have all of it any more.
 // The parts that came stay until the next reply tells which of them are needed.
 func (l *PartStore) CancelFetch() {
 	l.mutex.Lock()
@@ -147,7 +147,7 @@
 	return l.fetching.Version
 }
 
-// Held returns the names of all parts that are here.
+// HeldParts returns the names of all parts that are here.
 func (l *PartStore) HeldParts() []catalog.Hash {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -176,7 +176,7 @@
 	return l.dropped
 }
 
-// Serve answers a request with parts of at most the budget in bytes, but at least one.
+// Respond answers a request with parts of at most the budget in bytes, but at least one.
 // Whole is true if the sender has every part of the version once it has the reply.
 func (l *PartStore) Respond(request *Request, budget int) (reply *Reply, whole bool) {
 	l.mutex.Lock()
@@ -206,7 +206,7 @@
 	return reply, true
 }
 
-// Take enters what a peer sent and returns the document once nothing of it is missing;
+// Merge enters what a peer sent and returns the document once nothing of it is missing;
 // until then it returns nil. Progress is true if a part came that was missing. The
 // error is of kind BadFrame for a reply that no correct peer sends; the parts that fit
 // their names are kept all the same.
--- a/coordination/dissemination/senders.go
+++ b/coordination/dissemination/senders.go
@@ -17,11 +17,11 @@
 	turnWait = 100 * time.Millisecond
 )
 
-// Senders bounds the replies with parts of the configuration that are under way at
+// SendLimiter bounds the replies with parts of the configuration that are under way at
 // once, so that other messages of this node keep most of its link.
 type SendLimiter chan struct{}
 
-// NewSenders returns the bound for a link of so many megabits a second.
+// NewSendLimiter returns the bound for a link of so many megabits a second.
 func NewSendLimiter(link float64) SendLimiter {
 	count := unknownSenders
 	if link > 0 {
@@ -30,7 +30,7 @@
 	return make(SendLimiter, count)
 }
 
-// Enter waits a while for a turn and returns whether there was one.
+// Acquire waits a while for a turn and returns whether there was one.
 func (s SendLimiter) Acquire(ctx context.Context) bool {
 	select {
 	case s <- struct{}{}:
@@ -47,5 +47,5 @@
 	}
 }
 
-// Leave ends a turn.
+// Release ends a turn.
 func (s SendLimiter) Release() { <-s }
--- a/coordination/limits/limits.go
+++ b/coordination/limits/limits.go
@@ -51,7 +51,7 @@
 	Demands []Demand `msgpack:"d"`
 }
 
-// Slice is the part of a limit that a node may use.
+// Allocation is the part of a limit that a node may use.
 type Allocation struct {
 	Tenant      string  `msgpack:"t"`
 	Rate        float64 `msgpack:"r"`
@@ -78,7 +78,7 @@
 // NewOwner returns an owner that has given nothing.
 func NewOwner() *Owner { return &Owner{tenants: map[string]map[string]*share{}} }
 
-// Divide records the report and returns the slices of its sender.
+// Allocate records the report and returns the slices of its sender.
 func (o *Owner) Allocate(now structs.Instant, report Report, limit func(tenant string) Limit) Grant {
 	var grant Grant
 	for _, demand := range report.Demands {
--- a/coordination/liveness/candidates.go
+++ b/coordination/liveness/candidates.go
@@ -13,7 +13,7 @@
 // schedulerKey is the rendezvous key of the order in which nodes do work for all.
 const schedulerKey = "scheduler"
 
-// Candidates returns the names of the nodes that may do work for all: those that do
+// EligibleNodes returns the names of the nodes that may do work for all: those that do
 // not leave and are about as strong as the strongest of them, of these the ones with
 // about the widest link. The beats are of live nodes, this one's included.
 func EligibleNodes(beats []*Heartbeat) []string {
@@ -27,13 +27,13 @@
 	return names
 }
 
-// Schedulers returns the first of the candidates in the order in which they schedule, as far as
+// TopEligible returns the first of the candidates in the order in which they schedule, as far as
 // the count.
 func TopEligible(beats []*Heartbeat, count int) []string {
 	return rendezvous.Top(EligibleNodes(beats), rendezvous.Key(schedulerKey), count)
 }
 
-// Order returns the names of the nodes with the beats in the order in which they do work for all,
+// RankNodes returns the names of the nodes with the beats in the order in which they do work for all,
 // as far as the count: the candidates first.
 func RankNodes(beats []*Heartbeat, count int) []string {
 	strong := EligibleNodes(beats)
@@ -54,7 +54,7 @@
 	return append(order, rendezvous.Top(weak, rendezvous.Key(schedulerKey), count-len(order))...)
 }
 
-// FirstCalm returns the first of the ordered nodes that is not slow, or the first of all if
+// FirstNotSlow returns the first of the ordered nodes that is not slow, or the first of all if
 // every one is. It is empty if there is none.
 func FirstNotSlow(order []string, beats []*Heartbeat) string {
 	slow := map[string]bool{}
@@ -89,7 +89,7 @@
 	return strong
 }
 
-// Beats returns the latest heartbeats of the members.
+// Heartbeats returns the latest heartbeats of the members.
 func Heartbeats(members []*Member) []*Heartbeat {
 	beats := make([]*Heartbeat, 0, len(members))
 	for _, member := range members {
--- a/coordination/liveness/delegates.go
+++ b/coordination/liveness/delegates.go
@@ -36,7 +36,7 @@
 	return nodes > largeFleet
 }
 
-// ToldFleet returns how many nodes the fleet has as its delegates tell. One of them alone may be
+// ReportedFleetSize returns how many nodes the fleet has as its delegates tell. One of them alone may be
 // wrong: of two or more the second largest number counts.
 func ReportedFleetSize(members []*Member) int {
 	largest, second := 0, 0
@@ -76,7 +76,7 @@
 	return slices.Contains(RankNodes(zone, delegates), own.Name)
 }
 
-// Names returns what a node of the zone is told of the fleet: the delegates of each zone, and some
+// PeersForZone returns what a node of the zone is told of the fleet: the delegates of each zone, and some
 // more nodes of its own.
 func PeersForZone(live []*Member, zone string) []Peer {
 	zones := map[string][]*Member{}
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -16,17 +16,17 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Beat is the content of a heartbeat.
+// Heartbeat is the content of a heartbeat.
 type Heartbeat struct {
 	Name    string `msgpack:"n"`
 	Zone    string `msgpack:"z"`
 	Address string `msgpack:"a"`
 	// Cores is the share of processors that the process may use.
 	Cores float64 `msgpack:"c"`
-	// Link is the bandwidth of the sender's machine in megabits a second; zero means
+	// LinkMbps is the bandwidth of the sender's machine in megabits a second; zero means
 	// that it is not known.
 	LinkMbps float64 `msgpack:"m"`
-	// Interval is the time to the sender's next heartbeat, in milliseconds. Nodes
+	// IntervalMS is the time to the sender's next heartbeat, in milliseconds. Nodes
 	// that others wait for beat more often than the rest.
 	IntervalMS int64 `msgpack:"b"`
 	// Incarnation differs for each start of the node's process.
@@ -34,44 +34,44 @@
 	// Term rises when the process forgot what it had scheduled.
 	Term    uint64 `msgpack:"t"`
 	Leaving bool   `msgpack:"l"`
-	// Follows is the node that schedules for the sender.
+	// Scheduler is the node that schedules for the sender.
 	Scheduler string `msgpack:"fo,omitempty"`
 	// Slow is true if the node is too slow to schedule for others.
 	Slow bool `msgpack:"sl,omitempty"`
-	// Storeless is true if the node can't reach the store.
+	// StoreUnreachable is true if the node can't reach the store.
 	StoreUnreachable bool `msgpack:"s"`
-	// Version is the configuration's and Latest the revision of the latest
+	// Version is the configuration's and LatestPosition the revision of the latest
 	// change of the replicas that the node knows.
 	Version        int64                 `msgpack:"v"`
 	LatestPosition structs.StorePosition `msgpack:"r"`
 	// Era is the store's present era as far as the sender knows. If the store came back from a
-	// copy lately, Restored tells of it, and RestoredAge for how long the sender has known so, in
+	// copy lately, RestoreWindow tells of it, and RestoreAgeMS for how long the sender has known so, in
 	// milliseconds.
 	Era           int64                  `msgpack:"er,omitempty"`
 	RestoreWindow *structs.RestoreWindow `msgpack:"rs,omitempty"`
 	RestoreAgeMS  int64                  `msgpack:"ra,omitempty"`
-	// Unread is the age of the latest complete read of the store that the sender
+	// ReplicasAgeMS is the age of the latest complete read of the store that the sender
 	// has the result of, by itself or from another node, in milliseconds. It is
 	// negative if there was none.
 	ReplicasAgeMS int64 `msgpack:"u"`
-	// ConfigurationUnread is the same for the configuration, which is read more rarely.
+	// ConfigurationAgeMS is the same for the configuration, which is read more rarely.
 	ConfigurationAgeMS int64 `msgpack:"x"`
-	// Held counts the node's requests in progress by replica.
+	// InFlight counts the node's requests in progress by replica.
 	InFlight map[string]InFlightCount `msgpack:"h"`
-	// Steady is for how long the sender has followed the store without any trouble,
+	// StoreHealthyMS is for how long the sender has followed the store without any trouble,
 	// in milliseconds; zero if it does not follow it.
 	StoreHealthyMS int64 `msgpack:"w"`
-	// Failing names replicas that fail for this node.
+	// FailingReplicas names replicas that fail for this node.
 	FailingReplicas []string `msgpack:"f"`
-	// Levels tells, if the sender schedules or did until just now, what tenants may take at once,
+	// BucketLevels tells, if the sender schedules or did until just now, what tenants may take at once,
 	// of those that are not near their full burst. Who takes over goes on from there. Nil means
-	// that nothing is told. To a newcomer it is what the sender heard LevelsAge milliseconds ago.
+	// that nothing is told. To a newcomer it is what the sender heard BucketLevelsAgeMS milliseconds ago.
 	BucketLevels      map[string]float64 `msgpack:"q"`
 	BucketLevelsAgeMS int64              `msgpack:"qa,omitempty"`
-	// Ledger tells, if the sender schedules or did until just now, what it handed out of tenants'
+	// Usage tells, if the sender schedules or did until just now, what it handed out of tenants'
 	// quotas; nil means that nothing is told.
 	Usage *QuotaUsage `msgpack:"lg,omitempty"`
-	// Known is how many other nodes the sender knows by name or is just being told of.
+	// KnownNodes is how many other nodes the sender knows by name or is just being told of.
 	KnownNodes int `msgpack:"k"`
 	// Peers are a few nodes that the sender knows.
 	Peers []Peer `msgpack:"p"`
@@ -80,43 +80,43 @@
 	Rollouts map[string]RolloutView `msgpack:"g,omitempty"`
 	// Evacuations are the orders to empty zones, and to take them back, that the sender knows.
 	Evacuations []evacuations.Order `msgpack:"ev,omitempty"`
-	// Contents marks what the sender knows of requests that replicas ended under; nil if it
+	// Poison marks what the sender knows of requests that replicas ended under; nil if it
 	// knows none.
 	Poison *PoisonSummary `msgpack:"ct,omitempty"`
-	// Ordinary is true if the sender does no work for all: others of its zone are its delegates.
+	// NonDelegate is true if the sender does no work for all: others of its zone are its delegates.
 	NonDelegate bool `msgpack:"od,omitempty"`
 	// ZoneLive and ZoneKnown are how many nodes of its zone the sender hears, and knows.
 	ZoneLive  int `msgpack:"zl,omitempty"`
 	ZoneKnown int `msgpack:"zk,omitempty"`
-	// Fleet is how many nodes the sender takes the fleet to have.
+	// FleetSize is how many nodes the sender takes the fleet to have.
 	FleetSize int `msgpack:"fl,omitempty"`
-	// Relays is true if the sender passes heartbeats on to its zone when it is asked to.
+	// CanRelay is true if the sender passes heartbeats on to its zone when it is asked to.
 	CanRelay bool `msgpack:"e,omitempty"`
-	// PassOn asks the receiver to send the heartbeat to all nodes of its zone.
+	// RelayRequested asks the receiver to send the heartbeat to all nodes of its zone.
 	RelayRequested bool `msgpack:"y,omitempty"`
-	// Passed is true if the heartbeat came from a node that passed it on.
+	// Relayed is true if the heartbeat came from a node that passed it on.
 	Relayed bool `msgpack:"o,omitempty"`
-	// Reached makes this the confirmation of a heartbeat that was to be passed on: it
+	// RelayedTo makes this the confirmation of a heartbeat that was to be passed on: it
 	// counts the nodes of the sender's zone that have it now, the sender included.
 	RelayedTo int `msgpack:"j,omitempty"`
-	// Asks is true if the sender wants a heartbeat sent straight back, and AsksNames if that is to
+	// WantsReply is true if the sender wants a heartbeat sent straight back, and WantsPeers if that is to
 	// name other nodes.
 	WantsReply bool `msgpack:"d,omitempty"`
 	WantsPeers bool `msgpack:"dn,omitempty"`
 }
 
-// Held counts requests in progress at one replica.
+// InFlightCount counts requests in progress at one replica.
 type InFlightCount struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Total is all of them and Foreign those that the node's present scheduler
+	// Total is all of them and External those that the node's present scheduler
 	// did not place.
 	Total    int `msgpack:"t"`
 	External int `msgpack:"f"`
 }
 
-// ContentsMark tells whether two nodes know the same of requests that replicas ended under.
+// PoisonSummary tells whether two nodes know the same of requests that replicas ended under.
 type PoisonSummary struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -126,7 +126,7 @@
 	Digest uint64
 }
 
-// LedgerView is what a node handed out of tenants' quotas since it began to schedule.
+// QuotaUsage is what a node handed out of tenants' quotas since it began to schedule.
 type QuotaUsage struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -144,7 +144,7 @@
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Order is the store's revision of the order and Phase the phase that the node goes by.
+	// OrderPosition is the store's revision of the order and Phase the phase that the node goes by.
 	OrderPosition structs.StorePosition `msgpack:"o"`
 	Phase         uint8                 `msgpack:"p"`
 	// Busy counts the node's requests at replicas that get no new ones.
@@ -173,7 +173,7 @@
 	defaultInterval = 100 * time.Millisecond
 )
 
-// Patience is the silence after which the member is taken for dead.
+// FailureTimeout is the silence after which the member is taken for dead.
 func (m *Member) FailureTimeout() time.Duration {
 	if m.IntervalMS <= 0 {
 		return missedBeats * defaultInterval
@@ -197,7 +197,7 @@
 // NewTable returns a table of a node that knows no other.
 func NewTable(self string) *Table { return &Table{self: self, members: map[string]*Member{}} }
 
-// Heard applies a heartbeat. It returns true if the node was silent, unknown or
+// Observe applies a heartbeat. It returns true if the node was silent, unknown or
 // another process before. A suspected node stays suspected until it is heard of without
 // a relay between: the relay may reach it while this node does not.
 func (t *Table) Observe(now structs.Instant, beat Heartbeat) bool {
@@ -223,7 +223,7 @@
 // names must not fill the memory of all.
 const mostLearned = 1024
 
-// Learn enters a node that another one told of. It returns true if it was unknown.
+// AddPeer enters a node that another one told of. It returns true if it was unknown.
 func (t *Table) AddPeer(now structs.Instant, peer Peer) bool {
 	if peer.Name == t.self || peer.Name == "" {
 		return false
@@ -273,7 +273,7 @@
 // Live returns the members that are not taken for dead, by name.
 func (t *Table) Live(now structs.Instant) []*Member { return t.within(now, 1) }
 
-// NotLost returns the members that are live or were until a while ago: their
+// PossiblyRunning returns the members that are live or were until a while ago: their
 // processes may still be at work.
 func (t *Table) PossiblyRunning(now structs.Instant) []*Member { return t.within(now, lostFactor) }
 
@@ -303,7 +303,7 @@
 	return slices.Clone(t.ordered)
 }
 
-// Some returns up to so many members, others with each number.
+// PeerSample returns up to so many members, others with each number.
 func (t *Table) PeerSample(number, count int) []Peer {
 	var peers []Peer
 	for i := range min(count, len(t.ordered)) {
@@ -326,5 +326,5 @@
 	return member, found
 }
 
-// Silence returns for how long the member has not been heard of.
+// SinceHeartbeat returns for how long the member has not been heard of.
 func (m *Member) SinceHeartbeat(now structs.Instant) time.Duration { return now - m.heard }
--- a/coordination/liveness/relay.go
+++ b/coordination/liveness/relay.go
@@ -53,12 +53,12 @@
 	return &Relays{zones: map[string]*relay{}, random: random}
 }
 
-// Routes says whom a heartbeat goes to: directly, or to be passed on to their zone.
+// Recipients says whom a heartbeat goes to: directly, or to be passed on to their zone.
 type Recipients struct {
 	Direct, Relays []string
 }
 
-// Routes returns the addresses for one heartbeat from a node of the zone to the live
+// Recipients returns the addresses for one heartbeat from a node of the zone to the live
 // members. In a large fleet the delegates of a zone are its relays, which alone know all its
 // nodes; a zone where none is heard of is sent to directly.
 func (r *Relays) Recipients(now structs.Instant, own string, live []*Member, isLarge bool) Recipients {
--- a/coordination/liveness/slowness.go
+++ b/coordination/liveness/slowness.go
@@ -19,7 +19,7 @@
 	// order were 0.1 to 0.5 ms late, those on a machine six times slower 2.5 to 5 ms at 1,400.
 	slowLag = 1500 * time.Microsecond
 	calmLag = 600 * time.Microsecond
-	// lagWeight is the weight of one more measurement in the mean: at one each LagInterval
+	// lagWeight is the weight of one more measurement in the mean: at one each TimerLagInterval
 	// a lateness of twice slowLag is believed after 0.3 s, and one pause of 30 ms is not.
 	lagWeight = 0.05
 	// slowPace is how many times longer than usual the work takes on a slow machine, and
@@ -43,10 +43,10 @@
 	forgiveAfter = time.Minute
 )
 
-// LagInterval is the time from one measurement to the next.
+// TimerLagInterval is the time from one measurement to the next.
 const TimerLagInterval = 20 * time.Millisecond
 
-// Slowness tells whether a node is too slow to schedule. The zero value is one that is not.
+// SlowNodeDetector tells whether a node is too slow to schedule. The zero value is one that is not.
 type SlowNodeDetector struct {
 	lag time.Duration
 	// works are the latest times of the work, usual the usual one in nanoseconds, and pace
@@ -111,8 +111,8 @@
 // Slow returns whether the node is slow.
 func (s *SlowNodeDetector) Slow() bool { return s.slow }
 
-// Lag returns the mean lateness of timers.
+// TimerLag returns the mean lateness of timers.
 func (s *SlowNodeDetector) TimerLag() time.Duration { return s.lag }
 
-// Pace returns how many times longer than usual the fixed work takes.
+// Slowdown returns how many times longer than usual the fixed work takes.
 func (s *SlowNodeDetector) Slowdown() float64 { return s.pace }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -210,7 +210,7 @@
 // Rumors returns the news for one message.
 func (t *Table) Rumors(limit int) []Rumor { return t.rumors.Take(limit, len(t.members)+1) }
 
-// Targets returns the members to probe next: up to count, in a random order
+// ProbeTargets returns the members to probe next: up to count, in a random order
 // that visits each live member once before any twice.
 func (t *Table) ProbeTargets(count int) []Member {
 	var targets []Member
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -59,7 +59,7 @@
 	Running int
 }
 
-// World is what a coordinator sees when it plans. It is taken anew each time.
+// ClusterState is what a coordinator sees when it plans. It is taken anew each time.
 type ClusterState struct {
 	Demands []Demand
 	Engines []Engine
--- a/coordination/poison/doc.go
+++ b/coordination/poison/doc.go
@@ -10,7 +10,7 @@
 //
 //   - a suspect runs at one replica at a time. A request that comes twenty times in a
 //     second would else end as many replicas as there are before the third is known;
-//   - a request under which Policy.Ends lives ended is barred: it is not sent;
+//   - a request under which Policy.CrashThreshold lives ended is barred: it is not sent;
 //   - a replica's whole answer clears it. A request that many ask for is under way at many
 //     replicas that end for reasons of their own, and is answered elsewhere all the time;
 //   - a barred request is tried again Policy.Trials times, after growing pauses. If all
--- a/coordination/poison/ledger.go
+++ b/coordination/poison/ledger.go
@@ -13,7 +13,7 @@
 
 // Policy says when a request is barred.
 type Policy struct {
-	// Ends is how many lives end under a request until it is barred; zero bars none.
+	// CrashThreshold is how many lives end under a request until it is barred; zero bars none.
 	CrashThreshold int
 	// Trials is how often a barred request is sent all the same, and FirstTrial and
 	// NextTrial the times until the first one and from one to the next.
@@ -30,7 +30,7 @@
 	return Policy{CrashThreshold: 3, Trials: poisonrecords.MaxTrials, FirstTrial: 500 * time.Millisecond, NextTrial: 10 * time.Second}
 }
 
-// Standing is what may be done with a request.
+// State is what may be done with a request.
 type State int
 
 // The standings.
@@ -41,7 +41,7 @@
 	Suspect
 	// OnTrial means that it is barred and may be sent once.
 	OnTrial
-	// Barred means that it must not be sent.
+	// Blocked means that it must not be sent.
 	Blocked
 )
 
@@ -88,7 +88,7 @@
 	told bool
 }
 
-// Ledger holds the records of one node. It is not safe for concurrent use.
+// Tracker holds the records of one node. It is not safe for concurrent use.
 type Tracker struct {
 	policy  Policy
 	entries map[fingerprint.Fingerprint]*entry
@@ -99,7 +99,7 @@
 	stale bool
 }
 
-// NewLedger returns an empty ledger that tries nothing until SetTries.
+// NewTracker returns an empty ledger that tries nothing until SetTrialsAllowed.
 func NewTracker(policy Policy) *Tracker {
 	return &Tracker{policy: policy, entries: map[fingerprint.Fingerprint]*entry{}}
 }
@@ -107,12 +107,12 @@
 // SetPolicy takes another policy into force.
 func (l *Tracker) SetPolicy(policy Policy) { l.policy = policy }
 
-// SetTries records whether this node may try barred requests: the node that schedules for
+// SetTrialsAllowed records whether this node may try barred requests: the node that schedules for
 // more than half of all nodes does. Parts of a fleet that are cut off from each other would
 // else try each for itself, and end a replica with each.
 func (l *Tracker) SetTrialsAllowed(tries bool) { l.tries = tries }
 
-// Ended enters that the life ended while it ran the request that was placed then, and
+// RecordCrash enters that the life ended while it ran the request that was placed then, and
 // returns the request's standing and whether that is news. A request that was placed after
 // the life's end was known cannot have run in that life: the replica had started again under
 // its id, and this node has not heard of it.
@@ -132,7 +132,7 @@
 	return l.standing(held), true
 }
 
-// Answered enters that a replica gave its whole answer to the request, and returns whether
+// RecordSuccess enters that a replica gave its whole answer to the request, and returns whether
 // that cleared it.
 func (l *Tracker) RecordSuccess(now structs.Instant, content fingerprint.Fingerprint) bool {
 	held, found := l.entries[content]
@@ -143,7 +143,7 @@
 	return true
 }
 
-// Lift clears a request as the operators ask. It returns false if nothing is known of it.
+// Unblock clears a request as the operators ask. It returns false if nothing is known of it.
 func (l *Tracker) Unblock(now structs.Instant, content fingerprint.Fingerprint) bool {
 	return l.RecordSuccess(now, content)
 }
@@ -157,7 +157,7 @@
 // IsEmpty returns whether nothing speaks against any request.
 func (l *Tracker) IsEmpty() bool { return len(l.entries) == 0 }
 
-// Standing returns what may be done with the request, and, if it is barred, when its caller
+// State returns what may be done with the request, and, if it is barred, when its caller
 // should come back.
 func (l *Tracker) State(now structs.Instant, content fingerprint.Fingerprint) (State, time.Duration) {
 	held, found := l.entries[content]
@@ -188,7 +188,7 @@
 	return Blocked
 }
 
-// Try enters that a barred request is being sent.
+// RecordTrial enters that a barred request is being sent.
 func (l *Tracker) RecordTrial(now structs.Instant, content fingerprint.Fingerprint) {
 	held, found := l.entries[content]
 	if !found {
@@ -202,7 +202,7 @@
 	held.changed, held.nextTrial = now, now+l.policy.NextTrial
 }
 
-// NotTried enters that a trial came to no replica: the one that was chosen was down. The same
+// CancelTrial enters that a trial came to no replica: the one that was chosen was down. The same
 // trial may go on at another.
 func (l *Tracker) CancelTrial(content fingerprint.Fingerprint) {
 	if held, found := l.entries[content]; found {
@@ -300,12 +300,12 @@
 	return record
 }
 
-// Told returns what other nodes are to know.
+// Shared returns what other nodes are to know.
 func (l *Tracker) Shared(now structs.Instant) []poisonrecords.Record {
 	return l.pick(now, func(held *entry) bool { return held.told })
 }
 
-// Lasting returns what has to outlive all nodes; of too many, the ones that changed last.
+// Persistent returns what has to outlive all nodes; of too many, the ones that changed last.
 func (l *Tracker) Persistent(now structs.Instant) []poisonrecords.Record {
 	lasting := l.pick(now, func(held *entry) bool { return held.Persistent })
 	if len(lasting) <= maximumLasting {
@@ -315,7 +315,7 @@
 	return lasting[:maximumLasting]
 }
 
-// Barred returns the requests that are barred.
+// Blocked returns the requests that are barred.
 func (l *Tracker) Blocked(now structs.Instant) []poisonrecords.Record {
 	return l.pick(now, func(held *entry) bool { return l.standing(held) == Blocked })
 }
@@ -335,7 +335,7 @@
 	return picked
 }
 
-// Mark returns that of what Told returns.
+// Summary returns that of what Shared returns.
 func (l *Tracker) Summary() poisonrecords.Summary {
 	if l.stale {
 		l.stale, l.mark = false, poisonrecords.Summary{}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -61,7 +61,7 @@
 // nearFull is the part of a burst above which a bucket counts as full.
 const nearFull = 0.95
 
-// Ledger is a set of buckets, one a tenant. It is not safe for concurrent use.
+// Buckets is a set of buckets, one a tenant. It is not safe for concurrent use.
 type Buckets struct {
 	buckets map[string]*bucket
 	// start is the share of a burst that a new bucket holds. Until idleUntil it also
@@ -76,14 +76,14 @@
 	charges map[string]float64
 }
 
-// NewLedger returns an empty ledger. A ledger that takes over from another one
+// NewBuckets returns an empty ledger. A ledger that takes over from another one
 // starts its buckets with only a part of the burst, since the rest may have
 // been handed out already.
 func NewBuckets(start float64) *Buckets {
 	return &Buckets{buckets: map[string]*bucket{}, start: start, charges: map[string]float64{}}
 }
 
-// CreditIdle tells that nobody handed out anything for so long. Buckets that are made
+// CreditDowntime tells that nobody handed out anything for so long. Buckets that are made
 // until the time given hold what came in meanwhile; later ones may have been taken
 // from by another scheduling node. A node that starts knows all others by name before it
 // has heard them, and has a small share of each limit until it has: within that time its
@@ -113,7 +113,7 @@
 	return 0, true
 }
 
-// Return gives back the cost of a request that did not run.
+// Refund gives back the cost of a request that did not run.
 func (l *Buckets) Refund(tenant string, cost float64) {
 	if held, found := l.buckets[tenant]; found {
 		held.level += cost
@@ -190,11 +190,11 @@
 	return levels
 }
 
-// SettleBy tells that others may have handed out before this ledger was made and may still say
+// SetAuthoritativeAfter tells that others may have handed out before this ledger was made and may still say
 // so, until then. It is for a process that starts, or that stood still.
 func (l *Buckets) SetAuthoritativeAfter(at structs.Instant) { l.settlesAt = at }
 
-// Seed lets a new ledger go on from what another one held until the time given, at which it may
+// Restore lets a new ledger go on from what another one held until the time given, at which it may
 // still have handed out. Tenants that are not named start with their full burst.
 func (l *Buckets) Restore(until structs.Instant, levels map[string]float64) {
 	l.start, l.settlesAt = 1, 0
@@ -203,7 +203,7 @@
 	}
 }
 
-// Adopt takes over what another node that schedules, or did until just now, held until the time
+// MergeRemote takes over what another node that schedules, or did until just now, held until the time
 // given, while this one schedules as well: one of them did not know of the other. A ledger that is
 // not settled goes on from the other's, less what it handed out itself; in a settled one each
 // bucket holds what the emptier of both does.
@@ -243,7 +243,7 @@
 	return taken
 }
 
-// Handed is what another ledger handed out that did not know of this one.
+// RemoteUsage is what another ledger handed out that did not know of this one.
 type RemoteUsage struct {
 	// Since is when that ledger began.
 	Since structs.Instant
@@ -251,7 +251,7 @@
 	Amounts, Levels map[string]float64
 }
 
-// Charge takes account of what another ledger handed out, as on the other side of a cut. What this one
+// ChargeRemote takes account of what another ledger handed out, as on the other side of a cut. What this one
 // withheld meanwhile pays for it; the rest is taken from the bucket, which may go into debt: else a
 // network that is cut and healed again and again would hand out each quota as often as there are sides.
 // A bucket that nothing was taken from for a while since then has only to be as empty as the other one,
@@ -265,7 +265,7 @@
 		}
 		level, told := handed.Levels[tenant]
 		if told && held.tookAt < handed.Since {
-			continue // Adopt takes the other's level over
+			continue // MergeRemote takes the other's level over
 		}
 		paid := min(held.withheld, amount)
 		held.withheld -= paid
--- a/coordination/rejections/rejections.go
+++ b/coordination/rejections/rejections.go
@@ -15,7 +15,7 @@
 	maximumRefusals = 20000
 )
 
-// Memory holds the refused requests in two generations. It is not safe for concurrent use.
+// Recent holds the refused requests in two generations. It is not safe for concurrent use.
 type Recent struct {
 	young, old map[fingerprint.Fingerprint]bool
 	turned     structs.Instant
--- a/coordination/replicahealth/replicahealth.go
+++ b/coordination/replicahealth/replicahealth.go
@@ -21,12 +21,12 @@
 	until    structs.Instant
 }
 
-// Book is a node's own view of which replicas fail. It is not safe for concurrent use.
+// Tracker is a node's own view of which replicas fail. It is not safe for concurrent use.
 type Tracker struct {
 	replicas map[string]*health
 }
 
-// NewBook returns a book that doubts no replica.
+// NewTracker returns a book that doubts no replica.
 func NewTracker() *Tracker { return &Tracker{replicas: map[string]*health{}} }
 
 func (b *Tracker) get(id string) *health {
@@ -38,7 +38,7 @@
 	return held
 }
 
-// Unreachable records that the replica could not be reached or fell silent.
+// RecordUnreachable records that the replica could not be reached or fell silent.
 func (b *Tracker) RecordUnreachable(now structs.Instant, id string) {
 	held := b.get(id)
 	held.failures++
@@ -46,12 +46,12 @@
 	held.until = now + min(backoff, longBackoff)
 }
 
-// Answered records a whole answer. Whether it was a failure of the replica's own
+// RecordSuccess records a whole answer. Whether it was a failure of the replica's own
 // is for the scheduling node to judge, which sees all replicas: some services
 // fail one request in five wherever it goes.
 func (b *Tracker) RecordSuccess(id string) { b.get(id).failures = 0 }
 
-// Broken records an answer that was cut or spoiled.
+// RecordBroken records an answer that was cut or spoiled.
 func (b *Tracker) RecordBroken(now structs.Instant, id string) {
 	held := b.get(id)
 	if held.failures++; held.failures > 1 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Renew drops what is known of a replica that started again under its id.
+// Reset drops what is known of a replica that started again under its id.
 func (b *Tracker) Reset(id string) { delete(b.replicas, id) }
 
 // Failing returns the replicas that should not be tried now.
--- a/coordination/retrybudget/retrybudget.go
+++ b/coordination/retrybudget/retrybudget.go
@@ -16,7 +16,7 @@
 //     nothing that was paid in once can be given by two nodes.
 //   - A bank holds bankPart of the Slack at most, those repeats included that were given to
 //     requests which still wait for a place: they count when they are sent, not when they ask.
-//     With Begin, End and Renew they are void: the caller sees to it that they are not sent, and
+//     With Activate, Deactivate and Reset they are void: the caller sees to it that they are not sent, and
 //     whoever schedules next is asked for them.
 //
 // A window in the memory of each scheduling node gave 182, 86, 31 and 30 repeats by four nodes in
@@ -64,15 +64,15 @@
 	use      Stats
 }
 
-// Use is what a budget counted of one service since the node began to schedule.
+// Stats is what a budget counted of one service since the node began to schedule.
 type Stats struct {
-	// Requests paid in; Repeats were given and Refused were not.
+	// Requests paid in; Retries were given and Rejected were not.
 	Requests, Retries, Rejected int
 	// Left may be given now.
 	Left float64
 }
 
-// Repeat is one repeat that was taken out of a bank. The zero value is none.
+// Permit is one repeat that was taken out of a bank. The zero value is none.
 type Permit struct {
 	service string
 	term    uint64
@@ -82,7 +82,7 @@
 type Budget struct {
 	policy   Policy
 	services map[string]*bank
-	// schedules is true from Begin to End. The term tells what was given in between from
+	// schedules is true from Activate to Deactivate. The term tells what was given in between from
 	// what was given before.
 	schedules bool
 	term      uint64
@@ -90,7 +90,7 @@
 	isFirst bool
 }
 
-// New returns a budget that gives nothing until Begin. If isFirst is true, no node scheduled
+// New returns a budget that gives nothing until Activate. If isFirst is true, no node scheduled
 // before, so that banks begin full; else the first request of a system that just started would
 // not be repeated.
 func New(policy Policy, isFirst bool) *Budget {
@@ -100,14 +100,14 @@
 // SetPolicy takes changed bounds into force.
 func (b *Budget) SetPolicy(policy Policy) { b.policy = policy }
 
-// Begin tells that this node schedules from now on. It begins with nothing: what its
+// Activate tells that this node schedules from now on. It begins with nothing: what its
 // predecessor was paid for may have been given already.
 func (b *Budget) Activate() { b.restart(true) }
 
-// End tells that another node schedules from now on.
+// Deactivate tells that another node schedules from now on.
 func (b *Budget) Deactivate() { b.restart(false) }
 
-// Renew empties the bank of a node that stood still and may have been replaced meanwhile.
+// Reset empties the bank of a node that stood still and may have been replaced meanwhile.
 func (b *Budget) Reset() { b.restart(b.schedules) }
 
 func (b *Budget) restart(schedules bool) {
@@ -117,7 +117,7 @@
 	clear(b.services)
 }
 
-// First counts a request of the service.
+// RecordRequest counts a request of the service.
 func (b *Budget) RecordRequest(now structs.Instant, service string) {
 	if !b.schedules {
 		return
@@ -128,7 +128,7 @@
 }
 
 // Reserve takes one repeat out of the bank for a request that waits for a place, or returns false
-// if there is none. It counts against what the bank may hold until Sent or Return.
+// if there is none. It counts against what the bank may hold until Commit or Cancel.
 func (b *Budget) Reserve(now structs.Instant, service string) (Permit, bool) {
 	if !b.schedules {
 		return Permit{}, false
@@ -144,10 +144,10 @@
 	return Permit{service: service, term: b.term}, true
 }
 
-// Sent tells that the request got its place.
+// Commit tells that the request got its place.
 func (b *Budget) Commit(repeat Permit) { b.settle(repeat) }
 
-// Return gives back a repeat whose request got no place.
+// Cancel gives back a repeat whose request got no place.
 func (b *Budget) Cancel(repeat Permit) {
 	if held := b.settle(repeat); held != nil {
 		held.left++
@@ -165,7 +165,7 @@
 	return held
 }
 
-// Uses returns what was counted of each service.
+// Stats returns what was counted of each service.
 func (b *Budget) Stats(now structs.Instant) map[string]Stats {
 	uses := map[string]Stats{}
 	for service := range b.services {
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -50,7 +50,7 @@
 	maximumRoutes = 32
 )
 
-// Situation is what a step goes by beside the record.
+// Inputs is what a step goes by beside the record.
 type Inputs struct {
 	Order rollouts.Order
 	// Elapsed is the time since the order, at least.
@@ -117,13 +117,13 @@
 	return c
 }
 
-// Exposure returns what may be sent to the target now.
+// CanaryBudget returns what may be sent to the target now.
 func (c *Controller) CanaryBudget() *CanaryBudget { return &c.exposure }
 
 // Record returns the record that the controller goes by.
 func (c *Controller) Record() rollouts.Record { return c.record }
 
-// Doubt returns how far the evidence against the target is; from 1 on it is bad.
+// RegressionScore returns how far the evidence against the target is; from 1 on it is bad.
 func (c *Controller) RegressionScore() (float64, string) { return c.judge.Doubt() }
 
 // Adopt takes over the record if it is another one than the known.
@@ -144,7 +144,7 @@
 	c.record = record
 }
 
-// Ended enters the end of a request that reached the service. Told is false if its end
+// RecordResult enters the end of a request that reached the service. Told is false if its end
 // says nothing of the replica, as when the caller left.
 func (c *Controller) RecordResult(answer Sample, told bool) {
 	if answer.Begun < c.countsFrom {
@@ -170,7 +170,7 @@
 }
 
 // Propose returns the record that is to be written now, and false if there is none. After
-// true Written, Refused or Unknown has to be called with what became of the write.
+// true WriteCommitted, WriteRejected or WriteUnknown has to be called with what became of the write.
 func (c *Controller) Propose(now structs.Instant, seen Inputs) (rollouts.Record, bool) {
 	next, due := c.propose(now, seen)
 	if !due {
@@ -279,7 +279,7 @@
 	return ""
 }
 
-// Written enters that the store acknowledged the proposed record at the revision.
+// WriteCommitted enters that the store acknowledged the proposed record at the revision.
 func (c *Controller) WriteCommitted(now structs.Instant, written rollouts.Record, revision structs.StorePosition) {
 	if written.OrderPosition != c.record.OrderPosition {
 		c.countsFrom = now
@@ -296,13 +296,13 @@
 	}
 }
 
-// Refused enters that the write surely took no effect: what it held is reported again.
+// WriteRejected enters that the write surely took no effect: what it held is reported again.
 func (c *Controller) WriteRejected(now structs.Instant) {
 	c.fresh.add(c.sent)
 	c.sent, c.wroteAt = report{}, now
 }
 
-// Unknown enters that the write may have taken effect, now or later. What it held is not
+// WriteUnknown enters that the write may have taken effect, now or later. What it held is not
 // reported again, as requests that count twice would allow too much exposure.
 func (c *Controller) WriteUnknown(now structs.Instant) {
 	c.sent, c.wroteAt = report{}, now
--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -6,7 +6,7 @@
 // was read; so two schedulers, on two sides of a cut, go on from the same record.
 //
 // Guarantees, whatever crashes, is cut off or lost:
-//   - Exposure: until the target is found good, no more requests are sent to it than
+//   - CanaryBudget: until the target is found good, no more requests are sent to it than
 //     Policy.Share of those that reached the service since the order, and Policy.Slack
 //     more. Requests are sent only out of what the store has acknowledged as taken; what a
 //     scheduler took and did not use is lost to all.
--- a/coordination/rollout/exposure.go
+++ b/coordination/rollout/exposure.go
@@ -6,7 +6,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Exposure is what this scheduler may still send to a target that is not judged yet. All of
+// CanaryBudget is what this scheduler may still send to a target that is not judged yet. All of
 // it was acknowledged by the store as taken. It is not safe for concurrent use.
 type CanaryBudget struct {
 	left int
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -48,7 +48,7 @@
 	slowFactor   = 1.25
 )
 
-// Answer is how one request ended, as far as it tells something of the replica.
+// Sample is how one request ended, as far as it tells something of the replica.
 type Sample struct {
 	Route   string
 	Replica string
@@ -62,7 +62,7 @@
 	First, Step time.Duration
 }
 
-// Judge compares the answers of two versions on the same routes in the same seconds. The
+// Analyzer compares the answers of two versions on the same routes in the same seconds. The
 // zero value is not usable; it is not safe for concurrent use.
 type Analyzer struct {
 	routes map[string]*routeJudge
--- a/coordination/rollout/judge_test.go
+++ b/coordination/rollout/judge_test.go
@@ -19,7 +19,7 @@
 	Doubt() (float64, string)
 }
 
-// rankJudge is the way that was weighed against Judge: the rank of each answer of the
+// rankJudge is the way that was weighed against Analyzer: the rank of each answer of the
 // target among the latest of the others on its route, failures being the slowest, against
 // the ranks of one that is slower throughout (Lehmann's alternative of order three).
 type rankJudge struct{ routes map[string]*rankRoute }
--- a/coordination/routing/filter/filter.go
+++ b/coordination/routing/filter/filter.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Cause says why a replica was ruled out; None means that it may serve.
+// Rejection says why a replica was ruled out; None means that it may serve.
 type Rejection string
 
 // The causes.
--- a/coordination/routing/pipeline.go
+++ b/coordination/routing/pipeline.go
@@ -48,7 +48,7 @@
 	Candidates []structs.Candidate
 }
 
-// Question is one request to place.
+// Query is one request to place.
 type Query struct {
 	Request      *structs.Request
 	OutputTokens int
--- a/coordination/routing/reserve/reserve.go
+++ b/coordination/routing/reserve/reserve.go
@@ -69,7 +69,7 @@
 type Result struct {
 	// Connected is false if no byte was sent.
 	Connected bool
-	// Whole is true if the whole answer arrived.
+	// Complete is true if the whole answer arrived.
 	Complete     bool
 	OutputTokens int
 }
--- a/coordination/scheduler/admission.go
+++ b/coordination/scheduler/admission.go
@@ -28,7 +28,7 @@
 const hardQueueFactor = 4
 
 // Submit admits a request to the queue. It returns a refusal and true if the
-// request is refused at once; otherwise Pump will plan it.
+// request is refused at once; otherwise Schedule will plan it.
 func (s *Scheduler) Submit(now structs.Instant, request *structs.Request) (structs.Plan, bool) {
 	if request.Rank >= s.Floor(request.Service).RefuseFrom {
 		return refusal(request, structs.ReasonFloor, s.options.FloorDemandTTL), true
--- a/coordination/scheduler/doc.go
+++ b/coordination/scheduler/doc.go
@@ -4,7 +4,7 @@
 //
 // The core is passive: it does no I/O, starts no goroutine and reads no clock.
 // The daemon, the emulator and the fault matrix drive the same code through
-// Submit, Pump and the observations. It is not safe for concurrent use.
+// Submit, Schedule and the observations. It is not safe for concurrent use.
 //
 // Invariants:
 //   - A plan with VerdictDispatch is made at most once per request, unless the
--- a/coordination/scheduler/pump.go
+++ b/coordination/scheduler/pump.go
@@ -15,7 +15,7 @@
 	sweepInterval = 50 * time.Millisecond
 	// measureInterval is the time over which the rate of starts is measured.
 	measureInterval = 200 * time.Millisecond
-	// scanLimit bounds the waiting requests that one Pump looks at in a pool.
+	// scanLimit bounds the waiting requests that one Schedule call looks at in a pool.
 	scanLimit = 48
 	// leastLoss is the cached tokens below which no request waits for them.
 	leastLoss = 2 * structs.BlockTokens
@@ -28,7 +28,7 @@
 	loggedCandidates = 5
 )
 
-// Pump plans what can start or must be refused now. The driver carries the
+// Schedule plans what can start or must be refused now. The driver carries the
 // plans out; a dispatch is already reserved in the ledger.
 func (s *Scheduler) Schedule(now structs.Instant) []structs.Plan {
 	var plans []structs.Plan
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	QueueLimit int
 	// SampleSize is passed to the pipeline.
 	SampleSize int
-	// FloorHold is how long a demand for the floor stands without renewal.
+	// FloorDemandTTL is how long a demand for the floor stands without renewal.
 	FloorDemandTTL time.Duration
 	// LengthPercentile is the share of answers that a prediction covers.
 	LengthPercentile float64
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -122,14 +122,14 @@
 	return tree
 }
 
-// Acceptor accepts changes. It is safe for concurrent use.
+// Committer accepts changes. It is safe for concurrent use.
 type Committer struct {
 	Store    outside.Store
 	WallTime func() time.Time
 	Faults   faultpoint.Injector
 }
 
-// Accept writes the change on top of its base and returns its record once it
+// Commit writes the change on top of its base and returns its record once it
 // is in the store for good. Errors: InvalidSettings if the result does not
 // compile; Conflict if another change was accepted since the base, which the
 // message names; StoreUnavailable if nothing was written; StoreUnknown if the
@@ -237,7 +237,7 @@
 	return errkind.New(errkind.Conflict, "generation %d is in force, the change was made on %d%s", document.Generation, change.Base, since)
 }
 
-// Holder holds the generation in force at a node. It only rises. It is safe
+// Current holds the generation in force at a node. It only rises. It is safe
 // for concurrent use; reading takes no lock.
 type Current struct {
 	mutex    sync.Mutex // held while a generation is taken into force
@@ -257,7 +257,7 @@
 	return &inForce{document: document, compiled: compiled, encoded: sync.OnceValues(document.Encode)}
 }
 
-// NewHolder returns a holder in which the document is in force; onChange runs
+// NewCurrent returns a holder in which the document is in force; onChange runs
 // after each rise, one at a time, in order.
 func NewCurrent(document *Document, onChange func(*settings.Compiled)) (*Current, error) {
 	compiled, err := document.Tree().Compile(document.Generation)
@@ -275,7 +275,7 @@
 // Document returns the document in force. It must not be changed.
 func (h *Current) Document() *Document { return h.state.Load().document }
 
-// Newer returns the stored form of the document in force if its generation is higher
+// EncodedIfNewer returns the stored form of the document in force if its generation is higher
 // than the one given, and otherwise nil. It must not be changed.
 func (h *Current) EncodedIfNewer(generation uint64) ([]byte, error) {
 	state := h.state.Load()
@@ -285,7 +285,7 @@
 	return state.encoded()
 }
 
-// Offer takes the document into force if its generation is higher than the one
+// InstallIfNewer takes the document into force if its generation is higher than the one
 // in force, and returns whether it did. The error is of kind InvalidSettings if
 // it does not compile; the one in force then stays.
 func (h *Current) InstallIfNewer(document *Document) (bool, error) {
--- a/coordination/shedding/member.go
+++ b/coordination/shedding/member.go
@@ -20,7 +20,7 @@
 	tickAt structs.Instant
 }
 
-// heard is the last Set of one owner.
+// heard is the last FloorUpdate of one owner.
 type heard struct {
 	epoch uint64
 	floor scheduler.Floor
@@ -36,7 +36,7 @@
 // SetLowest takes changed settings into force.
 func (m *Member) SetLowest(lowest structs.Rank) { m.lowest = lowest }
 
-// Apply records a Set and returns the acknowledgement. The caller must take
+// Apply records a FloorUpdate and returns the acknowledgement. The caller must take
 // Floor into force before it sends the acknowledgement.
 func (m *Member) Apply(now structs.Instant, set FloorUpdate) Ack {
 	owners, found := m.floors[set.Service]
@@ -97,7 +97,7 @@
 	return services
 }
 
-// Export returns the marks that a joining node needs before it admits work.
+// Snapshot returns the marks that a joining node needs before it admits work.
 func (m *Member) Snapshot(now structs.Instant) []FloorUpdate {
 	var sets []FloorUpdate
 	for service, owners := range m.floors {
--- a/coordination/shedding/owner.go
+++ b/coordination/shedding/owner.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Set tells a member the floor of a service.
+// FloorUpdate tells a member the floor of a service.
 type FloorUpdate struct {
 	Service string `msgpack:"s"`
 	Owner   string `msgpack:"o"`
@@ -21,7 +21,7 @@
 	Floor      scheduler.Floor `msgpack:"f"`
 }
 
-// Ack tells the owner that a member applied a Set.
+// Ack tells the owner that a member applied a FloorUpdate.
 type Ack struct {
 	Service string `msgpack:"s"`
 	Epoch   uint64 `msgpack:"e"`
@@ -37,7 +37,7 @@
 	From    string       `msgpack:"f"`
 }
 
-// Outgoing is a message to a member.
+// Message is a message to a member.
 type Message struct {
 	To     string
 	Update FloorUpdate
@@ -45,7 +45,7 @@
 
 // Times of the protocol.
 const (
-	// ResendInterval is the time between repetitions of a Set.
+	// ResendInterval is the time between repetitions of a FloorUpdate.
 	ResendInterval = 400 * time.Millisecond
 	// RetryInterval is the time between repetitions to members that have not
 	// acknowledged.
--- a/coordination/shedding/shedding_test.go
+++ b/coordination/shedding/shedding_test.go
@@ -13,7 +13,7 @@
 
 const lowest = structs.Rank(3)
 
-// message is a Set on its way to a member, or an Ack on its way back.
+// message is a FloorUpdate on its way to a member, or an Ack on its way back.
 type message struct {
 	set *Message
 	ack *Ack
--- a/coordination/staleness/freshness.go
+++ b/coordination/staleness/freshness.go
@@ -9,7 +9,7 @@
 	known bool
 }
 
-// Note records that a read began at the instant.
+// Observe records that a read began at the instant.
 func (f *Freshness) Observe(at structs.Instant) {
 	if !f.known || at > f.at {
 		f.at, f.known = at, true
--- a/coordination/staleness/lag.go
+++ b/coordination/staleness/lag.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// LeastPause is the time from the end of one pull to the next, and longestPause bounds that time,
+	// MinPullBackoff is the time from the end of one pull to the next, and longestPause bounds that time,
 	// which doubles with each pull that fails.
 	MinPullBackoff = 200 * time.Millisecond
 	longestPause   = 1600 * time.Millisecond
 )
 
-// Lag is what peers are known to know more of one kind of news.
+// PullTracker is what peers are known to know more of one kind of news.
 type PullTracker[N ~int64] struct {
 	// told is the newest that a peer told of, and since when the first of it was heard of.
 	told  N
@@ -28,7 +28,7 @@
 	pause   time.Duration
 }
 
-// Due enters what a peer told and returns whether that peer is to be asked now, given
+// ShouldPull enters what a peer told and returns whether that peer is to be asked now, given
 // what this node has itself, and how long it waits for its own watch to tell it.
 func (l *PullTracker[N]) ShouldPull(now structs.Instant, own, told N, patience time.Duration) bool {
 	if own >= l.told {
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Ended records the end of a pull.
+// PullDone records the end of a pull.
 func (l *PullTracker[N]) PullDone(now structs.Instant, succeeded bool) {
 	l.pulling = false
 	if succeeded {
--- a/coordination/staleness/versions.go
+++ b/coordination/staleness/versions.go
@@ -11,7 +11,7 @@
 // mostVersions bounds the versions that are remembered as heard of.
 const mostVersions = 64
 
-// Versions remembers which versions newer than its own a node has heard of from
+// NewerVersions remembers which versions newer than its own a node has heard of from
 // peers that still live, and when. It is safe for concurrent use.
 type NewerVersions struct {
 	newest   atomic.Int64
@@ -20,7 +20,7 @@
 	rejected int64
 }
 
-// Heard records that a peer has the version. It returns false if this node has it, or
+// Observe records that a peer has the version. It returns false if this node has it, or
 // can't take it into force.
 func (v *NewerVersions) Observe(now structs.Instant, own, version int64) bool {
 	if version <= own {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Limit forgets the versions above the newest that a living peer has: nobody can have
+// DropAbove forgets the versions above the newest that a living peer has: nobody can have
 // them before the store tells them, and the store may be away.
 func (v *NewerVersions) DropAbove(newest int64) {
 	v.mutex.Lock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// Exists returns whether a version newer than the node's own was heard of.
+// HasNewer returns whether a version newer than the node's own was heard of.
 func (v *NewerVersions) HasNewer(own int64) bool { return v.newest.Load() > own }
 
 // BehindFor returns for how long a version newer than the node's own has been known.
--- a/coordination/zones/zones.go
+++ b/coordination/zones/zones.go
@@ -33,15 +33,15 @@
 	cut        bool
 }
 
-// Book is a node's view of the other zones. It is not safe for concurrent use.
+// Tracker is a node's view of the other zones. It is not safe for concurrent use.
 type Tracker struct {
 	zones map[string]*state
 }
 
-// NewBook returns a book that knows no zone.
+// NewTracker returns a book that knows no zone.
 func NewTracker() *Tracker { return &Tracker{zones: map[string]*state{}} }
 
-// Heard records a heartbeat from the zone.
+// Observe records a heartbeat from the zone.
 func (b *Tracker) Observe(now structs.Instant, beat liveness.Heartbeat) {
 	held, found := b.zones[beat.Zone]
 	if !found {
@@ -58,14 +58,14 @@
 	held.beat, held.cut = now, false
 }
 
-// Answered records that a replica of the zone answered or accepted a connection.
+// RecordSuccess records that a replica of the zone answered or accepted a connection.
 func (b *Tracker) RecordSuccess(now structs.Instant, zone string) {
 	if held, found := b.zones[zone]; found {
 		held.answer, held.cut = now, false
 	}
 }
 
-// Failed records that no connection to a replica of the zone came up.
+// RecordFailure records that no connection to a replica of the zone came up.
 func (b *Tracker) RecordFailure(now structs.Instant, zone string) {
 	if held, found := b.zones[zone]; found {
 		held.cut = held.cut || held.silent(now)
@@ -78,7 +78,7 @@
 	return now-s.beat > limit && now-s.answer > limit
 }
 
-// Suspects returns the zones that nothing comes from.
+// SilentZones returns the zones that nothing comes from.
 func (b *Tracker) SilentZones(now structs.Instant) []string {
 	var names []string
 	for name, held := range b.zones {
@@ -89,7 +89,7 @@
 	return names
 }
 
-// AnyCut returns whether some zone can't be reached.
+// AnyUnreachable returns whether some zone can't be reached.
 func (b *Tracker) AnyUnreachable() bool {
 	for _, held := range b.zones {
 		if held.cut {
@@ -99,7 +99,7 @@
 	return false
 }
 
-// IsCut returns whether the zone can't be reached.
+// IsUnreachable returns whether the zone can't be reached.
 func (b *Tracker) IsUnreachable(zone string) bool {
 	held, found := b.zones[zone]
 	return found && held.cut
--- a/entry/active_calls.go
+++ b/entry/active_calls.go
@@ -11,10 +11,10 @@
 // age returns for how long this node has had the request.
 func (c *call) age() time.Duration { return c.node.now() - c.arrived }
 
-// left returns what is left of the caller's or the route's time, and zero once it is over.
+// remaining returns what is left of the caller's or the route's time, and zero once it is over.
 func (c *call) remaining() time.Duration { return max(c.deadline-c.node.now(), 0) }
 
-// callSet has the requests of callers in progress. Their contexts end by timers, which stand
+// activeCalls has the requests of callers in progress. Their contexts end by timers, which stand
 // still while the machine is suspended; the callers' time goes on.
 type activeCalls struct {
 	mutex sync.Mutex
--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -25,7 +25,7 @@
 // maximumSchedulers bounds how many nodes are asked for one place.
 const maximumSchedulers = 3
 
-// place asks the scheduling node for a place. If the connection to it broke, it is asked
+// requestAssignment asks the scheduling node for a place. If the connection to it broke, it is asked
 // once more by a new one; if it can't be reached, the next node is asked, and in the end
 // this node decides by itself.
 func (n *Node) requestAssignment(ctx context.Context, request *assignRequest) *grant {
@@ -127,7 +127,7 @@
 	}
 }
 
-// undelivered is a message about an ended request that its scheduling node did
+// unackedFinish is a message about an ended request that its scheduling node did
 // not confirm.
 type unackedFinish struct {
 	address string
@@ -171,7 +171,7 @@
 	}()
 }
 
-// deliverAgain sends what was not confirmed.
+// resendFinishes sends what was not confirmed.
 func (n *Node) resendFinishes() {
 	n.mutex.Lock()
 	items := n.unackedFinishes
@@ -182,7 +182,7 @@
 	}
 }
 
-// begun tells the scheduling node that the answer began. It is not sent again
+// reportFirstEvent tells the scheduling node that the answer began. It is not sent again
 // if it gets lost.
 func (n *Node) reportFirstEvent(given *grant, load int, said *pushback.Signals) {
 	message := &firstEventRequest{ID: given.id, Load: load, Said: said}
--- a/entry/bucket_levels.go
+++ b/entry/bucket_levels.go
@@ -45,7 +45,7 @@
 	n.scheduling.takeOver(until, levels)
 }
 
-// heardLedger is what was last heard of what another node handed out.
+// receivedUsage is what was last heard of what another node handed out.
 type receivedUsage struct {
 	incarnation, epoch uint64
 	taken              map[string]float64
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -86,7 +86,7 @@
 	return 0
 }
 
-// behindConfiguration returns whether the peer has a newer version and is to be asked
+// configurationPullDue returns whether the peer has a newer version and is to be asked
 // for it now. The caller holds the mutex.
 func (n *Node) configurationPullDue(beat liveness.Heartbeat) bool {
 	own, patience := n.version(), n.pullPatienceWith(beat)
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -22,7 +22,7 @@
 	maximumBreaks = 512
 )
 
-// unexplainedBreak is a request that a replica broke off, by its end or not.
+// unresolvedDisconnect is a request that a replica broke off, by its end or not.
 type unresolvedDisconnect struct {
 	replica replicas.Replica
 	content fingerprint.Fingerprint
@@ -40,7 +40,7 @@
 	}
 }
 
-// explainBreaks tells of the requests that the replica broke off, now that its end is known.
+// resolveDisconnects tells of the requests that the replica broke off, now that its end is known.
 // The caller holds the mutex.
 func (n *Node) resolveDisconnects(replica replicas.Replica) {
 	now := n.now()
--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -49,7 +49,7 @@
 	return addresses
 }
 
-// namedPeers are the nodes that others named in a large fleet and that are to be greeted.
+// discoveredPeers are the nodes that others named in a large fleet and that are to be greeted.
 type discoveredPeers struct {
 	peers []liveness.Peer
 	// fleet is how large those who named them take the fleet to be.
@@ -100,7 +100,7 @@
 // carry it are sent in one go; 0.2 s is what the queue of a narrow link adds at most.
 const tellingTime = 200 * time.Millisecond
 
-// telling is a list of names that another node is sending to this one.
+// incomingPeerList is a list of names that another node is sending to this one.
 type incomingPeerList struct {
 	// names is how many the sender knows.
 	names int
--- a/entry/era.go
+++ b/entry/era.go
@@ -13,8 +13,8 @@
 // revisions out again; each time its era rises. What the operators and the replicas wrote they
 // write again within two seconds. Until then the copy is not the truth: a replica that left is
 // listed, one that came is not. So for a while nothing that the copy may hold takes back what a
-// node knows, and what is missing is doubted as after an outage (news.go). What the system itself
-// wrote, the scheduling node writes again from what it knows (contents.go, rolloutrestore.go).
+// node knows, and what is missing is doubted as after an outage (updates.go). What the system itself
+// wrote, the scheduling node writes again from what it knows (poison_sync.go, rollout_restore.go).
 
 // restoredTime is how long what the store lists may be of the copy: the entry of a replica that
 // left runs out 3.6 s after the store is back, three heartbeats, and a watch or pull may bring that
@@ -50,7 +50,7 @@
 	return max(now-e.since, time.Millisecond)
 }
 
-// noteAnswer takes account of the era of an answer of the store. It returns false if the answer
+// checkEra takes account of the era of an answer of the store. It returns false if the answer
 // is of an earlier era than the one known and tells nothing of the present. The caller holds the
 // mutex.
 func (n *Node) checkEra(place structs.StorePosition) bool {
@@ -79,7 +79,7 @@
 	return n.era.present
 }
 
-// heardEra takes account of what a peer knows of the eras. It returns whether the peer is to be
+// mergePeerEra takes account of what a peer knows of the eras. It returns whether the peer is to be
 // asked for all that it knows, as this process knows the copy only. The caller holds the mutex.
 func (n *Node) mergePeerEra(beat liveness.Heartbeat) bool {
 	if beat.RestoreWindow == nil {
@@ -152,7 +152,7 @@
 // mutex.
 func (n *Node) isOfEarlierEra(beat liveness.Heartbeat) bool { return beat.Era < n.era.present }
 
-// tellEra has the heartbeat tell what this node knows of the eras. Of a copy only those tell that
+// addEra has the heartbeat tell what this node knows of the eras. Of a copy only those tell that
 // know what was before: two processes that start at once would ask each other and learn nothing.
 // The caller holds the mutex.
 func (n *Node) addEra(now structs.Instant, beat *liveness.Heartbeat) {
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -14,7 +14,7 @@
 // in such a zone, and the node that sends looks once more just before it writes: the place may be
 // of a scheduling node that did not know yet.
 
-// takeEvacuations takes what the store tells of emptied zones into force, and returns whether any
+// applyEvacuations takes what the store tells of emptied zones into force, and returns whether any
 // was emptied or taken back.
 func (n *Node) applyEvacuations(update *outside.Update) bool {
 	n.mutex.Lock()
@@ -76,7 +76,7 @@
 type EvacuationStatus struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"emptied"`
-	// Place is where the order stands in the store's history.
+	// Position is where the order stands in the store's history.
 	Position structs.StorePosition `json:"place"`
 	// InProgress counts the requests of this node that still run there.
 	InProgress int `json:"in_progress"`
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -40,7 +40,7 @@
 	readCheck = 100 * time.Millisecond
 )
 
-// noteFreshness takes over how fresh a peer's knowledge is, of the replicas and of the
+// recordFreshness takes over how fresh a peer's knowledge is, of the replicas and of the
 // configuration, where this node knows no less than the peer. The caller holds the mutex.
 func (n *Node) recordFreshness(now structs.Instant, beat liveness.Heartbeat) {
 	if beat.ReplicasAgeMS >= 0 && beat.ReplicasAgeMS < staleAfter.Milliseconds() && !beat.StoreUnreachable {
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -85,7 +85,7 @@
 // so far apart.
 func stoodStill(since, wait time.Duration) bool { return since > wait+frozenAfter }
 
-// noticePause handles a pause of the process since a loop's last round, which was to be so
+// detectSuspension handles a pause of the process since a loop's last round, which was to be so
 // long ago, unless another loop has done so, and returns the time of this round.
 func (n *Node) detectSuspension(last structs.Instant, wait time.Duration) structs.Instant {
 	now := n.now()
@@ -101,7 +101,7 @@
 	return n.now()
 }
 
-// thawed handles that the process stood still or the machine was suspended: what it scheduled
+// resume handles that the process stood still or the machine was suspended: what it scheduled
 // before is void, requests whose time went by meanwhile end, and connections to replicas that
 // rested may be gone without a word.
 func (n *Node) resume(pause time.Duration) {
@@ -118,7 +118,7 @@
 	n.mutex.Unlock()
 }
 
-// sendBeats sends a heartbeat to every node that this one beats to, by relays where these save
+// sendHeartbeats sends a heartbeat to every node that this one beats to, by relays where these save
 // much, and to the seeds while few nodes are known. Suspected nodes get each one, which asks for an
 // answer.
 func (n *Node) sendHeartbeats() {
--- a/entry/idle_connections.go
+++ b/entry/idle_connections.go
@@ -12,7 +12,7 @@
 // one.
 const linkTrial = 500 * time.Millisecond
 
-// linkFellSilent tries a peer whose connection was given up for its silence. If it answers
+// handleSilentLink tries a peer whose connection was given up for its silence. If it answers
 // by a new one, something between took old connections away without a word, and those to
 // replicas that rest may be gone as well. They are closed: a request that must not run
 // twice and is written to one of them is lost.
@@ -30,7 +30,7 @@
 	n.closeIdle("connection to a peer silent: " + address)
 }
 
-// closeRested closes the connections to replicas that rested for as long as it takes to
+// closeIdle closes the connections to replicas that rested for as long as it takes to
 // find out that connections fell silent; those used since then are well.
 func (n *Node) closeIdle(reason string) {
 	closed := n.pool.CloseRested(peer.SilenceTime)
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -13,7 +13,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// placeRequest asks the scheduling node for a place at a replica.
+// assignRequest asks the scheduling node for a place at a replica.
 type assignRequest struct {
 	Request admission.Request
 	// Tenant, Limit and Cost are for the quota; a rate of zero means none.
@@ -30,7 +30,7 @@
 	Known *poisonrecords.Record
 }
 
-// placeReply is the decision on a placeRequest.
+// assignReply is the decision on an assignRequest.
 type assignReply struct {
 	Replica    replicas.Replica
 	Reason     string
@@ -53,7 +53,7 @@
 	reasonRetryBudget = "retry-budget"
 	reasonUnreachable = "no-scheduler"
 	reasonStopping    = "stopping"
-	// reasonBehind means that this node lacks a newer configuration.
+	// reasonConfigurationStale means that this node lacks a newer configuration.
 	reasonConfigurationStale = "configuration-behind"
 )
 
@@ -72,7 +72,7 @@
 	Ended *crashedIncarnation
 }
 
-// endedLife tells that a replica ended while a request was there.
+// crashedIncarnation tells that a replica ended while a request was there.
 type crashedIncarnation struct {
 	Life           poisonrecords.Incarnation
 	Service, Route string
@@ -80,7 +80,7 @@
 
 type finishReply struct{}
 
-// begunRequest tells that the answer to a request with a place began.
+// firstEventRequest tells that the answer to a request with a place began.
 type firstEventRequest struct {
 	ID string
 	// Load is the number of requests that the replica said to have, or -1.
@@ -91,14 +91,14 @@
 
 type firstEventReply struct{}
 
-// newsRequest asks a peer for what it knows of the replicas beyond one revision, and of the
+// updatesRequest asks a peer for what it knows of the replicas beyond one revision, and of the
 // roll-outs beyond another.
 type updatesRequest struct {
 	Latest   structs.StorePosition
 	Rollouts structs.StorePosition
 }
 
-// newsReply is what a peer knows of the replicas and of roll-outs. It knows all roll-outs up
+// updatesReply is what a peer knows of the replicas and of roll-outs. It knows all roll-outs up
 // to the revision Known.
 type updatesReply struct {
 	Replicas []replicas.Replica
--- a/entry/node.go
+++ b/entry/node.go
@@ -43,10 +43,10 @@
 	Revisions outside.Revisions
 	// Rollouts keeps the progress of roll-outs; nil means that there are none.
 	Rollouts outside.Rollouts
-	// Contents keeps what is known of barred requests; nil means that it ends with the nodes.
+	// PoisonRecords keeps what is known of barred requests; nil means that it ends with the nodes.
 	PoisonRecords outside.Contents
 	Headers       outside.HeaderNames
-	// ReadAnswer returns what the head of a replica's answer says to hold requests back, and an
+	// ParsePushback returns what the head of a replica's answer says to hold requests back, and an
 	// error that names each part that can't be read.
 	ParsePushback func(status int, header http.Header) (pushback.Signals, error)
 	// ReadyPath is what the balancer asks.
@@ -60,7 +60,7 @@
 	Sleep func(time.Duration) time.Duration
 }
 
-// heldPlace is a request in progress at a replica.
+// assignment is a request in progress at a replica.
 type assignment struct {
 	replica   string
 	scheduler string
@@ -125,7 +125,7 @@
 	assignments map[string]assignment
 	term        uint64
 	role
-	// chosenAt is the instant of the latest choice of the scheduling node, and isChoiceAwaited is
+	// selectedAt is the instant of the latest choice of the scheduling node, and isSelectionPending is
 	// true if another one is about to follow.
 	selectedAt structs.Instant
 	// roleAt is when this node's role or the scheduling node changed last.
@@ -135,13 +135,13 @@
 	slowness liveness.SlowNodeDetector
 	// readCalls is how many calls the latest complete read took.
 	readCalls int
-	// triedAt is when this node last called the store, and askedAt when it last asked for names
+	// triedAt is when this node last called the store, and peersRequestedAt when it last asked for names
 	// of others.
 	triedAt, peersRequestedAt structs.Instant
-	// heardAt is when any other node was heard of.
+	// lastContactAt is when any other node was heard of.
 	lastContactAt structs.Instant
 	storeFailedAt structs.Instant
-	// steady is true while this node follows the store without trouble, which it
+	// watchHealthy is true while this node follows the store without trouble, which it
 	// has done since steadyAt.
 	watchHealthy bool
 	steadyAt     structs.Instant
@@ -165,17 +165,17 @@
 	// problems are the entries of the store and the parts of answers that did not parse and were
 	// told of.
 	problems map[string]bool
-	// breaks are requests that replicas broke off which may have ended under them.
+	// disconnects are requests that replicas broke off which may have ended under them.
 	disconnects []unresolvedDisconnect
-	// thawedAt is when a pause of the process was last noticed.
+	// resumedAt is when a pause of the process was last noticed.
 	resumedAt structs.Instant
-	// contentsStored is what the store is known to hold of barred requests.
+	// poisonStored is what the store is known to hold of barred requests.
 	poisonStored storedPoisonRecords
-	// levels is what was last told of the tenants' buckets by another node that schedules, and
-	// levelsAt when. Until levelsUntil, when it would have told again, it may have handed out
-	// from them. ledAt is when this node itself last scheduled.
+	// bucketLevels is what was last told of the tenants' buckets by another node that schedules, and
+	// bucketLevelsAt when. Until bucketLevelsUntil, when it would have told again, it may have handed out
+	// from them. lastActiveAt is when this node itself last scheduled.
 	bucketLevels map[string]float64
-	// ledgers is what other nodes that schedule, or did, told of what they handed out, by name.
+	// peerUsage is what other nodes that schedule, or did, told of what they handed out, by name.
 	peerUsage                                       map[string]receivedUsage
 	bucketLevelsAt, bucketLevelsUntil, lastActiveAt structs.Instant
 }
@@ -313,7 +313,7 @@
 	return n.table.Count() > 0
 }
 
-// settleTime is how long a new process listens to heartbeats before it is ready.
+// readinessDelay is how long a new process listens to heartbeats before it is ready.
 const readinessDelay = 400 * time.Millisecond
 
 func (n *Node) readiness() http.Handler {
@@ -365,7 +365,7 @@
 	}
 }
 
-// pause waits, and returns false if the node ended meanwhile.
+// sleep waits, and returns false if the node ended meanwhile.
 func (n *Node) sleep(duration time.Duration) bool {
 	select {
 	case <-n.ctx.Done():
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -30,7 +30,7 @@
 	UpdatesAge int64  `json:"news_age_ms"`
 	StoreDown  bool   `json:"store_down"`
 	Scheduler  string `json:"scheduler"`
-	// Ordinary is true if other nodes of its zone speak for it, and Fleet is how many nodes it
+	// NonDelegate is true if other nodes of its zone speak for it, and Fleet is how many nodes it
 	// takes the fleet to have.
 	NonDelegate bool                       `json:"ordinary"`
 	Fleet       int                        `json:"fleet"`
@@ -45,7 +45,7 @@
 	Evacuations []EvacuationStatus `json:"evacuations,omitempty"`
 	// Rollouts has the latest record of each service that was ever rolled out.
 	Rollouts map[string]RolloutStatus `json:"rollouts,omitempty"`
-	// Barred are the requests that are not sent since replicas ended under them.
+	// Blocked are the requests that are not sent since replicas ended under them.
 	Blocked []PoisonStatus `json:"barred,omitempty"`
 }
 
@@ -79,7 +79,7 @@
 const (
 	// PathStatus is where a node serves its Status.
 	PathStatus = "/status"
-	// PathLift, with a barred request's fingerprint behind it, lets that be sent again.
+	// PathUnblock, with a barred request's fingerprint behind it, lets that be sent again.
 	PathUnblock = "/barred/lift/"
 )
 
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -42,11 +42,11 @@
 	// lifeGoesOn means that the request can't have ended it: it goes on, or was to end anyway.
 	lifeGoesOn lifeState = iota
 	incarnationEnded
-	// lifeUnknown means that the replica can't be reached, which need not be its own doing.
+	// incarnationUnknown means that the replica can't be reached, which need not be its own doing.
 	incarnationUnknown
 )
 
-// lifeOf looks whether the replica, which broke off a request, has ended: nobody listens at
+// probeIncarnation looks whether the replica, which broke off a request, has ended: nobody listens at
 // its address any more. A reset alone, a cut link or a planned end say nothing of the request:
 // a replica that drains, or whose entry is gone, was to end anyway.
 func (n *Node) probeIncarnation(replica replicas.Replica) lifeState {
@@ -72,7 +72,7 @@
 	return incarnationUnknown
 }
 
-// noteContent tells of a change of a request's standing.
+// logPoisonTransition tells of a change of a request's standing.
 func (n *Node) logPoisonTransition(outcome string, record poisonrecords.Record) {
 	n.counter("contents." + outcome).Inc(1)
 	lives := make([]string, 0, len(record.Incarnations))
@@ -130,13 +130,13 @@
 	}
 }
 
-// storedContents is what the store is known to hold.
+// storedPoisonRecords is what the store is known to hold.
 type storedPoisonRecords struct {
 	revision structs.StorePosition
 	mark     poisonrecords.Summary
 }
 
-// takeContents takes what the store holds into force.
+// applyPoisonRecords takes what the store holds into force.
 func (n *Node) applyPoisonRecords(records []poisonrecords.Record, revision structs.StorePosition) {
 	if revision == 0 {
 		return
@@ -149,7 +149,7 @@
 	n.scheduling.mergeContents(records)
 }
 
-// contentsLoop sees to it, while this node schedules, that the store holds what is barred.
+// poisonSyncLoop sees to it, while this node schedules, that the store holds what is barred.
 func (n *Node) poisonSyncLoop() {
 	if n.deps.PoisonRecords == nil {
 		return
@@ -201,14 +201,14 @@
 	n.applyPoisonRecords(records, found)
 }
 
-// ContentStatus is what operators see of a barred request.
+// PoisonStatus is what operators see of a barred request.
 type PoisonStatus struct {
 	poisonrecords.Record
 	// Unchanged is for how long nothing was learned of it, in milliseconds.
 	Unchanged int64 `json:"unchanged_ms"`
 }
 
-// contentStatus returns what is barred.
+// poisonStatus returns what is barred.
 func (n *Node) poisonStatus() []PoisonStatus {
 	var told []PoisonStatus
 	for _, record := range n.scheduling.barredContents() {
@@ -217,7 +217,7 @@
 	return told
 }
 
-// Lift lets a barred request be sent again, at all nodes.
+// Unblock lets a barred request be sent again, at all nodes.
 func (n *Node) Unblock(content string) error {
 	var wanted poisonrecords.Record
 	if err := wanted.Fingerprint.UnmarshalText([]byte(content)); err != nil {
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -14,7 +14,7 @@
 
 // What a replica says of itself in its answers (state/pushback).
 
-// heed enters what the answer to a request says that was sent at the instant. It returns that if the
+// applyPushback enters what the answer to a request says that was sent at the instant. It returns that if the
 // node that schedules has to hear of it, and else nil.
 func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sent structs.Instant) *pushback.Signals {
 	said, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// heardOf returns what the node that schedules has to know of the service's replicas.
+// pushbackReports returns what the node that schedules has to know of the service's replicas.
 func (n *Node) pushbackReports(service string) []pushback.Report {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -25,7 +25,7 @@
 	rolloutWriteLimit = 800 * time.Millisecond
 )
 
-// takeRollouts takes news of roll-outs into force. Known is the revision up to which the
+// applyRollouts takes news of roll-outs into force. Known is the revision up to which the
 // news is whole; zero means that it is not.
 func (n *Node) applyRollouts(orders []rollouts.Order, records []rollouts.Record, known structs.StorePosition) {
 	n.mutex.Lock()
@@ -108,7 +108,7 @@
 	return versions
 }
 
-// isBarred returns whether the replica's version gets no new requests. The caller holds
+// isExcluded returns whether the replica's version gets no new requests. The caller holds
 // the mutex.
 func (n *Node) isExcluded(replica replicas.Replica) bool {
 	policy, found := n.policies[replica.Service]
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -15,8 +15,8 @@
 	Step string `json:"step"`
 	// Left is the time to the deadline in milliseconds; negative once it passed.
 	Left int64 `json:"left_ms"`
-	// Doubt is how far the evidence against the target is at the node that schedules: from
-	// 1 on it is rolled back. DoubtRoute is the route that shows most.
+	// RegressionScore is how far the evidence against the target is at the node that schedules: from
+	// 1 on it is rolled back. RegressionRoute is the route that shows most.
 	RegressionScore float64 `json:"doubt"`
 	RegressionRoute string  `json:"doubt_route,omitempty"`
 	// Evidence tells of each route the bad answers of the target and of the others.
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -25,18 +25,18 @@
 type role struct {
 	// scheduler is the node that schedules.
 	scheduler string
-	// isLarge is true in a large fleet, and isOrdinary if this node is none of its delegates
+	// isLarge is true in a large fleet, and isNonDelegate if this node is none of its delegates
 	// there.
 	isLarge, isNonDelegate bool
 	// size is that of the fleet as far as this node and its delegates hear, and fleet also what
 	// others take its size to be. zone is the size of this node's zone by its own ears.
 	size, zone liveness.Size
 	fleet      int
-	// rank is this node's place among the live nodes that reach the store, and senior is
+	// watchRank is this node's place among the live nodes that reach the store, and senior is
 	// true if it is one of the first that may schedule.
 	watchRank   int
 	isCandidate bool
-	// order is this node's place among all live nodes in the order in which they call the
+	// storeCallRank is this node's place among all live nodes in the order in which they call the
 	// store.
 	storeCallRank int
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// chooseScheduler takes the first live node in rendezvous order that is not slow for the
+// selectScheduler takes the first live node in rendezvous order that is not slow for the
 // scheduling node.
 func (n *Node) selectScheduler() {
 	settings := n.settings.Load()
@@ -185,7 +185,7 @@
 	}
 }
 
-// ownBeat returns what this node is chosen by. The caller holds the mutex.
+// ownHeartbeat returns what this node is chosen by. The caller holds the mutex.
 func (n *Node) ownHeartbeat() *liveness.Heartbeat {
 	settings := n.settings.Load()
 	return &liveness.Heartbeat{
@@ -271,7 +271,7 @@
 	return avoided
 }
 
-// releaseEndedNodes frees at the desk what processes held that have ended.
+// releaseDeadNodes frees at the desk what processes held that have ended.
 func (n *Node) releaseDeadNodes() {
 	n.mutex.Lock()
 	now := n.now()
--- a/entry/scheduling_poison.go
+++ b/entry/scheduling_poison.go
@@ -78,7 +78,7 @@
 	d.decide()
 }
 
-// knownOf returns what this node saw lately of replicas that ended under the request.
+// poisonRecordOf returns what this node saw lately of replicas that ended under the request.
 func (d *schedulingService) poisonRecordOf(content fingerprint.Fingerprint) *poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -106,7 +106,7 @@
 	return d.poisonTracker.Persistent(d.clock())
 }
 
-// forgetContents drops what is old.
+// expirePoison drops what is old.
 func (d *schedulingService) expirePoison() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -44,7 +44,7 @@
 	repeat retrybudget.Permit
 }
 
-// desk is the scheduling side of a node: it decides for every node that takes
+// schedulingService is the scheduling side of a node: it decides for every node that takes
 // this one for the scheduling node, itself included.
 type schedulingService struct {
 	mutex     sync.Mutex
@@ -76,7 +76,7 @@
 	// contents says which requests replicas ended under. It outlives what the desk forgets:
 	// what a request did is true whoever schedules.
 	poisonTracker *poison.Tracker
-	// tell is called with each change of a request's standing.
+	// onPoisonTransition is called with each change of a request's standing.
 	onPoisonTransition func(outcome string, record poisonrecords.Record)
 	controllers        map[string]*rollout.Controller
 	longest            map[string]time.Duration
@@ -208,7 +208,7 @@
 	d.decide()
 }
 
-// place waits for a decision on the request.
+// assign waits for a decision on the request.
 func (d *schedulingService) assign(ctx context.Context, request *assignRequest) *assignReply {
 	waiter, refused := d.submit(request)
 	if refused != nil {
@@ -292,7 +292,7 @@
 	d.noteContent(admission.Completion{}, finished)
 }
 
-// begun notes that an answer began, and the load that came with it.
+// recordFirstEvent notes that an answer began, and the load that came with it.
 func (d *schedulingService) recordFirstEvent(request *firstEventRequest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -36,7 +36,7 @@
 	Store string `yaml:"store"`
 	// StopGrace is the time from the request to stop to the end, in milliseconds.
 	StopGrace int `yaml:"stop_grace_ms"`
-	// Contact is the time after which a disturbance of the store is forgotten, in
+	// StoreRecoveryWindow is the time after which a disturbance of the store is forgotten, in
 	// milliseconds.
 	StoreRecoveryWindow int `yaml:"contact_ms"`
 	// ConfigurationBound is the time in which an accepted configuration is to be in force
@@ -47,7 +47,7 @@
 	// Cores is the share of processors that the process may use; stronger nodes
 	// are preferred for scheduling.
 	Cores float64 `yaml:"cores"`
-	// Link is the bandwidth of the machine in megabits a second; nodes with a wide one
+	// LinkMbps is the bandwidth of the machine in megabits a second; nodes with a wide one
 	// are preferred for what many others ask for. Zero means that it is not known.
 	LinkMbps float64 `yaml:"link_mbps"`
 	// RetryRatio, RetryWindow (seconds) and RetrySlack bound repeated sends.
@@ -64,12 +64,12 @@
 	// new version of the service's replicas gets until it is judged.
 	RolloutShare float64 `yaml:"rollout_share"`
 	RolloutSlack float64 `yaml:"rollout_slack"`
-	// ColdOverage (a factor) and ColdSlack (requests) are how much more than a service's cold
+	// SlowStartOverage (a factor) and SlowStartSlack (requests) are how much more than a service's cold
 	// replicas bear in a second one of them may get in any; zero for both means that they are
 	// not spared.
 	SlowStartOverage float64 `yaml:"cold_overage"`
 	SlowStartSlack   float64 `yaml:"cold_slack"`
-	// BarredAfter is under how many ends of replicas a request is no longer sent; zero
+	// BlockedAfter is under how many ends of replicas a request is no longer sent; zero
 	// switches that off.
 	BlockedAfter int `yaml:"barred_after_ends"`
 	// FirstStart is true on the very first start of the whole system.
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -14,7 +14,7 @@
 // look wakes the process, which is paid for, and most nodes of a large fleet are not senior.
 const juniorPause = time.Second
 
-// lagLoop measures by how much the timers of a node that may schedule are late, and tells
+// slowNodeLoop measures by how much the timers of a node that may schedule are late, and tells
 // all nodes at once when it turns slow or well.
 func (n *Node) slowNodeLoop() {
 	gauge := newGauge()
--- a/entry/store.go
+++ b/entry/store.go
@@ -12,7 +12,7 @@
 )
 
 // How a node follows the store: complete reads, watches, and what it makes of their
-// failures. What they bring is taken into force in news.go.
+// failures. What they bring is taken into force in updates.go.
 
 // Times of the calls to the directory.
 const (
@@ -45,7 +45,7 @@
 	// not, since after a loss of power peers have it no sooner: then half of 295 nodes
 	// waited for it for a second.
 	quickRead = 100 * time.Millisecond
-	// startPatience is how long it does so, which is less than settleTime, if it then
+	// startPatience is how long it does so, which is less than readinessDelay, if it then
 	// follows the store for others, and followerPatience if others do: as long as one of
 	// these with a narrow link takes. startPoll is the time between looks.
 	startPatience    = 300 * time.Millisecond
@@ -312,7 +312,7 @@
 	n.watchHealthy = steady
 }
 
-// steadyFor returns for how long the node has followed the store without trouble.
+// watchHealthyFor returns for how long the node has followed the store without trouble.
 // The caller holds the mutex.
 func (n *Node) watchHealthyFor(now structs.Instant) time.Duration {
 	if !n.watchHealthy {
--- a/entry/store_watchers.go
+++ b/entry/store_watchers.go
@@ -30,7 +30,7 @@
 	// introductionTime is the age of a process until which it waits for its peers to tell
 	// it of replicas and the configuration, and greetingTime that at which one that knows
 	// these has answered if there is any. They take some 50 ms, and the process is not
-	// ready before settleTime in any case. Until aloneTime it waits to hear of any other: where many
+	// ready before readinessDelay in any case. Until aloneTime it waits to hear of any other: where many
 	// start at once, it learns so that the fleet is large and that others read the store for it.
 	introductionTime = 150 * time.Millisecond
 	greetingTime     = 40 * time.Millisecond
@@ -45,7 +45,7 @@
 	spreadParts = 1024
 )
 
-// storePlace returns this node's place in the order in which it and the nodes with the
+// storeCallRankAmong returns this node's place in the order in which it and the nodes with the
 // beats call the store, or the number of them all beyond the probers. The caller holds the mutex.
 func (n *Node) storeCallRankAmong(others []*liveness.Heartbeat) int {
 	if !n.isNonDelegate {
@@ -57,7 +57,7 @@
 	return max(len(others)+1, n.size.Known, probers)
 }
 
-// storeRank returns this node's place among the live nodes that reach the store. A node
+// watchRankAmong returns this node's place among the live nodes that reach the store. A node
 // that does not reach the store has none of the first places, also while nobody does: when
 // the store is back, the first to notice tell the others, and not all of them take
 // themselves for the one that reads it for all. One that is not among the probers has none
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -24,7 +24,7 @@
 	// delegatesPullTime is how long news take from the nodes that follow the store to the delegates
 	// of a zone. What a zone's nodes pull from these crosses no border.
 	delegatesPullTime = 400 * time.Millisecond
-	// newsTimeout bounds a call to a peer for its news.
+	// updatesTimeout bounds a call to a peer for its news.
 	updatesTimeout = 500 * time.Millisecond
 )
 
@@ -51,14 +51,14 @@
 	return max(n.table.LatestPosition(), n.rollouts.LatestPosition())
 }
 
-// behindReplicas returns whether the peer knows more of the replicas or roll-outs for so long that
+// replicaPullDue returns whether the peer knows more of the replicas or roll-outs for so long that
 // this node's own watch will not tell it, and the peer is to be asked now. The caller
 // holds the mutex.
 func (n *Node) replicaPullDue(beat liveness.Heartbeat) bool {
 	return n.replicaLag.ShouldPull(n.now(), n.latest(), beat.LatestPosition, n.pullPatienceWith(beat))
 }
 
-// serveNews answers a peer that is behind.
+// serveUpdates answers a peer that is behind.
 func (n *Node) serveUpdates(_ context.Context, request *updatesRequest) (*updatesReply, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return reply, nil
 }
 
-// pullNews asks a peer that knows more of the replicas than this node.
+// pullUpdates asks a peer that knows more of the replicas than this node.
 func (n *Node) pullUpdates(address string) {
 	n.mutex.Lock()
 	request := &updatesRequest{Latest: n.table.LatestPosition(), Rollouts: n.rollouts.CompleteTo()}
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -86,7 +86,7 @@
 	return !known
 }
 
-// takeReplica enters news of a replica and tells of a change. The caller holds the
+// applyReplica enters news of a replica and tells of a change. The caller holds the
 // mutex.
 func (n *Node) applyReplica(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
@@ -114,7 +114,7 @@
 // still missing then is gone.
 const entryReturnTime = 2300 * time.Millisecond
 
-// vanished handles an entry that is gone. While the store is unwell replicas
+// handleEntryRemoved handles an entry that is gone. While the store is unwell replicas
 // can't renew their entries, so that it proves little; the replica then stays
 // for as long as the store needs to become well and the replica to come back.
 // The caller holds the mutex.
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -75,7 +75,7 @@
 	n.selectScheduler()
 }
 
-// cutReplicas returns the replicas of the zones that can't be reached. The caller holds
+// unreachableZoneReplicas returns the replicas of the zones that can't be reached. The caller holds
 // the mutex.
 func (n *Node) unreachableZoneReplicas() []string {
 	if !n.zones.AnyUnreachable() {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -49,7 +49,7 @@
 	// Pause the longest time between two events, both in milliseconds.
 	First int64 `json:"first_ms,omitempty"`
 	Pause int64 `json:"pause_ms,omitempty"`
-	// Left is what the caller's or the route's time leaves, and Expected the wait
+	// Remaining is what the caller's or the route's time leaves, and Expected the wait
 	// that was predicted, both in milliseconds.
 	Remaining int64 `json:"left_ms,omitempty"`
 	Expected  int64 `json:"expected_ms,omitempty"`
--- a/node/settings.go
+++ b/node/settings.go
@@ -151,7 +151,7 @@
 }
 
 // Change accepts a change of the settings and takes it into force here. Errors
-// are those of settingsync.Acceptor.Accept.
+// are those of settingsync.Committer.Commit.
 func (n *Node) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
 	record, document, err := n.acceptor.Commit(ctx, change)
 	if err != nil {
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -22,7 +22,7 @@
 type Update struct {
 	// Revision is the place in the directory's history up to which the news goes.
 	Revision structs.StorePosition
-	// Complete is true if Replicas lists every replica, and Whole if also Orders, Records and
+	// Complete is true if Replicas lists every replica, and FullSnapshot if also Orders, Records and
 	// Evacuations list every one.
 	Complete, FullSnapshot bool
 	// Calls is how many calls the update took.
--- a/state/answer/answer.go
+++ b/state/answer/answer.go
@@ -12,7 +12,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Head is what precedes the content of an answer.
+// ResponseHead is what precedes the content of an answer.
 type ResponseHead struct {
 	// Status and Header are those of a plain service; Status is zero for the
 	// answer of an engine.
@@ -104,7 +104,7 @@
 	a.wake()
 }
 
-// View is the state of an answer at one moment.
+// Snapshot is the state of an answer at one moment.
 type Snapshot struct {
 	// RequestID is that of the request whose answer this is.
 	RequestID string
@@ -117,7 +117,7 @@
 	Err     error
 }
 
-// Look returns the answer's state, with the parts from the number on, and a
+// Snapshot returns the answer's state, with the parts from the number on, and a
 // channel that is closed at the next change.
 func (a *Answer) Snapshot(from int) (Snapshot, <-chan struct{}) {
 	a.mutex.Lock()
@@ -204,7 +204,7 @@
 	return answer, found
 }
 
-// Ended starts the retention of an answer.
+// MarkEnded starts the retention of an answer.
 func (s *Store) MarkEnded(now structs.Instant, answer *Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/state/backend/speed.go
+++ b/state/backend/speed.go
@@ -75,7 +75,7 @@
 	return speed
 }
 
-// Learn compares an answer with what was expected of it. Both times are from
+// UpdateSlowdown compares an answer with what was expected of it. Both times are from
 // dispatch to end; ratios near one leave the replica's weight as it is.
 func (s *ReplicaState) UpdateSlowdown(expected, observed time.Duration) {
 	if expected <= 0 || observed <= 0 {
@@ -90,14 +90,14 @@
 	s.Slowdown = min(max(s.Slowdown, minimumSlowdown), maximumSlowdown)
 }
 
-// ConnectFailed suspends the replica for a time that doubles with each failure.
+// RecordConnectFailure suspends the replica for a time that doubles with each failure.
 func (s *ReplicaState) RecordConnectFailure(now structs.Instant) {
 	suspension := min(firstSuspension<<min(s.failures, 10), longestSuspension)
 	s.failures++
 	s.SuspendedUntil = now + suspension
 }
 
-// Connected ends a suspension.
+// RecordConnectSuccess ends a suspension.
 func (s *ReplicaState) RecordConnectSuccess() {
 	s.failures = 0
 	s.SuspendedUntil = 0
--- a/state/backend/view.go
+++ b/state/backend/view.go
@@ -8,7 +8,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// View holds the replicas by service. It is not safe for concurrent use.
+// Table holds the replicas by service. It is not safe for concurrent use.
 type Table struct {
 	pools    map[string]*Pool
 	replicas map[structs.ReplicaID]*ReplicaState
@@ -20,7 +20,7 @@
 	States []*ReplicaState
 }
 
-// State is what the node knows of one replica.
+// ReplicaState is what the node knows of one replica.
 type ReplicaState struct {
 	Replica structs.Replica
 	// IDHash is the rendezvous hash of the id.
@@ -51,7 +51,7 @@
 	prefill      int
 }
 
-// NewView returns an empty view.
+// NewTable returns an empty view.
 func NewTable() *Table {
 	return &Table{pools: map[string]*Pool{}, replicas: map[structs.ReplicaID]*ReplicaState{}, speeds: newSpeeds()}
 }
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -14,7 +14,7 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// Kind says what may be repeated.
+// RouteKind says what may be repeated.
 type RouteKind string
 
 // The kinds of routes.
@@ -28,7 +28,7 @@
 	KindStreaming RouteKind = "streaming"
 )
 
-// Backend is a service that a route sends a share of its requests to.
+// WeightedService is a service that a route sends a share of its requests to.
 type WeightedService struct {
 	Service string `msgpack:"s"`
 	// Weight is the share, relative to the other backends of the route.
@@ -43,14 +43,14 @@
 	Kind       RouteKind `msgpack:"k"`
 	// Timeout is the longest time that a request is held; zero means no bound.
 	Timeout time.Duration `msgpack:"t"`
-	// Target is the time within which an answer earns its full credit.
+	// TargetLatency is the time within which an answer earns its full credit.
 	TargetLatency time.Duration `msgpack:"a"`
-	// TargetGap is the longest pause between two events of a stream.
+	// TargetEventGap is the longest pause between two events of a stream.
 	TargetEventGap time.Duration `msgpack:"g"`
 	// Priority orders routes; zero is the most urgent.
 	Priority int               `msgpack:"r"`
 	Backends []WeightedService `msgpack:"b"`
-	// Attempts bounds the replicas that may run one request.
+	// MaxAttempts bounds the replicas that may run one request.
 	MaxAttempts int  `msgpack:"m"`
 	Public      bool `msgpack:"u"`
 	Sticky      bool `msgpack:"y"`
@@ -65,7 +65,7 @@
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int `msgpack:"s"`
-	// Stride is the number of tokens in one event of a stream.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int  `msgpack:"d"`
 	TokenCapacity  int  `msgpack:"k"`
 	Moves          bool `msgpack:"m"`
@@ -76,7 +76,7 @@
 type Service struct {
 	Name           string `msgpack:"n"`
 	MaxConnections int    `msgpack:"c"`
-	// ColdTime is how long a replica stays cold after its start, and ColdRate the requests a
+	// WarmupTime is how long a replica stays cold after its start, and SlowStartRate the requests a
 	// second that it bears meanwhile; zero means any.
 	WarmupTime    time.Duration `msgpack:"ct,omitempty"`
 	SlowStartRate float64       `msgpack:"cr,omitempty"`
@@ -97,7 +97,7 @@
 	Burst float64 `msgpack:"b"`
 	// CountTokens is true if the quota counts tokens and false if requests.
 	CountTokens bool `msgpack:"t"`
-	// PlainTokens is what a request without a token count stands for.
+	// DefaultTokens is what a request without a token count stands for.
 	DefaultTokens int `msgpack:"l"`
 }
 
@@ -249,7 +249,7 @@
 // RequiresKey returns whether requests of the route need a tenant's key.
 func (c *Catalog) RequiresKey(route *Route) bool { return len(c.Tenants) > 0 && !route.Public }
 
-// Choose returns the service for a request, where draw is evenly spread over
+// PickService returns the service for a request, where draw is evenly spread over
 // 0 (included) to 1 (excluded).
 func (r *Route) PickService(draw float64) string {
 	total := 0
--- a/state/catalog/parts.go
+++ b/state/catalog/parts.go
@@ -57,7 +57,7 @@
 	Parts   []Hash `msgpack:"p"`
 }
 
-// Packed is a part as it travels: encoded and compressed. It is immutable.
+// CompressedPart is a part as it travels: encoded and compressed. It is immutable.
 type CompressedPart struct {
 	Hash    Hash
 	Content []byte
@@ -122,7 +122,7 @@
 	return Hash(xxhash.Sum64(content)), content, nil
 }
 
-// Pack compresses the content of a part.
+// Compress compresses the content of a part.
 func Compress(hash Hash, content []byte) (*CompressedPart, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
@@ -138,7 +138,7 @@
 	return &CompressedPart{Hash: hash, Content: bytes.Clone(buffer.Bytes()), Size: len(content)}, nil
 }
 
-// Unpack checks and decodes what a peer sent. The error is of kind BadFrame for content
+// Decompress checks and decodes what a peer sent. The error is of kind BadFrame for content
 // that is cut short, too long or not a part.
 func Decompress(compressed []byte) (*CompressedPart, *Part, error) {
 	reader := flate.NewReader(bytes.NewReader(compressed))
--- a/state/evacuations/evacuations.go
+++ b/state/evacuations/evacuations.go
@@ -19,13 +19,13 @@
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Zone string `json:"zone"`
-	// Place is that of the order in the store's history.
+	// Position is that of the order in the store's history.
 	Position structs.StorePosition `json:"place"`
 	// Lifted is true if the zone may be sent to again.
 	Lifted bool `json:"lifted"`
 }
 
-// MostZones bounds the zones that a table knows. Orders for more are false input: a platform has
+// MaxZones bounds the zones that a table knows. Orders for more are false input: a platform has
 // some ten zones.
 const MaxZones = 64
 
@@ -39,7 +39,7 @@
 // NewTable returns a table that knows no order.
 func NewTable() *Table { return &Table{orders: map[string]Order{}} }
 
-// SetRestored tells that the store came back from a copy: what it lists takes back no order that
+// SetRestoreWindow tells that the store came back from a copy: what it lists takes back no order that
 // came later. It ends with the zero value.
 func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
 
@@ -77,7 +77,7 @@
 // isInForce returns whether the order keeps its zone empty.
 func (o *Order) isInForce() bool { return o.Zone != "" && !o.Lifted }
 
-// Missing returns the orders by which the zones are taken back that a complete list as of the
+// LiftsForUnlisted returns the orders by which the zones are taken back that a complete list as of the
 // place does not name.
 func (t *Table) LiftsForUnlisted(listed []Order, place structs.StorePosition) []Order {
 	var lifts []Order
@@ -90,13 +90,13 @@
 	return lifts
 }
 
-// IsEmptied returns whether nothing is to be sent to the zone.
+// IsEvacuated returns whether nothing is to be sent to the zone.
 func (t *Table) IsEvacuated(zone string) bool {
 	order := t.orders[zone]
 	return order.isInForce()
 }
 
-// Emptied returns the zones that nothing is to be sent to.
+// EvacuatedZones returns the zones that nothing is to be sent to.
 func (t *Table) EvacuatedZones() map[string]bool {
 	zones := map[string]bool{}
 	for zone, order := range t.orders {
--- a/state/gossip/gossip.go
+++ b/state/gossip/gossip.go
@@ -9,15 +9,15 @@
 )
 
 // Factors of how often a node passes an item on, times the logarithm of the
-// zone's size. SpreadSurely reaches every node with high probability, for news
-// that is told once. SpreadOnce passes an item on a few times only, for values
+// zone's size. RetransmitReliable reaches every node with high probability, for news
+// that is told once. RetransmitMinimal passes an item on a few times only, for values
 // that are soon replaced by newer ones.
 const (
 	RetransmitReliable = 4
 	RetransmitMinimal  = 0
 )
 
-// onceSends is how often a node passes an item on under SpreadOnce.
+// onceSends is how often a node passes an item on under RetransmitMinimal.
 const onceSends = 2
 
 // item is something to pass on.
@@ -28,7 +28,7 @@
 	order uint64
 }
 
-// Queue holds the items that a node still passes on, at most one for a key.
+// BroadcastQueue holds the items that a node still passes on, at most one for a key.
 // It is not safe for concurrent use.
 type BroadcastQueue[Key comparable, Value any] struct {
 	items   map[Key]*item[Key, Value]
@@ -37,9 +37,9 @@
 	counter uint64
 }
 
-// NewQueue returns a queue that keeps at most limit items; of more, those that
-// were passed on most often are dropped first. The factor is SpreadSurely or
-// SpreadOnce.
+// NewBroadcastQueue returns a queue that keeps at most limit items; of more, those that
+// were passed on most often are dropped first. The factor is RetransmitReliable or
+// RetransmitMinimal.
 func NewBroadcastQueue[Key comparable, Value any](limit, factor int) *BroadcastQueue[Key, Value] {
 	return &BroadcastQueue[Key, Value]{items: map[Key]*item[Key, Value]{}, limit: limit, factor: factor}
 }
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -11,20 +11,20 @@
 	"github.com/thornwalk/thornwalk/state/fingerprint"
 )
 
-// Life names one start of a replica.
+// Incarnation names one start of a replica.
 type Incarnation string
 
-// LifeOf names the start of the replica that tells when it was born, in Unix milliseconds;
+// IncarnationOf names the start of the replica that tells when it was born, in Unix milliseconds;
 // zero if it tells none.
 func IncarnationOf(replica string, born int64) Incarnation {
 	return Incarnation(replica + "/" + strconv.FormatInt(born, 36))
 }
 
 const (
-	// MostLives bounds the lives that are remembered of one request: the largest number of
+	// MaxIncarnations bounds the lives that are remembered of one request: the largest number of
 	// them after which it may be barred.
 	MaxIncarnations = 8
-	// MostTrials is how often a barred request is sent all the same.
+	// MaxTrials is how often a barred request is sent all the same.
 	MaxTrials = 2
 )
 
@@ -36,11 +36,11 @@
 	Route       string                  `msgpack:"r" json:"route"`
 	// Generation rises each time that the request is cleared.
 	Generation uint32 `msgpack:"g" json:"generation"`
-	// Lives are those that ended under the request in this generation, in order.
+	// Incarnations are those that ended under the request in this generation, in order.
 	Incarnations []Incarnation `msgpack:"l" json:"lives,omitempty"`
 	// Trials counts the times that it was sent although it was barred.
 	Trials int `msgpack:"t" json:"trials,omitempty"`
-	// Kept is true if it was barred in this generation or an earlier one: all nodes and the
+	// Persistent is true if it was barred in this generation or an earlier one: all nodes and the
 	// store keep such a record, and that it was cleared.
 	Persistent bool `msgpack:"k" json:"kept,omitempty"`
 	// Age is for how long nothing was learned of it, in milliseconds, as its teller knows.
@@ -84,7 +84,7 @@
 	r.Incarnations, r.Trials = nil, 0
 }
 
-// Weight rises with each change of the record.
+// ChangeCount rises with each change of the record.
 func (r *Record) ChangeCount() int64 {
 	weight := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
 	if r.Persistent {
@@ -104,14 +104,14 @@
 	return sum.Sum64()
 }
 
-// Mark tells nodes that know the same apart from others: Weight rises with all that is
+// Summary tells nodes that know the same apart from others: Weight rises with all that is
 // learned, and Digest differs between records that differ.
 type Summary struct {
 	ChangeCount int64
 	Digest      uint64
 }
 
-// MarkOf returns that of the records.
+// SummaryOf returns that of the records.
 func SummaryOf(records []Record) Summary {
 	var mark Summary
 	for i := range records {
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -29,12 +29,12 @@
 	Event(replica structs.ReplicaID, event structs.CacheEvent)
 }
 
-// View maps prefix blocks to the replicas thought to hold them.
+// LRUIndex maps prefix blocks to the replicas thought to hold them.
 type LRUIndex struct {
 	blocks *simplelru.LRU[uint64, []structs.ReplicaID]
 }
 
-// NewView returns a view of at most capacity blocks.
+// NewLRUIndex returns a view of at most capacity blocks.
 func NewLRUIndex(capacity int) *LRUIndex {
 	blocks, err := simplelru.NewLRU[uint64, []structs.ReplicaID](max(capacity, 1), nil)
 	if err != nil {
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -19,7 +19,7 @@
 	LimitUnknown LimitState = iota
 	// LimitNone means that the replica takes any rate.
 	LimitNone
-	// LimitNamed means that it takes PerSecond.
+	// LimitSet means that it takes PerSecond.
 	LimitSet
 )
 
@@ -33,7 +33,7 @@
 	PerSecond float64
 }
 
-// Statement is what one answer says. The zero value says nothing.
+// Signals is what one answer says. The zero value says nothing.
 type Signals struct {
 	// Leaving is true if the replica takes no new requests until it ends.
 	Leaving bool
@@ -42,13 +42,13 @@
 	Pause time.Duration
 }
 
-// Known is a limit with the instant as of which it holds.
+// TimedLimit is a limit with the instant as of which it holds.
 type TimedLimit struct {
 	Limit Limit
 	AsOf  structs.Instant
 }
 
-// Put takes the limit over if it is later than the one that is held, and returns whether it is
+// Update takes the limit over if it is later than the one that is held, and returns whether it is
 // another one. What was never named does not end.
 func (k *TimedLimit) Update(limit Limit, asOf structs.Instant) bool {
 	isFirst := k.Limit.State == LimitUnknown
@@ -60,10 +60,10 @@
 	return limit != before
 }
 
-// IsNamed returns whether there is a limit.
+// IsSet returns whether there is a limit.
 func (k *TimedLimit) IsSet() bool { return k.Limit.State == LimitSet }
 
-// Life is one start of a replica. One that starts again under its id says nothing of what it said
+// Incarnation is one start of a replica. One that starts again under its id says nothing of what it said
 // before.
 type Incarnation struct {
 	//lint:ignore U1000 the codec reads the tag
@@ -74,12 +74,12 @@
 	Born int64
 }
 
-// LifeOf returns the life of the replica as it is listed.
+// IncarnationOf returns the life of the replica as it is listed.
 func IncarnationOf(replica replicas.Replica) Incarnation {
 	return Incarnation{Replica: replica.ID, Born: replica.StartedAt}
 }
 
-// Note is what a node tells another one of a replica.
+// Report is what a node tells another one of a replica.
 type Report struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -94,7 +94,7 @@
 	Pause time.Duration
 }
 
-// NoteOf returns what is known of the replica's limit.
+// ReportOf returns what is known of the replica's limit.
 func (k *TimedLimit) ReportOf(now structs.Instant, life Incarnation) Report {
 	return Report{Life: life, Limit: k.Limit, Age: now - k.AsOf}
 }
@@ -123,25 +123,25 @@
 // trialTime is how long the answer to a request on trial is waited for before the next one.
 const trialTime = time.Second
 
-// Book is what replicas said to one node. It is not safe for concurrent use.
+// Tracker is what replicas said to one node. It is not safe for concurrent use.
 type Tracker struct {
 	records map[Incarnation]*record
 }
 
-// NewBook returns an empty book.
+// NewTracker returns an empty book.
 func NewTracker() *Tracker { return &Tracker{records: map[Incarnation]*record{}} }
 
 // Change is what an answer changed of what the book holds of a replica.
 type Change struct {
-	// Left is true if the replica says for the first time that it leaves.
+	// StartedLeaving is true if the replica says for the first time that it leaves.
 	StartedLeaving bool
-	// Limited is true if the limit is another one than before, or ended.
+	// LimitChanged is true if the limit is another one than before, or ended.
 	LimitChanged bool
-	// Paused is true if the replica asks for a pause.
+	// PauseRequested is true if the replica asks for a pause.
 	PauseRequested bool
 }
 
-// Hear enters what an answer says that arrived now to a request sent at the given instant. An
+// Observe enters what an answer says that arrived now to a request sent at the given instant. An
 // answer without a limit ends one only if its request was sent after that was heard: answers
 // overtake each other.
 func (b *Tracker) Observe(now, sent structs.Instant, life Incarnation, said Signals) Change {
@@ -193,7 +193,7 @@
 	}
 }
 
-// HearLimit enters what another node knows of a replica's limit.
+// MergeLimit enters what another node knows of a replica's limit.
 func (b *Tracker) MergeLimit(now structs.Instant, note Report) {
 	held := b.records[note.Life]
 	if held == nil {
@@ -219,7 +219,7 @@
 	return held != nil && held.leaving
 }
 
-// Notes returns what the node that schedules has to know of those replicas that are picked.
+// Reports returns what the node that schedules has to know of those replicas that are picked.
 func (b *Tracker) Reports(now structs.Instant, picks func(life Incarnation) bool) []Report {
 	var notes []Report
 	for life, held := range b.records {
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -181,7 +181,7 @@
 	return true
 }
 
-// Below returns the waiting requests of ranks greater than the given one,
+// LowerTiers returns the waiting requests of ranks greater than the given one,
 // which are lower tiers, lowest first.
 func (q *Queue) LowerTiers(rank structs.Rank) []*structs.Request {
 	var requests []*structs.Request
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -17,7 +17,7 @@
 	Key    string `msgpack:"k"`
 }
 
-// State is how far a keyed request has come.
+// Progress is how far a keyed request has come.
 type Progress uint8
 
 const (
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -31,7 +31,7 @@
 // Key returns the key of a text.
 func Key(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Choose returns up to count members, heaviest first.
+// Top returns up to count members, heaviest first.
 func Top(members []string, key uint64, count int) []string {
 	if count > len(members) {
 		count = len(members)
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -17,7 +17,7 @@
 
 // Replica is one life of a server of a service.
 type Replica struct {
-	// ID names the server; one that starts again has another id or another Born.
+	// ID names the server; one that starts again has another id or another StartedAt.
 	ID      string `msgpack:"i" json:"id"`
 	Service string `msgpack:"s" json:"service"`
 	// Address is IP and port; it may pass to another service later.
@@ -29,16 +29,16 @@
 	Slots int `msgpack:"n" json:"slots"`
 	// Draining closes the replica to new work.
 	Draining bool `msgpack:"d" json:"draining"`
-	// Revision is the place of the entry in the store's history.
+	// Position is the place of the entry in the store's history.
 	Position structs.StorePosition `msgpack:"r" json:"revision"`
-	// Born is when it started, in Unix milliseconds by its own clock; zero if it tells none.
+	// StartedAt is when it started, in Unix milliseconds by its own clock; zero if it tells none.
 	// One that starts again may take the id that it had.
 	StartedAt int64 `msgpack:"b,omitempty" json:"born,omitempty"`
 	// Warmup is for how much longer the replica stayed cold when it wrote the entry.
 	Warmup time.Duration `msgpack:"w,omitempty" json:"warmup,omitempty"`
 }
 
-// IsSameLife returns whether both are of one start of the server. Starts are told apart and
+// IsSameIncarnation returns whether both are of one start of the server. Starts are told apart and
 // not put in order: the server's clock may have been set back between them.
 func (r *Replica) IsSameIncarnation(other Replica) bool {
 	return r.ID == other.ID && r.StartedAt == other.StartedAt
@@ -80,16 +80,16 @@
 	return &Table{doubted: map[string]bool{}, byID: map[string]Replica{}, removed: map[string]removed{}}
 }
 
-// Revision returns the store's revision up to which the table is complete.
+// CompleteTo returns the store's revision up to which the table is complete.
 func (t *Table) CompleteTo() structs.StorePosition { return t.revision }
 
-// Version rises with each change that matters to placement.
+// ChangeCount rises with each change that matters to placement.
 func (t *Table) ChangeCount() uint64 { return t.version }
 
-// SetRevision records that all changes up to the revision were applied.
+// SetCompleteTo records that all changes up to the revision were applied.
 func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.revision = max(t.revision, revision) }
 
-// SetRestored tells that the store came back from a copy: what it lists brings no replica back
+// SetRestoreWindow tells that the store came back from a copy: what it lists brings no replica back
 // that left since the copy was made. It ends with the zero value, when the entry of a replica that
 // left has run out: what is listed then lives.
 func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
@@ -129,16 +129,16 @@
 	return found
 }
 
-// Doubt records that the replica's entry vanished while the store was unwell,
+// MarkUnconfirmed records that the replica's entry vanished while the store was unwell,
 // which need not mean that the replica is gone: it stays until its entry comes back
-// or RemoveDoubted is called.
+// or RemoveUnconfirmed is called.
 func (t *Table) MarkUnconfirmed(id string) {
 	if known, found := t.byID[id]; found && !known.Draining {
 		t.doubted[id] = true
 	}
 }
 
-// RemoveDoubted removes the replicas whose entries did not come back, and returns
+// RemoveUnconfirmed removes the replicas whose entries did not come back, and returns
 // their ids.
 func (t *Table) RemoveUnconfirmed(now structs.Instant) []string {
 	gone := make([]string, 0, len(t.doubted))
@@ -152,7 +152,7 @@
 	return gone
 }
 
-// Absence returns the place at which a replica is gone that a complete list as of the revision
+// RemovalPosition returns the place at which a replica is gone that a complete list as of the revision
 // does not hold: of a store that came back from a copy the revision may come before the entry.
 func (t *Table) RemovalPosition(id string, revision structs.StorePosition) structs.StorePosition {
 	if known := t.byID[id].Position; t.restored.IsBefore(revision, known) {
@@ -178,7 +178,7 @@
 	return gone
 }
 
-// Latest returns the revision of the latest change that was applied.
+// LatestPosition returns the revision of the latest change that was applied.
 func (t *Table) LatestPosition() structs.StorePosition { return t.latest }
 
 // RemovedSince returns, with their revisions, the removals after the revision and those of
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -6,26 +6,26 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Use says how a replica of some version may be used.
+// Access says how a replica of some version may be used.
 type Access uint8
 
 // The uses of a version's replicas.
 const (
-	// UseFree: like any other replica.
+	// AccessUnrestricted: like any other replica.
 	AccessUnrestricted Access = iota
-	// UseBudgeted: only for a request that is counted against what the version may get
+	// AccessBudgeted: only for a request that is counted against what the version may get
 	// until it is judged.
 	AccessBudgeted
-	// UseBarred: for no new request.
+	// AccessDenied: for no new request.
 	AccessDenied
 )
 
 // VersionPolicy says which versions of a service's replicas get new requests. The zero
-// value lets all of them. Without a phase only Barred counts.
+// value lets all of them. Without a phase only Excluded counts.
 type VersionPolicy struct {
 	// Service is empty if no roll-out of the service is known.
 	Service string
-	// Order is the revision of the order that the policy follows from.
+	// OrderPosition is the revision of the order that the policy follows from.
 	OrderPosition  structs.StorePosition
 	Target, Stable string
 	Excluded       []string
@@ -35,7 +35,7 @@
 // Active returns whether any version is restricted.
 func (p *VersionPolicy) Active() bool { return p.Service != "" }
 
-// Use returns how a replica of the version may be used.
+// AccessFor returns how a replica of the version may be used.
 func (p *VersionPolicy) AccessFor(version string) Access {
 	switch {
 	case !p.Active():
@@ -78,7 +78,7 @@
 // maximumBarred bounds the versions that a record remembers as not to be used.
 const maximumBarred = 8
 
-// Begin returns the first record of the order, which follows the service's earlier one;
+// NewRecord returns the first record of the order, which follows the service's earlier one;
 // that one may be empty. A version whose roll-out did not end well stays barred, and the
 // service goes back to the version that it had before, or to the one that was completed.
 // A target that the service has already, or that had replicas before the order, needs no
--- a/state/rollouts/rollouts.go
+++ b/state/rollouts/rollouts.go
@@ -4,7 +4,7 @@
 //
 // Guarantees: of two orders for a service the later one by the store's revision holds, and
 // of two records of progress likewise, whatever older news arrives later. A replica of a
-// version that nothing here explains yet is not used (Policy, VersionPolicy.Use).
+// version that nothing here explains yet is not used (Policy, VersionPolicy.AccessFor).
 package rollouts
 
 import (
@@ -20,7 +20,7 @@
 	Target  string `msgpack:"t" json:"target_version"`
 	// Duration is the time in which the service is to be moved.
 	Duration time.Duration `msgpack:"d" json:"duration"`
-	// Revision is the store's revision of the order.
+	// Position is the store's revision of the order.
 	Position structs.StorePosition `msgpack:"r" json:"revision"`
 }
 
@@ -29,14 +29,14 @@
 
 // The phases of a roll-out, in their order.
 const (
-	// PhaseJudging: a bounded share of the requests goes to the target version.
+	// PhaseCanary: a bounded share of the requests goes to the target version.
 	PhaseCanary Phase = iota + 1
 	// PhaseSwitching: the target was found good and gets every new request; requests still
 	// run at the other versions.
 	PhaseSwitching
 	// PhaseCompleted: nothing runs at the other versions, which stop.
 	PhaseCompleted
-	// PhaseReturning: the target was found bad or could not be judged and gets no new
+	// PhaseRollingBack: the target was found bad or could not be judged and gets no new
 	// request, which not every node may know yet.
 	PhaseRollingBack
 	// PhaseRolledBack: no node sends to the target any more.
@@ -52,19 +52,19 @@
 	return "unknown"
 }
 
-// Ended returns whether nothing is left to do.
+// IsTerminal returns whether nothing is left to do.
 func (p Phase) IsTerminal() bool { return p == PhaseCompleted || p == PhaseRolledBack }
 
 // Evidence counts the answers on one route while the target was judged.
 type Evidence struct {
-	// Good and Bad are of the target's answers, OldGood and OldBad of the others'.
+	// Good and Bad are of the target's answers, BaselineGood and BaselineBad of the others'.
 	Good         int `msgpack:"g" json:"good"`
 	Bad          int `msgpack:"b" json:"bad"`
 	BaselineGood int `msgpack:"h" json:"old_good"`
 	BaselineBad  int `msgpack:"c" json:"old_bad"`
 }
 
-// Plus returns the sum of both.
+// Add returns the sum of both.
 func (e Evidence) Add(other Evidence) Evidence {
 	return Evidence{Good: e.Good + other.Good, Bad: e.Bad + other.Bad, BaselineGood: e.BaselineGood + other.BaselineGood, BaselineBad: e.BaselineBad + other.BaselineBad}
 }
@@ -73,10 +73,10 @@
 // the condition that nobody wrote it since it was read.
 type Record struct {
 	Service string `msgpack:"s" json:"service"`
-	// Order is the revision of the order.
+	// OrderPosition is the revision of the order.
 	OrderPosition structs.StorePosition `msgpack:"o" json:"order"`
 	Target        string                `msgpack:"t" json:"target"`
-	// Stable is the version that the service goes back to, and Barred are versions that
+	// Stable is the version that the service goes back to, and Excluded are versions that
 	// were rolled back or whose roll-out was replaced before its end.
 	Stable   string   `msgpack:"v" json:"stable"`
 	Excluded []string `msgpack:"x" json:"barred,omitempty"`
@@ -90,9 +90,9 @@
 	Exposed  int `msgpack:"e" json:"exposed"`
 	// Elapsed is the time from the order to the write, at least.
 	Elapsed time.Duration `msgpack:"l" json:"elapsed"`
-	// Routes has the evidence by the name of the route.
+	// EvidenceByRoute has the evidence by the name of the route.
 	EvidenceByRoute map[string]Evidence `msgpack:"u" json:"routes,omitempty"`
-	// Revision is the store's revision of the record; zero means that there is none.
+	// Position is the store's revision of the record; zero means that there is none.
 	Position structs.StorePosition `msgpack:"r" json:"-"`
 }
 
@@ -128,13 +128,13 @@
 	return held
 }
 
-// Known returns the revision up to which all orders and records are known.
+// CompleteTo returns the revision up to which all orders and records are known.
 func (t *Table) CompleteTo() structs.StorePosition { return t.knownTo }
 
-// SetKnown records that all changes up to the revision were applied.
+// SetCompleteTo records that all changes up to the revision were applied.
 func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.knownTo = max(t.knownTo, revision) }
 
-// SetRestored tells that the store came back from a copy: what it lists takes back no order or
+// SetRestoreWindow tells that the store came back from a copy: what it lists takes back no order or
 // record that came later, and an order like the known one is that one, written again. It ends with
 // the zero value.
 func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
@@ -178,7 +178,7 @@
 	return true
 }
 
-// Lost returns the services whose records the store of that era may lack, by name.
+// ServicesToRewrite returns the services whose records the store of that era may lack, by name.
 func (t *Table) ServicesToRewrite(era int64) []string {
 	var names []string
 	for _, service := range t.Services() {
@@ -190,7 +190,7 @@
 	return names
 }
 
-// IsBehind returns whether the record tells of an earlier state than the other: of an earlier
+// IsOlderThan returns whether the record tells of an earlier state than the other: of an earlier
 // order, or of the same one after a shorter time.
 func (r *Record) IsOlderThan(other Record) bool {
 	if r.OrderPosition != other.OrderPosition {
@@ -199,7 +199,7 @@
 	return r.Phase < other.Phase || r.Phase == other.Phase && r.Elapsed < other.Elapsed
 }
 
-// ReplaceRecord takes over what the store itself just said of the record, also if that is
+// OverwriteRecord takes over what the store itself just said of the record, also if that is
 // older than what was known, or nothing.
 func (t *Table) OverwriteRecord(now structs.Instant, record Record) {
 	held := t.of(record.Service)
@@ -261,7 +261,7 @@
 	return orders, records
 }
 
-// Latest returns the revision of the latest order or record.
+// LatestPosition returns the revision of the latest order or record.
 func (t *Table) LatestPosition() structs.StorePosition {
 	latest := structs.StorePosition(0)
 	for _, held := range t.services {
--- a/structs/replica.go
+++ b/structs/replica.go
@@ -34,7 +34,7 @@
 	Zone    string    `msgpack:"z" json:"zone"`
 	Address string    `msgpack:"a" json:"address"`
 	Kind    Kind      `msgpack:"k" json:"kind"`
-	// Generation names the hardware; speeds are learned per generation
+	// HardwareGeneration names the hardware; speeds are learned per generation
 	// before they are known per replica.
 	HardwareGeneration string `msgpack:"g" json:"generation"`
 	// ChecksFence is true when the engine refuses orders with a stale fence.
--- a/structs/store_position.go
+++ b/structs/store_position.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Place is a point in the history of the store: the era, which rises by one each time the store
+// StorePosition is a point in the history of the store: the era, which rises by one each time the store
 // comes back from a copy, and the revision within it. A store that comes back from a copy gives
 // revisions out again, so that a revision alone tells nothing of what came first: ordered by it,
 // all of 30 requests went to a replica that had left three seconds before.
@@ -15,7 +15,7 @@
 // second 87 years. Eight million eras are left.
 const revisionBits = 40
 
-// PlaceOf returns the place of the revision in the era. It fails if either is negative or too
+// NewStorePosition returns the place of the revision in the era. It fails if either is negative or too
 // large.
 func NewStorePosition(era, revision int64) (StorePosition, error) {
 	if era < 0 || era >= 1<<(63-revisionBits) || revision < 0 || revision >= 1<<revisionBits {
@@ -33,7 +33,7 @@
 // String returns both for people.
 func (p StorePosition) String() string { return fmt.Sprintf("%d.%d", p.Era(), p.Revision()) }
 
-// Restored tells of a store that came back from a copy so lately that its writers need not have
+// RestoreWindow tells of a store that came back from a copy so lately that its writers need not have
 // written again what it lost. Until they have, what it lists may be older than what is known.
 type RestoreWindow struct {
 	// Base is the era of before, and Era the present one: equal if nothing is restored.
@@ -43,7 +43,7 @@
 	Listed int64
 }
 
-// Effective returns the place by which an entry is ordered: one that may be of the copy has the
+// OrderingPosition returns the place by which an entry is ordered: one that may be of the copy has the
 // place that its revision had before, so that it takes back nothing that came later.
 func (r RestoreWindow) OrderingPosition(p StorePosition) StorePosition {
 	if p.Era() <= r.Base || p.Era() > r.Era || p.Revision() > r.Listed {
