--- a/coordination/dissemination/doc.go
+++ b/coordination/dissemination/doc.go
@@ -1,14 +1,13 @@
-// Package dissemination decides how a version of the configuration goes from node to node.
+// Package dissemination distributes versions of the configuration between nodes.
 //
-// A version is a manifest of parts that are named by their content (package catalog).
-// A node that is behind names the parts it has and is sent only what it lacks, in
-// replies of a bounded length; what came is kept when a later reply does not. A node
-// sends to a few others at once and names nodes that have the version already to the
-// rest, so that no link carries more than its share, however many nodes there are.
+// A version is a manifest of parts that are identified by the hash of their content (package
+// catalog). A node that is behind requests the parts that it lacks, in replies of bounded length,
+// and keeps them if a later reply fails. A node sends to a few others at once and refers the rest
+// to nodes that already have the version, so that the load on each link doesn't grow with the
+// number of nodes.
 //
-// Guarantees: a document is returned only once every part of its manifest is here and
-// each part fits its name. At most two versions are held, the one in force and the one
-// that is fetched, and they share their parts.
+// A document is returned only once all parts of its manifest are present and match their hashes.
+// At most two versions are held, the active one and the one being fetched; they share parts.
 //
-// The package does no I/O and reads no clock. Its types are safe for concurrent use.
+// The package does no I/O. Its types are safe for concurrent use.
 package dissemination
--- a/coordination/liveness/delegates.go
+++ b/coordination/liveness/delegates.go
@@ -6,38 +6,35 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// In a small fleet every node knows every other one. Were that so in a large one, the work of each
-// node would grow with the fleet, and that of a start of all nodes with its cube. So in a large
-// fleet a few nodes of each zone, its delegates, beat to all nodes, and are the only ones that do
-// work for all; the others beat to the delegates of their own zone and to the scheduling node.
-// Each node finds by itself whether it is a delegate, from the delegates of its zone that it hears.
+// If every node exchanged heartbeats with every other one in a large fleet, the work of each node
+// would grow with the fleet. So in a large fleet only a few nodes of each zone, its delegates,
+// send heartbeats to all nodes, schedule and access the store. The other nodes send heartbeats to
+// the delegates of their own zone and to the scheduling node. Each node derives from the
+// heartbeats that it receives whether it is a delegate.
 
 const (
-	// largeFleet is the number of nodes from which a fleet is large: where all beat to all, each
-	// node hears some 90 heartbeats a second at any size, and at this one they are 1.2 s apart, so
-	// that the death of a node is noticed after 5 s. smallAgain is the number below which a large
-	// fleet is small again.
-	largeFleet = 100
-	smallAgain = 80
-	// delegates is how many nodes of a zone speak for it: with a third of the nodes lost at once,
-	// one in eighty zones loses all of them, and finds new ones within some heartbeats.
-	delegates = 4
-	// namesOfOwnZone is how many nodes of the asking node's zone a list names, so that a zone
-	// whose delegates are all lost finds itself again.
-	namesOfOwnZone = 16
+	// A fleet becomes large above maxSmallFleetNodes and small again below minLargeFleetNodes, so
+	// that its mode doesn't change with each node that comes or goes. With more nodes in a small
+	// fleet, heartbeats would be too rare to detect failures within a few seconds.
+	maxSmallFleetNodes = 100
+	minLargeFleetNodes = 80
+	// delegatesPerZone makes it unlikely that a zone loses all its delegates at once.
+	delegatesPerZone = 4
+	// maxExtraOwnZonePeers bounds the non-delegates of its own zone that a node learns from a
+	// peer list. With them it finds new delegates if the zone has lost all of them.
+	maxExtraOwnZonePeers = 16
 )
 
-// IsLarge returns whether a fleet of so many nodes, which was taken for large before or not, is
-// large now.
-func IsLarge(nodes int, before bool) bool {
-	if before {
-		return nodes >= smallAgain
+// IsLarge reports whether a fleet of the given size counts as large, given whether it did before.
+func IsLarge(nodes int, wasLarge bool) bool {
+	if wasLarge {
+		return nodes >= minLargeFleetNodes
 	}
-	return nodes > largeFleet
+	return nodes > maxSmallFleetNodes
 }
 
-// ReportedFleetSize returns how many nodes the fleet has as its delegates tell. One of them alone may be
-// wrong: of two or more the second largest number counts.
+// ReportedFleetSize returns the fleet size according to the delegates among the members. With two
+// or more reports it returns the second largest, so that one wrong report has no effect.
 func ReportedFleetSize(members []*Member) int {
 	largest, second := 0, 0
 	for _, member := range Delegates(members) {
@@ -53,31 +50,32 @@
 	return second
 }
 
-// Delegates returns the members that may do work for all.
+// Delegates returns the members that are not marked as non-delegates. In a small fleet these are
+// all members.
 func Delegates(members []*Member) []*Member {
-	var core []*Member
+	var delegates []*Member
 	for _, member := range members {
 		if !member.NonDelegate {
-			core = append(core, member)
+			delegates = append(delegates, member)
 		}
 	}
-	return core
+	return delegates
 }
 
-// IsDelegate returns whether the node with the beat speaks for its zone in a large fleet, given
-// the delegates that it hears.
-func IsDelegate(own *Heartbeat, heard []*Member) bool {
+// IsDelegate reports whether the node with the heartbeat own is a delegate of its zone in a large
+// fleet, given the delegates among the members that it receives heartbeats from.
+func IsDelegate(own *Heartbeat, members []*Member) bool {
 	zone := []*Heartbeat{own}
-	for _, member := range Delegates(heard) {
+	for _, member := range Delegates(members) {
 		if member.Zone == own.Zone {
 			zone = append(zone, &member.Heartbeat)
 		}
 	}
-	return slices.Contains(RankNodes(zone, delegates), own.Name)
+	return slices.Contains(RankNodes(zone, delegatesPerZone), own.Name)
 }
 
-// PeersForZone returns what a node of the zone is told of the fleet: the delegates of each zone, and some
-// more nodes of its own.
+// PeersForZone returns the peer list for a node of the zone: the delegates of each zone and some
+// more nodes of its own zone.
 func PeersForZone(live []*Member, zone string) []Peer {
 	zones := map[string][]*Member{}
 	for _, member := range live {
@@ -85,19 +83,19 @@
 	}
 	var peers []Peer
 	for name, members := range zones {
-		peers = append(peers, namesOf(members, name == zone)...)
+		peers = append(peers, zonePeers(members, name == zone)...)
 	}
 	return peers
 }
 
-func namesOf(members []*Member, ownZone bool) []Peer {
+func zonePeers(members []*Member, isOwnZone bool) []Peer {
 	byName := map[string]*Member{}
 	for _, member := range members {
 		byName[member.Name] = member
 	}
-	wanted := RankNodes(Heartbeats(Delegates(members)), delegates)
-	if ownZone {
-		for _, member := range members[:min(len(members), namesOfOwnZone)] {
+	wanted := RankNodes(Heartbeats(Delegates(members)), delegatesPerZone)
+	if isOwnZone {
+		for _, member := range members[:min(len(members), maxExtraOwnZonePeers)] {
 			if !slices.Contains(wanted, member.Name) {
 				wanted = append(wanted, member.Name)
 			}
@@ -110,37 +108,38 @@
 	return peers
 }
 
-// Size is how many nodes a fleet has.
+// Size is a number of nodes in a fleet or zone.
 type Size struct {
-	// Live are those that are heard of, by this node or the delegates of their zone, and Known
-	// also those that fell silent lately.
+	// Live counts the nodes whose heartbeats arrive at this node or at the delegates of their
+	// zone. Known also counts nodes that became silent recently.
 	Live, Known int
 }
 
-// Size returns the size of a large fleet as this node of the zone, which counts itself, and the
-// delegates of each zone know it, and the size of its own zone by its own ears.
+// Size returns the size of a large fleet and the size of this node's zone, each including this
+// node. The fleet's size combines what this node observes with what the delegates of each zone
+// report; the zone's size is only what this node observes.
 func (t *Table) Size(now structs.Instant, own string) (fleet, zone Size) {
-	type count struct{ heard, told Size }
-	zones := map[string]*count{own: {heard: Size{Live: 1, Known: 1}}}
+	type zoneCount struct{ observed, reported Size }
+	zones := map[string]*zoneCount{own: {observed: Size{Live: 1, Known: 1}}}
 	for _, member := range t.members {
-		if !member.known {
-			continue // nobody told its zone
+		if !member.confirmed {
+			continue // its zone is unknown
 		}
-		counted, found := zones[member.Zone]
+		count, found := zones[member.Zone]
 		if !found {
-			counted = &count{}
-			zones[member.Zone] = counted
+			count = &zoneCount{}
+			zones[member.Zone] = count
 		}
-		counted.heard.Known++
-		counted.told.Known = max(counted.told.Known, member.ZoneKnown)
-		if member.live(now, 1) {
-			counted.heard.Live++
-			counted.told.Live = max(counted.told.Live, member.ZoneLive)
+		count.observed.Known++
+		count.reported.Known = max(count.reported.Known, member.ZoneKnown)
+		if member.isLive(now, 1) {
+			count.observed.Live++
+			count.reported.Live = max(count.reported.Live, member.ZoneLive)
 		}
 	}
-	for _, counted := range zones {
-		fleet.Live += max(counted.heard.Live, counted.told.Live)
-		fleet.Known += max(counted.heard.Known, counted.told.Known)
+	for _, count := range zones {
+		fleet.Live += max(count.observed.Live, count.reported.Live)
+		fleet.Known += max(count.observed.Known, count.reported.Known)
 	}
-	return fleet, zones[own].heard
+	return fleet, zones[own].observed
 }
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -1,10 +1,9 @@
-// Package liveness holds what a node knows of the other nodes from their
-// heartbeats: who was heard of lately, and where they are. Every node's heartbeats
-// come to every other one: directly within a zone and between small zones, else by way
-// of a node of the receiver's zone (relay.go). So each judges by its own ears whom it
-// can reach, and a failed call tells it where a relay reaches farther than it does.
+// Package liveness tracks the other nodes of the fleet by their heartbeats: which are live, which
+// are eligible to schedule, and which relay heartbeats into other zones. Heartbeats travel
+// directly within a zone and between small zones, otherwise through a relay node in the
+// receiver's zone, so that a node can receive heartbeats from a node that it can't reach itself.
 //
-// The table is passive: it does no I/O and reads no clock.
+// The types do no I/O, read no clock and are not safe for concurrent use.
 package liveness
 
 import (
@@ -16,22 +15,20 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Heartbeat is the content of a heartbeat.
+// Heartbeat is the state that a node periodically sends to other nodes.
 type Heartbeat struct {
 	Name    string `msgpack:"n"`
 	Zone    string `msgpack:"z"`
 	Address string `msgpack:"a"`
-	// Cores is the share of processors that the process may use.
+	// Cores is the number of processors that the process may use; it can be fractional.
 	Cores float64 `msgpack:"c"`
-	// LinkMbps is the bandwidth of the sender's machine in megabits a second; zero means
-	// that it is not known.
+	// LinkMbps is the bandwidth of the sender's machine in Mbit/s; zero means unknown.
 	LinkMbps float64 `msgpack:"m"`
-	// IntervalMS is the time to the sender's next heartbeat, in milliseconds. Nodes
-	// that others wait for beat more often than the rest.
+	// IntervalMS is the time until the sender's next heartbeat, in milliseconds.
 	IntervalMS int64 `msgpack:"b"`
 	// Incarnation differs for each start of the node's process.
 	Incarnation uint64 `msgpack:"i"`
-	// Term rises when the process forgot what it had scheduled.
+	// Term increases when the process discards its scheduling state.
 	Term    uint64 `msgpack:"t"`
 	Leaving bool   `msgpack:"l"`
 	// Scheduler is the node that schedules for the sender.
@@ -40,67 +37,67 @@
 	Slow bool `msgpack:"sl,omitempty"`
 	// StoreUnreachable is true if the node can't reach the store.
 	StoreUnreachable bool `msgpack:"s"`
-	// Version is the configuration's and LatestPosition the revision of the latest
-	// change of the replicas that the node knows.
+	// Version is the sender's version of the configuration. LatestPosition is the store position
+	// of the latest replica or roll-out change that it has.
 	Version        int64                 `msgpack:"v"`
 	LatestPosition structs.StorePosition `msgpack:"r"`
-	// Era is the store's present era as far as the sender knows. If the store came back from a
-	// copy lately, RestoreWindow tells of it, and RestoreAgeMS for how long the sender has known so, in
-	// milliseconds.
+	// Era is the store's current era as known to the sender. If the store was restored recently,
+	// RestoreWindow describes that, and RestoreAgeMS is the time for which the sender has known
+	// it, in milliseconds.
 	Era           int64                  `msgpack:"er,omitempty"`
 	RestoreWindow *structs.RestoreWindow `msgpack:"rs,omitempty"`
 	RestoreAgeMS  int64                  `msgpack:"ra,omitempty"`
-	// ReplicasAgeMS is the age of the latest complete read of the store that the sender
-	// has the result of, by itself or from another node, in milliseconds. It is
+	// ReplicasAgeMS is the age of the latest complete read of the replicas from the store whose
+	// result the sender has, from its own read or from another node, in milliseconds. It is
 	// negative if there was none.
 	ReplicasAgeMS int64 `msgpack:"u"`
-	// ConfigurationAgeMS is the same for the configuration, which is read more rarely.
+	// ConfigurationAgeMS is the same for the configuration.
 	ConfigurationAgeMS int64 `msgpack:"x"`
 	// InFlight counts the node's requests in progress by replica.
 	InFlight map[string]InFlightCount `msgpack:"h"`
-	// StoreHealthyMS is for how long the sender has followed the store without any trouble,
-	// in milliseconds; zero if it does not follow it.
+	// StoreHealthyMS is the time for which the sender has watched the store without failures, in
+	// milliseconds; zero if it does not watch it.
 	StoreHealthyMS int64 `msgpack:"w"`
-	// FailingReplicas names replicas that fail for this node.
+	// FailingReplicas lists the replicas that fail for this node.
 	FailingReplicas []string `msgpack:"f"`
-	// BucketLevels tells, if the sender schedules or did until just now, what tenants may take at once,
-	// of those that are not near their full burst. Who takes over goes on from there. Nil means
-	// that nothing is told. To a newcomer it is what the sender heard BucketLevelsAgeMS milliseconds ago.
+	// BucketLevels are the tokens in the buckets of the tenants that are not near their full
+	// burst. It is sent while the sender schedules and for a short time afterwards, so that the
+	// next scheduler can continue with them; otherwise it is nil. In a heartbeat to a new node it
+	// may hold levels that the sender received BucketLevelsAgeMS milliseconds ago.
 	BucketLevels      map[string]float64 `msgpack:"q"`
 	BucketLevelsAgeMS int64              `msgpack:"qa,omitempty"`
-	// Usage tells, if the sender schedules or did until just now, what it handed out of tenants'
-	// quotas; nil means that nothing is told.
+	// Usage is what the sender granted of the tenants' quotas. It is sent while the sender
+	// schedules and for a short time afterwards; otherwise it is nil.
 	Usage *QuotaUsage `msgpack:"lg,omitempty"`
-	// KnownNodes is how many other nodes the sender knows by name or is just being told of.
+	// KnownNodes is the number of other nodes that the sender knows by name, or the length of a
+	// peer list that it is receiving, if that is larger.
 	KnownNodes int `msgpack:"k"`
-	// Peers are a few nodes that the sender knows.
+	// Peers are some nodes that the sender knows.
 	Peers []Peer `msgpack:"p"`
-	// Rollouts tells how far the sender knows each roll-out that is not at its end, by
-	// service.
+	// Rollouts is the sender's view of each unfinished roll-out, by service.
 	Rollouts map[string]RolloutView `msgpack:"g,omitempty"`
-	// Evacuations are the orders to empty zones, and to take them back, that the sender knows.
+	// Evacuations are the orders to evacuate zones, and to lift that, that the sender knows.
 	Evacuations []evacuations.Order `msgpack:"ev,omitempty"`
-	// Poison marks what the sender knows of requests that replicas ended under; nil if it
-	// knows none.
+	// Poison summarizes the sender's records of poison requests; nil if it has none.
 	Poison *PoisonSummary `msgpack:"ct,omitempty"`
-	// NonDelegate is true if the sender does no work for all: others of its zone are its delegates.
+	// NonDelegate is true if the sender is not a delegate of its zone in a large fleet.
 	NonDelegate bool `msgpack:"od,omitempty"`
-	// ZoneLive and ZoneKnown are how many nodes of its zone the sender hears, and knows.
+	// ZoneLive and ZoneKnown are the numbers of live and of known nodes in the sender's zone.
 	ZoneLive  int `msgpack:"zl,omitempty"`
 	ZoneKnown int `msgpack:"zk,omitempty"`
-	// FleetSize is how many nodes the sender takes the fleet to have.
+	// FleetSize is the sender's estimate of the number of nodes in the fleet.
 	FleetSize int `msgpack:"fl,omitempty"`
-	// CanRelay is true if the sender passes heartbeats on to its zone when it is asked to.
+	// CanRelay is true if the sender relays heartbeats to its zone on request.
 	CanRelay bool `msgpack:"e,omitempty"`
-	// RelayRequested asks the receiver to send the heartbeat to all nodes of its zone.
+	// RelayRequested asks the receiver to relay the heartbeat to all nodes of its zone.
 	RelayRequested bool `msgpack:"y,omitempty"`
-	// Relayed is true if the heartbeat came from a node that passed it on.
+	// Relayed is true if another node relayed the heartbeat.
 	Relayed bool `msgpack:"o,omitempty"`
-	// RelayedTo makes this the confirmation of a heartbeat that was to be passed on: it
-	// counts the nodes of the sender's zone that have it now, the sender included.
+	// RelayedTo, if positive, makes this the confirmation of a relayed heartbeat. It is the
+	// number of nodes in the sender's zone that were sent it, including the sender.
 	RelayedTo int `msgpack:"j,omitempty"`
-	// WantsReply is true if the sender wants a heartbeat sent straight back, and WantsPeers if that is to
-	// name other nodes.
+	// WantsReply asks the receiver for an immediate heartbeat, and WantsPeers for one with a peer
+	// list.
 	WantsReply bool `msgpack:"d,omitempty"`
 	WantsPeers bool `msgpack:"dn,omitempty"`
 }
@@ -110,44 +107,45 @@
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Total is all of them and External those that the node's present scheduler
-	// did not place.
+	// Total counts all of them. External counts those that a scheduler other than the node's
+	// current one assigned, or the current one in an earlier term.
 	Total    int `msgpack:"t"`
 	External int `msgpack:"f"`
 }
 
-// PoisonSummary tells whether two nodes know the same of requests that replicas ended under.
+// PoisonSummary shows whether two nodes have the same records of poison requests.
 type PoisonSummary struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Weight rises with all that is learned, and Digest differs if what is known does.
+	// Weight increases with each change of the records. Digest is a hash of them.
 	Weight int64
 	Digest uint64
 }
 
-// QuotaUsage is what a node handed out of tenants' quotas since it began to schedule.
+// QuotaUsage is what a node granted of the tenants' quotas since it became scheduler.
 type QuotaUsage struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Epoch differs for each time that the sender's process began to schedule, and Led is for how
-	// many milliseconds it has.
+	// Epoch identifies the period in which the sender's process has been scheduler, and Led is
+	// the length of that period so far, in milliseconds.
 	Epoch uint64
 	Led   int64
-	// Taken is by tenant, of those that are not near their full burst.
+	// Taken is the granted amount by tenant, for tenants that are not near their full burst.
 	Taken map[string]float64
 }
 
-// RolloutView is what a node knows and does of one roll-out.
+// RolloutView is a node's view of one roll-out.
 type RolloutView struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// OrderPosition is the store's revision of the order and Phase the phase that the node goes by.
+	// OrderPosition is the store position of the order, and Phase the phase that the node
+	// applies.
 	OrderPosition structs.StorePosition `msgpack:"o"`
 	Phase         uint8                 `msgpack:"p"`
-	// Busy counts the node's requests at replicas that get no new ones.
+	// Busy counts the node's requests at replicas that get no new requests.
 	Busy int `msgpack:"b"`
 }
 
@@ -157,165 +155,171 @@
 	Address string `msgpack:"a"`
 }
 
-// Member is what is known of another node.
+// Member is another node with its latest heartbeat. It is confirmed once a heartbeat of it has
+// arrived; until then only its name and address are known, from a peer.
 type Member struct {
 	Heartbeat
-	heard     structs.Instant
-	suspected bool
-	known     bool
-	learned   structs.Instant
+	lastHeartbeatAt structs.Instant
+	suspected       bool
+	confirmed       bool
+	addedAt         structs.Instant
 }
 
-// missedBeats is how many heartbeats a node may miss until it is taken for dead,
-// and defaultInterval holds for nodes that do not tell theirs.
+// missedHeartbeats is the number of consecutive heartbeats that a node may miss until it counts
+// as failed. defaultHeartbeatInterval applies to nodes that don't send their interval.
 const (
-	missedBeats     = 4
-	defaultInterval = 100 * time.Millisecond
+	missedHeartbeats         = 4
+	defaultHeartbeatInterval = 100 * time.Millisecond
 )
 
-// FailureTimeout is the silence after which the member is taken for dead.
+// FailureTimeout returns the time without heartbeats after which the member counts as failed.
 func (m *Member) FailureTimeout() time.Duration {
 	if m.IntervalMS <= 0 {
-		return missedBeats * defaultInterval
+		return missedHeartbeats * defaultHeartbeatInterval
 	}
-	return missedBeats * time.Duration(m.IntervalMS) * time.Millisecond
+	return missedHeartbeats * time.Duration(m.IntervalMS) * time.Millisecond
 }
 
-// forgetAfter is how long a silent node is still sent to and counted.
+// forgetAfter is the time without heartbeats after which a member is removed.
 const forgetAfter = 60 * time.Second
 
-// Table is the set of other nodes.
+// Table holds the other nodes that a node knows.
 type Table struct {
 	self    string
 	members map[string]*Member
-	// ordered has the members by name.
-	ordered []*Member
-	// learned counts the members that were never heard of.
-	learned int
+	// sortedByName holds the members in the order of their names.
+	sortedByName []*Member
+	// unconfirmedCount is the number of members that sent no heartbeat yet.
+	unconfirmedCount int
 }
 
-// NewTable returns a table of a node that knows no other.
+// NewTable returns an empty table for the node self.
 func NewTable(self string) *Table { return &Table{self: self, members: map[string]*Member{}} }
 
-// Observe applies a heartbeat. It returns true if the node was silent, unknown or
-// another process before. A suspected node stays suspected until it is heard of without
-// a relay between: the relay may reach it while this node does not.
-func (t *Table) Observe(now structs.Instant, beat Heartbeat) bool {
-	if beat.Name == t.self || beat.Name == "" {
+// Observe applies a heartbeat. It reports whether the node was unknown or not live before, or is
+// a new process. A relayed heartbeat doesn't clear the suspicion against a process, because the
+// relay may reach a node that this one can't reach.
+func (t *Table) Observe(now structs.Instant, heartbeat Heartbeat) bool {
+	if heartbeat.Name == t.self || heartbeat.Name == "" {
 		return false
 	}
-	member, found := t.members[beat.Name]
+	member, found := t.members[heartbeat.Name]
 	if !found {
-		member = &Member{Heartbeat: Heartbeat{Name: beat.Name}}
+		member = &Member{Heartbeat: Heartbeat{Name: heartbeat.Name}}
 		t.add(member)
 	}
-	sameProcess := found && member.Incarnation == beat.Incarnation
-	stillSuspected := sameProcess && member.suspected && beat.Relayed
-	news := !sameProcess || !stillSuspected && !member.live(now, 1)
-	if found && !member.known {
-		t.learned--
+	sameProcess := found && member.Incarnation == heartbeat.Incarnation
+	stillSuspected := sameProcess && member.suspected && heartbeat.Relayed
+	appeared := !sameProcess || !stillSuspected && !member.isLive(now, 1)
+	if found && !member.confirmed {
+		t.unconfirmedCount--
 	}
-	member.Heartbeat, member.heard, member.suspected, member.known = beat, now, stillSuspected, true
-	return news
+	member.Heartbeat, member.lastHeartbeatAt, member.suspected, member.confirmed = heartbeat, now, stillSuspected, true
+	return appeared
 }
 
-// mostLearned bounds the nodes that a table holds by what others tell: a node that tells false
-// names must not fill the memory of all.
-const mostLearned = 1024
+// maxUnconfirmedPeers bounds the members known only from peers, so that a node that sends wrong
+// peer lists can't exhaust the memory of others.
+const maxUnconfirmedPeers = 1024
 
-// AddPeer enters a node that another one told of. It returns true if it was unknown.
+// AddPeer adds a node that a peer named, and reports whether it did. It doesn't if the node is
+// already known or there are too many unconfirmed members.
 func (t *Table) AddPeer(now structs.Instant, peer Peer) bool {
 	if peer.Name == t.self || peer.Name == "" {
 		return false
 	}
-	if _, found := t.members[peer.Name]; found || t.learned >= mostLearned {
+	if _, found := t.members[peer.Name]; found || t.unconfirmedCount >= maxUnconfirmedPeers {
 		return false
 	}
-	t.learned++
-	t.add(&Member{Heartbeat: Heartbeat{Name: peer.Name, Address: peer.Address}, learned: now})
+	t.unconfirmedCount++
+	t.add(&Member{Heartbeat: Heartbeat{Name: peer.Name, Address: peer.Address}, addedAt: now})
 	return true
 }
 
-// add enters a new member where its name belongs: the members are gone through far more often
-// than new ones come.
+// add keeps the members sorted on insertion, because they are iterated far more often.
 func (t *Table) add(member *Member) {
 	t.members[member.Name] = member
-	place, _ := slices.BinarySearchFunc(t.ordered, member.Name, compareName)
-	t.ordered = slices.Insert(t.ordered, place, member)
+	index, _ := slices.BinarySearchFunc(t.sortedByName, member.Name, compareName)
+	t.sortedByName = slices.Insert(t.sortedByName, index, member)
 }
 
 func compareName(member *Member, name string) int { return strings.Compare(member.Name, name) }
 
-// IsSilent returns whether the node is known and nothing is heard of it.
+// IsSilent reports whether the node is known but not live.
 func (t *Table) IsSilent(now structs.Instant, name string) bool {
 	member, found := t.members[name]
-	return found && !member.live(now, 1)
+	return found && !member.isLive(now, 1)
 }
 
-// Known returns how many members the table has, heard of or only learned of.
+// Known returns the number of members, including unconfirmed ones.
 func (t *Table) Known() int { return len(t.members) }
 
-// Suspect takes the node for dead until it is heard of again.
+// Suspect marks the node as failed until a direct heartbeat of it or one of a new process
+// arrives.
 func (t *Table) Suspect(name string) {
 	if member, found := t.members[name]; found {
 		member.suspected = true
 	}
 }
 
-// Suspected returns whether the member is taken for dead since Suspect was called.
+// Suspected reports whether the member was marked by Suspect and has not been cleared since.
 func (m *Member) Suspected() bool { return m.suspected }
 
-// live returns whether the member was heard of within so many times its patience.
-func (m *Member) live(now structs.Instant, times int) bool {
-	return m.known && !m.suspected && now-m.heard < m.FailureTimeout()*time.Duration(times)
+// isLive reports whether the member is not suspected and its last heartbeat is more recent than
+// the given number of failure timeouts.
+func (m *Member) isLive(now structs.Instant, timeouts int) bool {
+	return m.confirmed && !m.suspected && now-m.lastHeartbeatAt < m.FailureTimeout()*time.Duration(timeouts)
 }
 
-// Live returns the members that are not taken for dead, by name.
-func (t *Table) Live(now structs.Instant) []*Member { return t.within(now, 1) }
+// Live returns the members that don't count as failed, by name.
+func (t *Table) Live(now structs.Instant) []*Member { return t.liveWithin(now, 1) }
 
-// PossiblyRunning returns the members that are live or were until a while ago: their
-// processes may still be at work.
-func (t *Table) PossiblyRunning(now structs.Instant) []*Member { return t.within(now, lostFactor) }
+// PossiblyRunning returns the live members and those that were live recently, whose processes may
+// still be running, by name. Suspected members are left out.
+func (t *Table) PossiblyRunning(now structs.Instant) []*Member {
+	return t.liveWithin(now, possiblyRunningTimeouts)
+}
 
-// lostFactor is how many times its patience a member may be silent until its
-// process is reckoned to have ended.
-const lostFactor = 4
+// possiblyRunningTimeouts is the number of failure timeouts after which a silent member's process
+// is assumed to have ended.
+const possiblyRunningTimeouts = 4
 
-func (t *Table) within(now structs.Instant, times int) []*Member {
+func (t *Table) liveWithin(now structs.Instant, timeouts int) []*Member {
 	var live []*Member
-	for _, member := range t.ordered {
-		if member.live(now, times) {
+	for _, member := range t.sortedByName {
+		if member.isLive(now, timeouts) {
 			live = append(live, member)
 		}
 	}
 	return live
 }
 
-// All returns every member that is not forgotten, by name.
+// All removes members that have been silent for too long and returns the others by name.
 func (t *Table) All(now structs.Instant) []*Member {
-	t.ordered = slices.DeleteFunc(t.ordered, func(member *Member) bool {
-		isForgotten := now-max(member.heard, member.learned) > forgetAfter
+	t.sortedByName = slices.DeleteFunc(t.sortedByName, func(member *Member) bool {
+		isForgotten := now-max(member.lastHeartbeatAt, member.addedAt) > forgetAfter
 		if isForgotten {
 			t.forget(member)
 		}
 		return isForgotten
 	})
-	return slices.Clone(t.ordered)
+	return slices.Clone(t.sortedByName)
 }
 
-// PeerSample returns up to so many members, others with each number.
-func (t *Table) PeerSample(number, count int) []Peer {
+// PeerSample returns up to count members in the order of their names, starting at the offset
+// modulo their number.
+func (t *Table) PeerSample(offset, count int) []Peer {
 	var peers []Peer
-	for i := range min(count, len(t.ordered)) {
-		member := t.ordered[(number+i)%len(t.ordered)]
+	for i := range min(count, len(t.sortedByName)) {
+		member := t.sortedByName[(offset+i)%len(t.sortedByName)]
 		peers = append(peers, Peer{Name: member.Name, Address: member.Address})
 	}
 	return peers
 }
 
 func (t *Table) forget(member *Member) {
-	if !member.known {
-		t.learned--
+	if !member.confirmed {
+		t.unconfirmedCount--
 	}
 	delete(t.members, member.Name)
 }
@@ -326,5 +330,5 @@
 	return member, found
 }
 
-// SinceHeartbeat returns for how long the member has not been heard of.
-func (m *Member) SinceHeartbeat(now structs.Instant) time.Duration { return now - m.heard }
+// SinceHeartbeat returns the time since the member's last heartbeat.
+func (m *Member) SinceHeartbeat(now structs.Instant) time.Duration { return now - m.lastHeartbeatAt }
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -7,17 +7,17 @@
 	"github.com/onsi/gomega"
 )
 
-const dead = 400 * time.Millisecond
+const failureTimeout = 400 * time.Millisecond
 
 func names(members []*Member) []string {
-	var all []string
+	var result []string
 	for _, member := range members {
-		all = append(all, member.Name)
+		result = append(result, member.Name)
 	}
-	return all
+	return result
 }
 
-func TestSilentSuspectedAndUnheardNodesAreNotLive(t *testing.T) {
+func TestSilentSuspectedAndUnconfirmedNodesAreNotLive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
 	g.Expect(table.Observe(0, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
@@ -29,21 +29,22 @@
 	table.Suspect("a")
 	g.Expect(table.Live(200 * time.Millisecond)).To(gomega.BeEmpty())
 	g.Expect(table.Observe(300*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
-	g.Expect(table.Live(300*time.Millisecond + dead)).To(gomega.BeEmpty())
+	g.Expect(table.Live(300*time.Millisecond + failureTimeout)).To(gomega.BeEmpty())
 	g.Expect(table.Observe(time.Second, Heartbeat{Name: "a", Incarnation: 2})).To(gomega.BeTrue())
 	g.Expect(table.All(2 * forgetAfter)).To(gomega.BeEmpty())
 }
 
-// A weak node that schedules for all can't keep up in a burst.
-func TestWeakAndLeavingNodesDoNotSchedule(t *testing.T) {
+// Guards against scheduling on a node that is too weak for bursts, or leaving.
+func TestWeakAndLeavingNodesAreNotEligible(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(EligibleNodes([]*Heartbeat{{Name: "weak", Cores: 0.2}, {Name: "b", Cores: 0.7}, {Name: "a", Cores: 0.8}, {Name: "left", Cores: 4, Leaving: true}})).To(gomega.Equal([]string{"a", "b"}))
 	g.Expect(EligibleNodes([]*Heartbeat{{Name: "a"}, {Name: "b"}})).To(gomega.Equal([]string{"a", "b"}))
 	g.Expect(EligibleNodes([]*Heartbeat{{Name: "a", Leaving: true}})).To(gomega.BeEmpty())
 }
 
-// With 83 nodes a dead scheduling node was noticed after four seconds.
-func TestEachNodeIsJudgedByItsOwnInterval(t *testing.T) {
+// A node that sends rare heartbeats must not count as failed, and one that sends frequent ones
+// must be detected as failed sooner.
+func TestFailureTimeoutFollowsEachNodesInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
 	table.Observe(0, Heartbeat{Name: "often", IntervalMS: 250})
--- a/coordination/liveness/relay.go
+++ b/coordination/liveness/relay.go
@@ -6,67 +6,68 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// What crosses a zone's border is paid for. Of 295 nodes in five zones each sent 236
-// heartbeats to other zones in a round. With relays a round costs a node one heartbeat for
-// each other zone, whatever that zone's size; a node there passes it on and confirms that.
-// On a day of 57 s with a zone cut and a start of all nodes 0.5 GB crossed in place of 1.7.
+// Traffic between zones is costly. With relays, a node sends one heartbeat to each large zone,
+// whatever its size; a relay there sends it to the nodes of its zone and confirms that.
 const (
-	// relayFrom is the least number of live nodes of a zone for which a relay is used:
-	// with fewer, little is saved and each lost relay counts for much.
-	relayFrom = 8
-	// relayCandidates is how many relays a heartbeat goes to while none is known to work:
-	// with half of the nodes just killed, seven in eight such heartbeats still arrive.
-	relayCandidates = 3
-	// relayPatience is how many heartbeats in a row no delegate of a zone confirms until the zone
-	// is sent to directly, and relayRetry how many go there so for one that tries relays again.
-	relayPatience = 3
-	relayRetry    = 4
-	// recentShare is the part of a zone's nodes, those heard of last, among which a new
-	// relay is looked for: after many died at once these are the likeliest to live.
-	recentShare = 4
+	// minZoneNodesForRelay is the minimum number of live nodes in a zone for using a relay: in
+	// smaller zones relays save little, and a lost relay affects a large share of the nodes.
+	minZoneNodesForRelay = 8
+	// relayCandidateCount is the number of nodes that a heartbeat is sent to for relaying while
+	// there is no confirmed relay.
+	relayCandidateCount = 3
+	// After relayFailureThreshold heartbeats in a row without a confirmation, heartbeats go
+	// directly to the nodes of the zone, except for each relayRetryHeartbeats-th, which tries
+	// relays again.
+	relayFailureThreshold = 3
+	relayRetryHeartbeats  = 4
+	// New relays are picked from the most recently received 1/recentNodesDivisor of a zone's
+	// nodes: after the loss of many nodes these are the most likely to be live.
+	recentNodesDivisor = 4
 )
 
-// Relays remembers by which node of each other zone heartbeats get there. The zero value
-// is not usable; it is not safe for concurrent use.
+// Relays remembers the relay into each other zone. Create it with NewRelays. It is not safe for
+// concurrent use.
 type Relays struct {
-	zones map[string]*relay
-	// random returns a number from zero up to but without the given one.
+	zones map[string]*zoneRelay
+	// random returns a number from zero up to but excluding its argument.
 	random func(int) int
 }
 
-// relay is the way into one zone.
-type relay struct {
-	// name is the node that confirmed last, and waiting is true while it has not confirmed
-	// the heartbeat that it was given since.
-	name    string
-	waiting bool
-	// unconfirmed counts the heartbeats that were given out since the last confirmation.
-	unconfirmed int
-	// nodes is how many live nodes the zone had when a heartbeat went there last, and wide
-	// names those with about the widest link.
-	nodes int
-	wide  []string
+// zoneRelay is the state of relaying into one zone.
+type zoneRelay struct {
+	// name is the node that confirmed last. awaitsConfirmation is true if it has not confirmed
+	// the latest heartbeat, or no node has confirmed any.
+	name               string
+	awaitsConfirmation bool
+	// unconfirmedHeartbeats counts the heartbeats since the last confirmation.
+	unconfirmedHeartbeats int
+	// nodeCount is the number of nodes that the relay was last chosen from, and wideLinkNames
+	// lists those with close to the largest link bandwidth.
+	nodeCount     int
+	wideLinkNames []string
 }
 
-// NewRelays returns relays that know no way yet and draw lots by the function.
+// NewRelays returns an empty set of relays. random returns a number from zero up to but excluding
+// its argument.
 func NewRelays(random func(int) int) *Relays {
-	return &Relays{zones: map[string]*relay{}, random: random}
+	return &Relays{zones: map[string]*zoneRelay{}, random: random}
 }
 
-// Recipients says whom a heartbeat goes to: directly, or to be passed on to their zone.
+// Recipients are the addresses that a heartbeat is sent to, without or with a request to relay
+// it.
 type Recipients struct {
 	Direct, Relays []string
 }
 
-// Recipients returns the addresses for one heartbeat from a node of the zone to the live
-// members. In a large fleet the delegates of a zone are its relays, which alone know all its
-// nodes; a zone where none is heard of is sent to directly.
-func (r *Relays) Recipients(now structs.Instant, own string, live []*Member, isLarge bool) Recipients {
-	var routes Recipients
+// Recipients returns the addresses for one heartbeat from a node of ownZone to the live members.
+// In a large fleet only the delegates of a zone can be its relays, as they alone know all its
+// nodes; a zone without a live delegate gets direct heartbeats.
+func (r *Relays) Recipients(now structs.Instant, ownZone string, live []*Member, isLarge bool) Recipients {
+	var recipients Recipients
 	zones := map[string][]*Member{}
 	for _, member := range live {
-		if member.Zone == own || !member.CanRelay {
-			routes.Direct = append(routes.Direct, member.Address)
+		if member.Zone == ownZone || !member.CanRelay {
+			recipients.Direct = append(recipients.Direct, member.Address)
 			continue
 		}
 		zones[member.Zone] = append(zones[member.Zone], member)
@@ -76,85 +77,85 @@
 		if isLarge {
 			relays = Delegates(members)
 		}
-		if len(relays) == 0 || !isLarge && len(members) < relayFrom || isLarge && r.isLost(zone) {
-			routes.Direct = append(routes.Direct, addresses(members)...)
+		if len(relays) == 0 || !isLarge && len(members) < minZoneNodesForRelay || isLarge && r.shouldSendDirectly(zone) {
+			recipients.Direct = append(recipients.Direct, addresses(members)...)
 			continue
 		}
-		routes.Relays = append(routes.Relays, addresses(r.choose(now, zone, relays))...)
+		recipients.Relays = append(recipients.Relays, addresses(r.chooseRelays(now, zone, relays))...)
 	}
-	return routes
+	return recipients
 }
 
 func addresses(members []*Member) []string {
-	all := make([]string, 0, len(members))
+	result := make([]string, 0, len(members))
 	for _, member := range members {
-		all = append(all, member.Address)
+		result = append(result, member.Address)
 	}
-	return all
+	return result
 }
 
-// choose returns the relay that works, or some that may.
-func (r *Relays) choose(now structs.Instant, zone string, members []*Member) []*Member {
-	known, found := r.zones[zone]
+// chooseRelays returns the confirmed relay of the zone, or some candidates if there is none.
+func (r *Relays) chooseRelays(now structs.Instant, zone string, members []*Member) []*Member {
+	state, found := r.zones[zone]
 	if !found {
-		known = &relay{waiting: true}
-		r.zones[zone] = known
+		state = &zoneRelay{awaitsConfirmation: true}
+		r.zones[zone] = state
 	}
-	known.nodes, known.wide = len(members), widest(members)
-	known.unconfirmed++
-	if !known.waiting {
-		known.waiting = true
+	state.nodeCount, state.wideLinkNames = len(members), namesWithWideLinks(members)
+	state.unconfirmedHeartbeats++
+	if !state.awaitsConfirmation {
+		state.awaitsConfirmation = true
 		for _, member := range members {
-			if member.Name == known.name {
+			if member.Name == state.name {
 				return []*Member{member}
 			}
 		}
 	}
-	return r.candidates(now, known, members)
+	return r.pickCandidates(now, state, members)
 }
 
-// isLost returns whether none of a zone's relays confirms any more: its delegates may all have died,
-// and its other nodes hear of it by nobody else. Each relayRetry-th heartbeat tries them again.
-func (r *Relays) isLost(zone string) bool {
-	known, found := r.zones[zone]
-	if !found || known.unconfirmed < relayPatience {
+// shouldSendDirectly reports whether a heartbeat goes directly to the zone's nodes because no
+// relay confirms any more: all delegates of the zone may have failed. It counts the heartbeat.
+func (r *Relays) shouldSendDirectly(zone string) bool {
+	state, found := r.zones[zone]
+	if !found || state.unconfirmedHeartbeats < relayFailureThreshold {
 		return false
 	}
-	known.unconfirmed++
-	return known.unconfirmed%relayRetry != 0
+	state.unconfirmedHeartbeats++
+	return state.unconfirmedHeartbeats%relayRetryHeartbeats != 0
 }
 
-// widest returns the names of the members with about the widest link. A relay whose link
-// is full of other things loses heartbeats of many.
-func widest(members []*Member) []string {
+// namesWithWideLinks returns the names of the members with close to the largest link bandwidth. A
+// relay on a congested link would lose heartbeats of many nodes.
+func namesWithWideLinks(members []*Member) []string {
 	var names []string
-	for _, beat := range strongest(Heartbeats(members), func(beat *Heartbeat) float64 { return beat.LinkMbps }) {
-		names = append(names, beat.Name)
+	for _, heartbeat := range nearMaximum(Heartbeats(members), func(heartbeat *Heartbeat) float64 { return heartbeat.LinkMbps }) {
+		names = append(names, heartbeat.Name)
 	}
 	return names
 }
 
-// candidates draws one of the members with a wide link and some of those heard of last,
-// without the one that failed.
-func (r *Relays) candidates(now structs.Instant, known *relay, members []*Member) []*Member {
+// pickCandidates returns one of the members with a wide link and some of those with the most
+// recent heartbeats, without the relay that failed to confirm.
+func (r *Relays) pickCandidates(now structs.Instant, state *zoneRelay, members []*Member) []*Member {
 	var wide, recent []*Member
 	for _, member := range members {
 		switch {
-		case member.Name == known.name:
-		case slices.Contains(known.wide, member.Name):
+		case member.Name == state.name:
+		case slices.Contains(state.wideLinkNames, member.Name):
 			wide = append(wide, member)
 		default:
 			recent = append(recent, member)
 		}
 	}
 	slices.SortStableFunc(recent, func(a, b *Member) int { return int(a.SinceHeartbeat(now) - b.SinceHeartbeat(now)) })
-	recent = recent[:min(max(relayCandidates, len(members)/recentShare), len(recent))]
-	drawn := r.draw(wide, 1)
-	return append(drawn, r.draw(recent, relayCandidates-len(drawn))...)
+	recent = recent[:min(max(relayCandidateCount, len(members)/recentNodesDivisor), len(recent))]
+	drawn := r.pickRandom(wide, 1)
+	return append(drawn, r.pickRandom(recent, relayCandidateCount-len(drawn))...)
 }
 
-// draw returns so many of the members by lot.
-func (r *Relays) draw(members []*Member, count int) []*Member {
+// pickRandom returns up to count random members. It reorders the given slice.
+func (r *Relays) pickRandom(members []*Member, count int) []*Member {
 	count = min(count, len(members))
 	for i := range count {
 		other := i + r.random(len(members)-i)
@@ -163,15 +164,16 @@
 	return members[:count:count]
 }
 
-// Confirmed records that the node of the zone passed a heartbeat on to so many nodes. One
-// that reaches few has not heard of the others yet and is not used for now.
+// Confirmed records that the node relayed a heartbeat to the given number of nodes of its zone. A
+// confirmation of less than half of the zone's nodes is ignored: such a node doesn't know the
+// others yet.
 func (r *Relays) Confirmed(zone, name string, reached int) {
-	known, found := r.zones[zone]
-	if !found || 2*reached < known.nodes {
+	state, found := r.zones[zone]
+	if !found || 2*reached < state.nodeCount {
 		return
 	}
-	known.unconfirmed = 0
-	if known.waiting || slices.Contains(known.wide, name) {
-		known.name, known.waiting = name, false
+	state.unconfirmedHeartbeats = 0
+	if state.awaitsConfirmation || slices.Contains(state.wideLinkNames, name) {
+		state.name, state.awaitsConfirmation = name, false
 	}
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,16 +1,14 @@
-// Package membership keeps a node's view of the other nodes of its zone. Nodes
-// probe each other directly, at a rate that does not grow with the zone; a
-// probe that fails, also through two others, makes its target suspected, and
-// a suspicion that is not refuted in time makes it dead (after SWIM, Das,
-// Gupta and Motivala, 2002). What nodes learn spreads by gossip.
+// Package membership keeps a node's view of the other nodes of its zone, after SWIM (Das, Gupta
+// and Motivala, 2002). Nodes probe each other directly or through others; a failed probe makes
+// its target suspect, and a suspicion that is not refuted in time makes it dead. Rumors of such
+// changes spread by gossip.
 //
-// The table is passive and reads no clock; it is not safe for concurrent use.
+// A member counts as alive only if some node received a message of its current incarnation since
+// it was last suspected. A dead member is alive again once a message with a higher incarnation
+// arrives. The views of two nodes may differ while rumors spread, so no guarantee may depend on
+// equal views.
 //
-// Guarantees: a member is reported alive only if a message of its present
-// incarnation was heard by some node since it was last suspected. A dead
-// member that is heard again with a higher incarnation is alive again. Views
-// of two nodes may differ for as long as news travels; nothing that must hold
-// rests on equal views.
+// The table does no I/O and reads no clock.
 package membership
 
 import (
@@ -22,33 +20,33 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// refutationBits is the part of an incarnation that counts refutations; the
-// rest numbers the start of the process.
+// refutationBits is the number of low bits of an incarnation that count refutations; the others
+// identify the process by its start.
 const refutationBits = 16
 
-// Member names one process of a node.
+// Member describes one process of a node.
 type Member struct {
 	Name          string `msgpack:"n" json:"name"`
 	Zone          string `msgpack:"z" json:"zone"`
 	PeerAddress   string `msgpack:"p" json:"peer_address"`
 	CallerAddress string `msgpack:"c" json:"caller_address"`
-	// Incarnation rises with each start of the process and, in its low bits,
-	// with each refutation of a suspicion.
+	// Incarnation increases with each start of the process and, in its low bits, with each
+	// refutation of a suspicion.
 	Incarnation uint64 `msgpack:"i" json:"incarnation"`
 	// Leaving is true during a planned stop.
 	Leaving bool `msgpack:"l" json:"leaving"`
 }
 
-// Process returns the part of the incarnation that numbers the process.
+// Process returns the part of the incarnation that identifies the process.
 func (m Member) Process() uint64 { return m.Incarnation >> refutationBits }
 
-// FirstIncarnation returns the incarnation of a process numbered by its start
-// time in milliseconds.
-func FirstIncarnation(startMilliseconds int64) uint64 {
-	return uint64(startMilliseconds) << refutationBits
+// FirstIncarnation returns the first incarnation of a process that started at the given Unix time
+// in milliseconds.
+func FirstIncarnation(startMS int64) uint64 {
+	return uint64(startMS) << refutationBits
 }
 
-// Status is what a node thinks of a member.
+// Status is a node's view of a member.
 type Status uint8
 
 // The statuses, from best to worst.
@@ -70,52 +68,54 @@
 	}
 }
 
-// Rumor is news of a member.
+// Rumor is an update about a member, as nodes pass it on.
 type Rumor struct {
 	Member Member `msgpack:"m" json:"member"`
 	Status Status `msgpack:"s" json:"status"`
 }
 
-// entry is a member with the time of its last change.
-type entry struct {
+// memberEntry is a member with the times of its last change and of the last message from it.
+type memberEntry struct {
 	Rumor
-	since structs.Instant
-	heard structs.Instant
+	changedAt     structs.Instant
+	lastMessageAt structs.Instant
 }
 
-// maximumRumors bounds the news that wait to be passed on.
-const maximumRumors = 512
+// maxQueuedRumors bounds the rumors that wait to be passed on.
+const maxQueuedRumors = 512
 
-// forgetDead is how long a dead member is remembered, so that old rumors do
-// not bring it back.
-const forgetDead = 5 * time.Minute
+// deadRetention is the time for which a dead member is remembered, so that old rumors don't make
+// it alive again.
+const deadRetention = 5 * time.Minute
 
-// Table is a node's view. Its own member is always alive in it.
+// Table is a node's view of its zone. The node's own member is always alive in it. It is not safe
+// for concurrent use.
 type Table struct {
-	self    Member
-	members map[string]*entry
-	rumors  *gossip.BroadcastQueue[string, Rumor]
-	random  *rand.Rand
-	ring    []string
+	self       Member
+	members    map[string]*memberEntry
+	rumors     *gossip.BroadcastQueue[string, Rumor]
+	random     *rand.Rand
+	probeOrder []string
 	// deadAfter is the time from suspicion to death.
 	deadAfter time.Duration
 	version   uint64
 }
 
-// NewTable returns a table that knows only the node itself.
+// NewTable returns a table that contains only the node itself.
 func NewTable(self Member, deadAfter time.Duration, random *rand.Rand) *Table {
-	table := &Table{self: self, members: map[string]*entry{}, rumors: gossip.NewBroadcastQueue[string, Rumor](maximumRumors, gossip.RetransmitReliable), random: random, deadAfter: deadAfter}
+	table := &Table{self: self, members: map[string]*memberEntry{}, rumors: gossip.NewBroadcastQueue[string, Rumor](maxQueuedRumors, gossip.RetransmitReliable), random: random, deadAfter: deadAfter}
 	table.rumors.Put(self.Name, Rumor{Member: self, Status: Alive})
 	return table
 }
 
-// SetDeadAfter takes a changed setting into force.
+// SetDeadAfter sets the time from suspicion to death.
 func (t *Table) SetDeadAfter(deadAfter time.Duration) { t.deadAfter = deadAfter }
 
 // Self returns the node's own member.
 func (t *Table) Self() Member { return t.self }
 
-// Version rises with each change of the set of live members.
+// Version increases with each change to the set of live members, their processes or their
+// leaving.
 func (t *Table) Version() uint64 { return t.version }
 
 // SetLeaving announces the planned stop of the node.
@@ -124,24 +124,24 @@
 	t.refute(t.self.Incarnation)
 }
 
-// Heard records a message that came from the member itself.
+// Heard records a message that came directly from the member.
 func (t *Table) Heard(now structs.Instant, member Member) {
 	t.merge(now, Rumor{Member: member, Status: Alive})
-	if known, found := t.members[member.Name]; found && known.Status != Dead {
-		known.heard = now
+	if entry, found := t.members[member.Name]; found && entry.Status != Dead {
+		entry.lastMessageAt = now
 	}
 }
 
-// ProbeFailed records that neither a direct nor an indirect probe of the
-// member was answered.
+// ProbeFailed records that the member answered neither a direct nor an indirect probe. A live
+// member becomes suspect.
 func (t *Table) ProbeFailed(now structs.Instant, name string) {
-	known, found := t.members[name]
-	if found && known.Status == Alive {
-		t.change(now, known, Rumor{Member: known.Member, Status: Suspect})
+	entry, found := t.members[name]
+	if found && entry.Status == Alive {
+		t.apply(now, entry, Rumor{Member: entry.Member, Status: Suspect})
 	}
 }
 
-// Merge applies rumors.
+// Merge applies rumors. Those about other zones and malformed ones are ignored.
 func (t *Table) Merge(now structs.Instant, rumors []Rumor) {
 	for _, rumor := range rumors {
 		t.merge(now, rumor)
@@ -150,29 +150,29 @@
 
 func (t *Table) merge(now structs.Instant, rumor Rumor) {
 	if rumor.Member.Name == t.self.Name {
-		t.mergeSelf(rumor)
+		t.mergeOwn(rumor)
 		return
 	}
 	if rumor.Member.Zone != t.self.Zone || rumor.Member.Name == "" || rumor.Status < Alive || rumor.Status > Dead {
 		return
 	}
-	known, found := t.members[rumor.Member.Name]
+	entry, found := t.members[rumor.Member.Name]
 	if !found {
-		known = &entry{since: now, heard: now}
-		t.members[rumor.Member.Name] = known
-		t.change(now, known, rumor)
+		entry = &memberEntry{changedAt: now, lastMessageAt: now}
+		t.members[rumor.Member.Name] = entry
+		t.apply(now, entry, rumor)
 		return
 	}
-	newer := rumor.Member.Incarnation > known.Member.Incarnation
-	worse := rumor.Member.Incarnation == known.Member.Incarnation && rumor.Status > known.Status
+	newer := rumor.Member.Incarnation > entry.Member.Incarnation
+	worse := rumor.Member.Incarnation == entry.Member.Incarnation && rumor.Status > entry.Status
 	if newer || worse {
-		t.change(now, known, rumor)
+		t.apply(now, entry, rumor)
 	}
 }
 
-// mergeSelf refutes a rumor that this node is not alive. A rumor of another
-// process under the same name is older and needs no answer.
-func (t *Table) mergeSelf(rumor Rumor) {
+// mergeOwn refutes a rumor that this node is suspect or dead. Rumors about another process of the
+// same name are ignored.
+func (t *Table) mergeOwn(rumor Rumor) {
 	if rumor.Status == Alive || rumor.Member.Incarnation < t.self.Incarnation || rumor.Member.Process() != t.self.Process() {
 		return
 	}
@@ -184,80 +184,81 @@
 	t.rumors.Put(t.self.Name, Rumor{Member: t.self, Status: Alive})
 }
 
-func (t *Table) change(now structs.Instant, known *entry, rumor Rumor) {
-	wasLive := known.Status == Alive || known.Status == Suspect
+func (t *Table) apply(now structs.Instant, entry *memberEntry, rumor Rumor) {
+	wasLive := entry.Status == Alive || entry.Status == Suspect
 	isLive := rumor.Status != Dead
-	if wasLive != isLive || known.Member.Process() != rumor.Member.Process() || known.Member.Leaving != rumor.Member.Leaving {
+	if wasLive != isLive || entry.Member.Process() != rumor.Member.Process() || entry.Member.Leaving != rumor.Member.Leaving {
 		t.version++
 	}
-	known.Rumor = rumor
-	known.since = now
+	entry.Rumor = rumor
+	entry.changedAt = now
 	t.rumors.Put(rumor.Member.Name, rumor)
 }
 
-// Tick turns suspicions that were not refuted in time into deaths.
+// Tick makes suspects dead whose suspicion was not refuted in time, and removes members that have
+// been dead for long.
 func (t *Table) Tick(now structs.Instant) {
-	for name, known := range t.members {
+	for name, entry := range t.members {
 		switch {
-		case known.Status == Suspect && now-known.since > t.deadAfter:
-			t.change(now, known, Rumor{Member: known.Member, Status: Dead})
-		case known.Status == Dead && now-known.since > forgetDead:
+		case entry.Status == Suspect && now-entry.changedAt > t.deadAfter:
+			t.apply(now, entry, Rumor{Member: entry.Member, Status: Dead})
+		case entry.Status == Dead && now-entry.changedAt > deadRetention:
 			delete(t.members, name)
 		}
 	}
 }
 
-// Rumors returns the news for one message.
+// Rumors returns up to limit rumors to send with one message.
 func (t *Table) Rumors(limit int) []Rumor { return t.rumors.Take(limit, len(t.members)+1) }
 
-// ProbeTargets returns the members to probe next: up to count, in a random order
-// that visits each live member once before any twice.
+// ProbeTargets returns up to count members to probe next, in a random order that visits each live
+// member once before any twice.
 func (t *Table) ProbeTargets(count int) []Member {
 	var targets []Member
 	refilled := false
 	for len(targets) < count {
-		if len(t.ring) == 0 {
+		if len(t.probeOrder) == 0 {
 			if refilled {
 				break
 			}
-			t.refillRing()
+			t.refillProbeOrder()
 			refilled = true
-			if len(t.ring) == 0 {
+			if len(t.probeOrder) == 0 {
 				break
 			}
 		}
-		name := t.ring[0]
-		t.ring = t.ring[1:]
-		if known, found := t.members[name]; found && known.Status != Dead {
-			targets = append(targets, known.Member)
+		name := t.probeOrder[0]
+		t.probeOrder = t.probeOrder[1:]
+		if entry, found := t.members[name]; found && entry.Status != Dead {
+			targets = append(targets, entry.Member)
 		}
 	}
 	return targets
 }
 
-func (t *Table) refillRing() {
+func (t *Table) refillProbeOrder() {
 	for _, member := range t.Live() {
 		if member.Name != t.self.Name {
-			t.ring = append(t.ring, member.Name)
+			t.probeOrder = append(t.probeOrder, member.Name)
 		}
 	}
-	t.random.Shuffle(len(t.ring), func(i, j int) { t.ring[i], t.ring[j] = t.ring[j], t.ring[i] })
+	t.random.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
 }
 
-// Live returns the members that are not dead, this node included, by name.
+// Live returns the members that are not dead, including this node, by name.
 func (t *Table) Live() []Member {
 	live := make([]Member, 0, len(t.members)+1)
 	live = append(live, t.self)
-	for _, known := range t.members {
-		if known.Status != Dead {
-			live = append(live, known.Member)
+	for _, entry := range t.members {
+		if entry.Status != Dead {
+			live = append(live, entry.Member)
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].Name < live[j].Name })
 	return live
 }
 
-// LiveNames returns the names of Live.
+// LiveNames returns the names of the members that Live returns.
 func (t *Table) LiveNames() []string {
 	live := t.Live()
 	names := make([]string, len(live))
@@ -267,24 +268,24 @@
 	return names
 }
 
-// All returns every member known, this node included, by name.
+// All returns all known members, including this node and dead ones, by name.
 func (t *Table) All() []Rumor {
 	all := []Rumor{{Member: t.self, Status: Alive}}
-	for _, known := range t.members {
-		all = append(all, known.Rumor)
+	for _, entry := range t.members {
+		all = append(all, entry.Rumor)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Member.Name < all[j].Member.Name })
 	return all
 }
 
-// Get returns what is known of the member.
+// Get returns the member's latest rumor and whether the member is known.
 func (t *Table) Get(name string) (Rumor, bool) {
 	if name == t.self.Name {
 		return Rumor{Member: t.self, Status: Alive}, true
 	}
-	known, found := t.members[name]
+	entry, found := t.members[name]
 	if !found {
 		return Rumor{}, false
 	}
-	return known.Rumor, true
+	return entry.Rumor, true
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -10,16 +10,16 @@
 
 const deadAfter = time.Second
 
-func table(name string) *Table {
+func newTestTable(name string) *Table {
 	return NewTable(Member{Name: name, Zone: "z", Incarnation: FirstIncarnation(1)}, deadAfter, rand.New(rand.NewPCG(1, 1)))
 }
 
-func TestSuspicionBecomesDeathUnlessRefuted(t *testing.T) {
+func TestUnrefutedSuspectsBecomeDead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a, b := table("a"), table("b")
+	a, b := newTestTable("a"), newTestTable("b")
 	a.Heard(0, b.Self())
 	a.ProbeFailed(0, "b")
-	b.Merge(0, a.Rumors(8)) // b hears that it is suspected and refutes
+	b.Merge(0, a.Rumors(8)) // b learns that it is suspected and refutes it
 	a.Merge(time.Millisecond, b.Rumors(8))
 	a.Tick(2 * deadAfter)
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a", "b"}))
@@ -30,26 +30,26 @@
 
 func TestRestartedProcessIsAliveAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := table("a")
+	a := newTestTable("a")
 	old := Member{Name: "b", Zone: "z", Incarnation: FirstIncarnation(5)}
 	a.Heard(0, old)
 	a.Merge(0, []Rumor{{Member: old, Status: Dead}})
-	a.Heard(1, old) // late news of the dead process
+	a.Heard(1, old) // a delayed message of the dead process
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a"}))
 	a.Heard(2, Member{Name: "b", Zone: "z", Incarnation: FirstIncarnation(6)})
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a", "b"}))
 }
 
-func TestRumorsOfOthersAreBounded(t *testing.T) {
+func TestInvalidRumorsAndThoseOfOtherZonesAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := table("a")
+	a := newTestTable("a")
 	a.Merge(0, []Rumor{{Member: Member{Name: "x", Zone: "elsewhere", Incarnation: 1}, Status: Alive}, {Member: Member{Zone: "z"}, Status: Alive}, {Member: Member{Name: "y", Zone: "z"}, Status: 9}})
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a"}))
 }
 
-func TestTargetsVisitEachMemberOnce(t *testing.T) {
+func TestProbeTargetsVisitEachMemberOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := table("a")
+	a := newTestTable("a")
 	for _, name := range []string{"b", "c", "d", "e"} {
 		a.Heard(0, Member{Name: name, Zone: "z", Incarnation: FirstIncarnation(1)})
 	}
--- a/coordination/replicahealth/replicahealth.go
+++ b/coordination/replicahealth/replicahealth.go
@@ -1,5 +1,5 @@
-// Package replicahealth holds what one node saw of replicas that can't be reached, fall silent or
-// break answers off, and for how long it doubts each. It does no I/O and reads no clock.
+// Package replicahealth tracks which replicas one node can't reach or gets broken responses from,
+// and until when it avoids each. It does no I/O and reads no clock.
 package replicahealth
 
 import (
@@ -8,76 +8,78 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Bounds of what a node concludes from failures of a replica.
+// Bounds of the time for which a failing replica is avoided.
 const (
-	firstBackoff = 400 * time.Millisecond
-	longBackoff  = 3 * time.Second
+	minBackoff = 400 * time.Millisecond
+	maxBackoff = 3 * time.Second
 )
 
-// health is what one node saw of one replica.
-type health struct {
-	// failures in a row; until is when it may be tried again.
-	failures int
-	until    structs.Instant
+// replicaHealth is one node's view of one replica.
+type replicaHealth struct {
+	// retryAt is the time until which the replica counts as failing.
+	consecutiveFailures int
+	retryAt             structs.Instant
 }
 
-// Tracker is a node's own view of which replicas fail. It is not safe for concurrent use.
+// Tracker is one node's view of which replicas fail. It is not safe for concurrent use.
 type Tracker struct {
-	replicas map[string]*health
+	replicas map[string]*replicaHealth
 }
 
-// NewTracker returns a book that doubts no replica.
-func NewTracker() *Tracker { return &Tracker{replicas: map[string]*health{}} }
+// NewTracker returns a tracker without replicas.
+func NewTracker() *Tracker { return &Tracker{replicas: map[string]*replicaHealth{}} }
 
-func (b *Tracker) get(id string) *health {
-	held, found := b.replicas[id]
+func (t *Tracker) get(id string) *replicaHealth {
+	health, found := t.replicas[id]
 	if !found {
-		held = &health{}
-		b.replicas[id] = held
+		health = &replicaHealth{}
+		t.replicas[id] = health
 	}
-	return held
+	return health
 }
 
-// RecordUnreachable records that the replica could not be reached or fell silent.
-func (b *Tracker) RecordUnreachable(now structs.Instant, id string) {
-	held := b.get(id)
-	held.failures++
-	backoff := firstBackoff << min(held.failures-1, 5)
-	held.until = now + min(backoff, longBackoff)
+// RecordUnreachable records that the replica could not be reached or stopped responding. The
+// replica counts as failing for a time that doubles with consecutive failures.
+func (t *Tracker) RecordUnreachable(now structs.Instant, id string) {
+	health := t.get(id)
+	health.consecutiveFailures++
+	backoff := minBackoff << min(health.consecutiveFailures-1, 5)
+	health.retryAt = now + min(backoff, maxBackoff)
 }
 
-// RecordSuccess records a whole answer. Whether it was a failure of the replica's own
-// is for the scheduling node to judge, which sees all replicas: some services
-// fail one request in five wherever it goes.
-func (b *Tracker) RecordSuccess(id string) { b.get(id).failures = 0 }
+// RecordSuccess records a complete response, also if it is an error: whether the replica or the
+// service causes errors is judged by the scheduling node, which sees the responses of all
+// replicas.
+func (t *Tracker) RecordSuccess(id string) { t.get(id).consecutiveFailures = 0 }
 
-// RecordBroken records an answer that was cut or spoiled.
-func (b *Tracker) RecordBroken(now structs.Instant, id string) {
-	held := b.get(id)
-	if held.failures++; held.failures > 1 {
-		held.until = now + firstBackoff
+// RecordBroken records a response that was truncated or malformed. The replica counts as failing
+// from the second consecutive failure.
+func (t *Tracker) RecordBroken(now structs.Instant, id string) {
+	health := t.get(id)
+	if health.consecutiveFailures++; health.consecutiveFailures > 1 {
+		health.retryAt = now + minBackoff
 	}
 }
 
-// Reset drops what is known of a replica that started again under its id.
-func (b *Tracker) Reset(id string) { delete(b.replicas, id) }
+// Reset removes the state of a replica that restarted under the same id.
+func (t *Tracker) Reset(id string) { delete(t.replicas, id) }
 
-// Failing returns the replicas that should not be tried now.
-func (b *Tracker) Failing(now structs.Instant) []string {
+// Failing returns the ids of the replicas that should not be tried now, in no particular order.
+func (t *Tracker) Failing(now structs.Instant) []string {
 	var ids []string
-	for id, held := range b.replicas {
-		if now < held.until {
+	for id, health := range t.replicas {
+		if now < health.retryAt {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Forget drops replicas that are no longer known.
-func (b *Tracker) Forget(known func(id string) bool) {
-	for id := range b.replicas {
+// Forget removes the replicas for which known returns false.
+func (t *Tracker) Forget(known func(id string) bool) {
+	for id := range t.replicas {
 		if !known(id) {
-			delete(b.replicas, id)
+			delete(t.replicas, id)
 		}
 	}
 }
--- a/coordination/staleness/freshness.go
+++ b/coordination/staleness/freshness.go
@@ -2,30 +2,30 @@
 
 import "github.com/thornwalk/thornwalk/structs"
 
-// Freshness is when the newest complete read of the store that this node knows
-// the result of began.
+// Freshness is the start time of the most recent complete read of the store whose result this
+// node has. The zero value means that there was none. It is not safe for concurrent use.
 type Freshness struct {
-	at    structs.Instant
-	known bool
+	readStartedAt structs.Instant
+	hasRead       bool
 }
 
-// Observe records that a read began at the instant.
+// Observe records that a read started at the given instant.
 func (f *Freshness) Observe(at structs.Instant) {
-	if !f.known || at > f.at {
-		f.at, f.known = at, true
+	if !f.hasRead || at > f.readStartedAt {
+		f.readStartedAt, f.hasRead = at, true
 	}
 }
 
-// Age returns the age in milliseconds, or -1 if there was no read.
+// Age returns the time since the read started in milliseconds, or -1 if there was no read.
 func (f *Freshness) Age(now structs.Instant) int64 {
-	if !f.known {
+	if !f.hasRead {
 		return -1
 	}
-	return (now - f.at).Milliseconds()
+	return (now - f.readStartedAt).Milliseconds()
 }
 
-// Known returns whether there was a read.
-func (f *Freshness) Known() bool { return f.known }
+// Known reports whether there was a read.
+func (f *Freshness) Known() bool { return f.hasRead }
 
-// At returns when the read began.
-func (f *Freshness) At() structs.Instant { return f.at }
+// At returns the start of the read, or zero if there was none.
+func (f *Freshness) At() structs.Instant { return f.readStartedAt }
--- a/coordination/zones/zones.go
+++ b/coordination/zones/zones.go
@@ -1,8 +1,8 @@
-// Package zones holds what one node knows of the way to the other zones.
+// Package zones detects which other zones one node can't reach.
 //
-// A cut between zones makes all replicas of a zone unreachable at once. Found replica by replica,
-// each costs some callers the time of a connect that hangs; so a zone is found as a whole: by the
-// silence of all its nodes, no answer of its replicas, and one connect to it that fails. The
+// A network partition makes all replicas of a zone unreachable at once. Detecting that for each
+// replica by itself would cost a connect timeout each. So a zone counts as unreachable when its
+// nodes send no heartbeats, its replicas don't respond, and one connection to it fails. The
 // package does no I/O and reads no clock.
 package zones
 
@@ -13,94 +13,96 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Times of finding a cut.
+// Thresholds of the detection.
 const (
-	// silence is the least silence of all nodes of a zone that raises the question, and beats
-	// the heartbeats that have to be missing.
-	silence = 250 * time.Millisecond
-	beats   = 3
+	// A zone is silent after missedHeartbeats intervals without a heartbeat or response, but not
+	// before minSilence.
+	minSilence       = 250 * time.Millisecond
+	missedHeartbeats = 3
 )
 
-// state is what is known of the way to one zone.
-type state struct {
-	// beat is when a node of the zone was heard of, and answer when a replica of it
-	// answered or accepted a connection.
-	beat, answer structs.Instant
-	// interval is the shortest time between heartbeats of one of its nodes, last told at
-	// intervalAt.
-	interval   time.Duration
-	intervalAt structs.Instant
-	cut        bool
+// zoneState is the reachability of one zone.
+type zoneState struct {
+	// lastHeartbeatAt is the time of the last heartbeat of any node in the zone. lastResponseAt
+	// is the last time that one of its replicas responded or accepted a connection.
+	lastHeartbeatAt, lastResponseAt structs.Instant
+	// heartbeatInterval is the shortest interval of any node in the zone, last observed at
+	// intervalObservedAt.
+	heartbeatInterval  time.Duration
+	intervalObservedAt structs.Instant
+	isUnreachable      bool
 }
 
 // Tracker is a node's view of the other zones. It is not safe for concurrent use.
 type Tracker struct {
-	zones map[string]*state
+	zones map[string]*zoneState
 }
 
-// NewTracker returns a book that knows no zone.
-func NewTracker() *Tracker { return &Tracker{zones: map[string]*state{}} }
+// NewTracker returns a tracker without zones.
+func NewTracker() *Tracker { return &Tracker{zones: map[string]*zoneState{}} }
 
-// Observe records a heartbeat from the zone.
-func (b *Tracker) Observe(now structs.Instant, beat liveness.Heartbeat) {
-	held, found := b.zones[beat.Zone]
+// Observe records a heartbeat from its zone, which makes the zone reachable.
+func (t *Tracker) Observe(now structs.Instant, heartbeat liveness.Heartbeat) {
+	state, found := t.zones[heartbeat.Zone]
 	if !found {
-		held = &state{answer: now}
-		b.zones[beat.Zone] = held
+		state = &zoneState{lastResponseAt: now}
+		t.zones[heartbeat.Zone] = state
 	}
-	interval := time.Duration(beat.IntervalMS) * time.Millisecond
-	// Of a large zone only its delegates beat, and while the fleet started they beat more often: taken
-	// for its interval for ever, that would have every node try the zone all the time.
-	isOver := beat.ZoneLive > 0 && now-held.intervalAt > beats*held.interval
-	if held.interval == 0 || interval <= held.interval || isOver {
-		held.interval, held.intervalAt = interval, now
+	interval := time.Duration(heartbeat.IntervalMS) * time.Millisecond
+	// When a fleet becomes large, nodes send heartbeats less often. The shortest interval must
+	// not apply forever, or the zone would count as silent between two heartbeats.
+	isOutdated := heartbeat.ZoneLive > 0 && now-state.intervalObservedAt > missedHeartbeats*state.heartbeatInterval
+	if state.heartbeatInterval == 0 || interval <= state.heartbeatInterval || isOutdated {
+		state.heartbeatInterval, state.intervalObservedAt = interval, now
 	}
-	held.beat, held.cut = now, false
+	state.lastHeartbeatAt, state.isUnreachable = now, false
 }
 
-// RecordSuccess records that a replica of the zone answered or accepted a connection.
-func (b *Tracker) RecordSuccess(now structs.Instant, zone string) {
-	if held, found := b.zones[zone]; found {
-		held.answer, held.cut = now, false
+// RecordSuccess records that a replica of the zone responded or accepted a connection. Zones that
+// sent no heartbeat yet are ignored.
+func (t *Tracker) RecordSuccess(now structs.Instant, zone string) {
+	if state, found := t.zones[zone]; found {
+		state.lastResponseAt, state.isUnreachable = now, false
 	}
 }
 
-// RecordFailure records that no connection to a replica of the zone came up.
-func (b *Tracker) RecordFailure(now structs.Instant, zone string) {
-	if held, found := b.zones[zone]; found {
-		held.cut = held.cut || held.silent(now)
+// RecordFailure records that a connection to a replica of the zone failed. This makes the zone
+// unreachable if it is silent.
+func (t *Tracker) RecordFailure(now structs.Instant, zone string) {
+	if state, found := t.zones[zone]; found {
+		state.isUnreachable = state.isUnreachable || state.isSilent(now)
 	}
 }
 
-// silent returns whether nothing came from the zone for too long.
-func (s *state) silent(now structs.Instant) bool {
-	limit := max(silence, beats*s.interval)
-	return now-s.beat > limit && now-s.answer > limit
+// isSilent reports whether neither a heartbeat nor a response came from the zone for too long.
+func (s *zoneState) isSilent(now structs.Instant) bool {
+	limit := max(minSilence, missedHeartbeats*s.heartbeatInterval)
+	return now-s.lastHeartbeatAt > limit && now-s.lastResponseAt > limit
 }
 
-// SilentZones returns the zones that nothing comes from.
-func (b *Tracker) SilentZones(now structs.Instant) []string {
+// SilentZones returns the zones without recent heartbeats and responses, in no particular order.
+func (t *Tracker) SilentZones(now structs.Instant) []string {
 	var names []string
-	for name, held := range b.zones {
-		if held.silent(now) {
+	for name, state := range t.zones {
+		if state.isSilent(now) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// AnyUnreachable returns whether some zone can't be reached.
-func (b *Tracker) AnyUnreachable() bool {
-	for _, held := range b.zones {
-		if held.cut {
+// AnyUnreachable reports whether some zone is unreachable.
+func (t *Tracker) AnyUnreachable() bool {
+	for _, state := range t.zones {
+		if state.isUnreachable {
 			return true
 		}
 	}
 	return false
 }
 
-// IsUnreachable returns whether the zone can't be reached.
-func (b *Tracker) IsUnreachable(zone string) bool {
-	held, found := b.zones[zone]
-	return found && held.cut
+// IsUnreachable reports whether the zone is unreachable.
+func (t *Tracker) IsUnreachable(zone string) bool {
+	state, found := t.zones[zone]
+	return found && state.isUnreachable
 }
