--- a/coordination/dissemination/dissemination_test.go
+++ b/coordination/dissemination/dissemination_test.go
@@ -48,6 +48,7 @@
 	return assembled, calls, length
 }
 
+// Guards against replies above the budget, and against incomplete versions after several replies.
 func TestVersionIsFetchedInBoundedReplies(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, to := newPublishedStore(g, 3, 2000), NewPartStore()
@@ -57,11 +58,12 @@
 	g.Expect(length).To(gomega.BeNumerically("<=", calls*testBudgetBytes))
 	g.Expect(to.Version()).To(gomega.Equal(int64(3)))
 	other := NewPartStore()
-	g.Expect(first(fetch(g, to, other)).Routes).To(gomega.HaveLen(2000), "a node that fetched the version can send it on")
+	g.Expect(documentOf(fetch(g, to, other)).Routes).To(gomega.HaveLen(2000), "a node that fetched the version can send it on")
 }
 
-func first(assembled *catalog.Document, _, _ int) *catalog.Document { return assembled }
+func documentOf(assembled *catalog.Document, _, _ int) *catalog.Document { return assembled }
 
+// Guards against sending a complete version after a small change.
 func TestOnlyMissingPartsAreSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, to := newPublishedStore(g, 3, 2000), NewPartStore()
@@ -80,6 +82,7 @@
 	g.Expect(length).To(gomega.BeZero(), "the new version has the same parts")
 }
 
+// Guards against parts of old versions accumulating in memory.
 func TestUnusedPartsAreRemoved(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, to := newPublishedStore(g, 3, 1000), NewPartStore()
@@ -97,22 +100,24 @@
 	g.Expect(from.HeldParts()).To(gomega.HaveLen(partCount))
 }
 
+// Guards against malformed, excessive and stale replies changing the active version or growing
+// the memory.
 func TestMalformedAndStaleReplies(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, to := newPublishedStore(g, 3, 1000), NewPartStore()
 	good, _ := from.Respond(&Request{}, testBudgetBytes)
 	truncated := &Reply{Manifest: good.Manifest, Content: [][]byte{good.Content[0], good.Content[1][:20]}}
-	assembled, progress, err := to.Merge(truncated)
+	assembled, hasProgress, err := to.Merge(truncated)
 	g.Expect(err).To(gomega.MatchError(errkind.BadFrame))
 	g.Expect(assembled).To(gomega.BeNil())
-	g.Expect(progress).To(gomega.BeTrue(), "the part before the malformed one is kept")
+	g.Expect(hasProgress).To(gomega.BeTrue(), "the part before the malformed one is kept")
 	g.Expect(to.HeldParts()).To(gomega.HaveLen(1))
 
 	unrelated, _ := newPublishedStore(g, 3, 77).Respond(&Request{}, testBudgetBytes)
-	assembled, progress, err = to.Merge(&Reply{Manifest: good.Manifest, Content: unrelated.Content[1:]})
+	assembled, hasProgress, err = to.Merge(&Reply{Manifest: good.Manifest, Content: unrelated.Content[1:]})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(assembled).To(gomega.BeNil())
-	g.Expect(progress).To(gomega.BeFalse(), "no part belongs to the manifest")
+	g.Expect(hasProgress).To(gomega.BeFalse(), "no part belongs to the manifest")
 	g.Expect(to.DroppedParts()).To(gomega.Equal(1 + len(unrelated.Content[1:])))
 
 	tooLong := &Reply{Manifest: catalog.Manifest{Version: 8, Parts: make([]catalog.Hash, maxManifestParts+1)}}
@@ -127,6 +132,8 @@
 	g.Expect(to.Version()).To(gomega.Equal(int64(3)), "an older version is never activated")
 }
 
+// Guards against needless traffic between zones, and against suggestions without use to the
+// requester.
 func TestSourcesInTheRequestersZoneAreSuggestedFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sources := &Sources{}
--- a/coordination/dissemination/part_store.go
+++ b/coordination/dissemination/part_store.go
@@ -91,7 +91,7 @@
 }
 
 // CancelFetch cancels fetching a version, as possibly no node has all of it any more. Its parts
-// are kept until the next change of the manifests.
+// are kept until the next reply or activation shows which of them are needed.
 func (s *PartStore) CancelFetch() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -180,9 +180,10 @@
 }
 
 // Respond answers a request with parts of up to budgetBytes in total, but with at least one if
-// any is missing. complete is true if the sender has every part of the version after this reply.
-// Both are empty if the sender's version is no older than the active one.
-func (s *PartStore) Respond(request *Request, budgetBytes int) (reply *Reply, complete bool) {
+// any is missing. isComplete is true if the sender has every part of the version after this
+// reply. The reply is empty, and isComplete false, if the sender's version is not older than the
+// active one.
+func (s *PartStore) Respond(request *Request, budgetBytes int) (reply *Reply, isComplete bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	reply = &Reply{}
@@ -211,10 +212,10 @@
 }
 
 // Merge stores the parts of a peer's reply. It returns the document once it is complete, else
-// nil. progress is true if the reply contained a missing part. The error is of kind BadFrame if
-// the reply is malformed; parts before the malformed one are kept. Merge does not activate the
+// nil. hasProgress is true if the reply contained a missing part. The error is of kind BadFrame
+// if the reply is malformed; parts before the malformed one are kept. Merge does not activate the
 // document: see Activate.
-func (s *PartStore) Merge(reply *Reply) (document *catalog.Document, progress bool, err error) {
+func (s *PartStore) Merge(reply *Reply) (document *catalog.Document, hasProgress bool, err error) {
 	if len(reply.Manifest.Parts) > maxManifestParts {
 		return nil, false, errkind.New(errkind.BadFrame, "merge reply: manifest has %d parts, more than the maximum of %d", len(reply.Manifest.Parts), maxManifestParts)
 	}
@@ -241,17 +242,17 @@
 			continue
 		}
 		s.parts[part.compressed.Hash] = part
-		progress = true
+		hasProgress = true
 	}
 	s.prune()
 	if err != nil {
 		s.droppedParts++
-		return nil, progress, err
+		return nil, hasProgress, err
 	}
 	if s.isIncomplete(s.fetching) {
-		return nil, progress, nil
+		return nil, hasProgress, nil
 	}
-	return s.assemble(s.fetching), progress, nil
+	return s.assemble(s.fetching), hasProgress, nil
 }
 
 // decodeParts decodes the parts up to the first that is malformed.
--- a/coordination/dissemination/send_limiter_test.go
+++ b/coordination/dissemination/send_limiter_test.go
@@ -9,6 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
+// Guards against replies that fill a narrow link.
 func TestConcurrentRepliesDependOnTheBandwidth(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for link, count := range map[float64]int{0: defaultReplies, 5: 1, 10: 1, 100: 5, 200: 10, 10_000: maxReplies} {
@@ -16,6 +17,7 @@
 	}
 }
 
+// Guards against a request that waits for longer than its timeout or context.
 func TestAcquireWaitsForARelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/coordination/dissemination/sources.go
+++ b/coordination/dissemination/sources.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxSources bounds the nodes remembered for a version. Nodes that are later find other
-	// sources by heartbeats.
+	// maxSources bounds the nodes remembered for a version. Requesters also find sources by their
+	// heartbeats.
 	maxSources = 64
 	// maxSuggestions is greater than one because a suggested node may have failed meanwhile.
 	maxSuggestions = 3
--- a/coordination/liveness/delegates.go
+++ b/coordination/liveness/delegates.go
@@ -6,11 +6,10 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// If every node exchanged heartbeats with every other one in a large fleet, the work of each node
-// would grow with the fleet. So in a large fleet only a few nodes of each zone, its delegates,
-// send heartbeats to all nodes, schedule and access the store. The other nodes send heartbeats to
-// the delegates of their own zone and to the scheduling node. Each node derives from the
-// heartbeats that it receives whether it is a delegate.
+// Heartbeats between all nodes of a large fleet would cost each node too much. So only a few
+// nodes of each zone, its delegates, send heartbeats to all nodes, schedule and access the store.
+// The other nodes send heartbeats to the delegates of their own zone and to the scheduling node.
+// Each node derives its role from the heartbeats that it receives.
 
 const (
 	// A fleet becomes large above maxSmallFleetNodes and small again below minLargeFleetNodes, so
@@ -65,13 +64,13 @@
 // IsDelegate reports whether the node with the heartbeat own is a delegate of its zone in a large
 // fleet, given the delegates among the members that it receives heartbeats from.
 func IsDelegate(own *Heartbeat, members []*Member) bool {
-	zone := []*Heartbeat{own}
+	candidates := []*Heartbeat{own}
 	for _, member := range Delegates(members) {
 		if member.Zone == own.Zone {
-			zone = append(zone, &member.Heartbeat)
+			candidates = append(candidates, &member.Heartbeat)
 		}
 	}
-	return slices.Contains(RankNodes(zone, delegatesPerZone), own.Name)
+	return slices.Contains(RankNodes(candidates, delegatesPerZone), own.Name)
 }
 
 // PeersForZone returns the peer list for a node of the zone: the delegates of each zone and some
@@ -93,16 +92,16 @@
 	for _, member := range members {
 		byName[member.Name] = member
 	}
-	wanted := RankNodes(Heartbeats(Delegates(members)), delegatesPerZone)
+	selected := RankNodes(Heartbeats(Delegates(members)), delegatesPerZone)
 	if isOwnZone {
 		for _, member := range members[:min(len(members), maxExtraOwnZonePeers)] {
-			if !slices.Contains(wanted, member.Name) {
-				wanted = append(wanted, member.Name)
+			if !slices.Contains(selected, member.Name) {
+				selected = append(selected, member.Name)
 			}
 		}
 	}
-	peers := make([]Peer, 0, len(wanted))
-	for _, name := range wanted {
+	peers := make([]Peer, 0, len(selected))
+	for _, name := range selected {
 		peers = append(peers, Peer{Name: name, Address: byName[name].Address})
 	}
 	return peers
@@ -118,9 +117,9 @@
 // Size returns the size of a large fleet and the size of this node's zone, each including this
 // node. The fleet's size combines what this node observes with what the delegates of each zone
 // report; the zone's size is only what this node observes.
-func (t *Table) Size(now structs.Instant, own string) (fleet, zone Size) {
+func (t *Table) Size(now structs.Instant, ownZone string) (fleet, zone Size) {
 	type zoneCount struct{ observed, reported Size }
-	zones := map[string]*zoneCount{own: {observed: Size{Live: 1, Known: 1}}}
+	zones := map[string]*zoneCount{ownZone: {observed: Size{Live: 1, Known: 1}}}
 	for _, member := range t.members {
 		if !member.confirmed {
 			continue // its zone is unknown
@@ -141,5 +140,5 @@
 		fleet.Live += max(count.observed.Live, count.reported.Live)
 		fleet.Known += max(count.observed.Known, count.reported.Known)
 	}
-	return fleet, zones[own].observed
+	return fleet, zones[ownZone].observed
 }
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -180,8 +180,8 @@
 	return missedHeartbeats * time.Duration(m.IntervalMS) * time.Millisecond
 }
 
-// forgetAfter is the time without heartbeats after which a member is removed.
-const forgetAfter = 60 * time.Second
+// memberRetention is the time without heartbeats after which a member is removed.
+const memberRetention = 60 * time.Second
 
 // Table holds the other nodes that a node knows.
 type Table struct {
@@ -208,14 +208,14 @@
 		member = &Member{Heartbeat: Heartbeat{Name: heartbeat.Name}}
 		t.add(member)
 	}
-	sameProcess := found && member.Incarnation == heartbeat.Incarnation
-	stillSuspected := sameProcess && member.suspected && heartbeat.Relayed
-	appeared := !sameProcess || !stillSuspected && !member.isLive(now, 1)
+	isSameProcess := found && member.Incarnation == heartbeat.Incarnation
+	isStillSuspected := isSameProcess && member.suspected && heartbeat.Relayed
+	hasAppeared := !isSameProcess || !isStillSuspected && !member.isLive(now, 1)
 	if found && !member.confirmed {
 		t.unconfirmedCount--
 	}
-	member.Heartbeat, member.lastHeartbeatAt, member.suspected, member.confirmed = heartbeat, now, stillSuspected, true
-	return appeared
+	member.Heartbeat, member.lastHeartbeatAt, member.suspected, member.confirmed = heartbeat, now, isStillSuspected, true
+	return hasAppeared
 }
 
 // maxUnconfirmedPeers bounds the members known only from peers, so that a node that sends wrong
@@ -297,11 +297,11 @@
 // All removes members that have been silent for too long and returns the others by name.
 func (t *Table) All(now structs.Instant) []*Member {
 	t.sortedByName = slices.DeleteFunc(t.sortedByName, func(member *Member) bool {
-		isForgotten := now-max(member.lastHeartbeatAt, member.addedAt) > forgetAfter
-		if isForgotten {
+		isExpired := now-max(member.lastHeartbeatAt, member.addedAt) > memberRetention
+		if isExpired {
 			t.forget(member)
 		}
-		return isForgotten
+		return isExpired
 	})
 	return slices.Clone(t.sortedByName)
 }
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -17,6 +17,7 @@
 	return result
 }
 
+// Guards against treating failed nodes as live, and against never removing them.
 func TestSilentSuspectedAndUnconfirmedNodesAreNotLive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable("self")
@@ -31,7 +32,7 @@
 	g.Expect(table.Observe(300*time.Millisecond, Heartbeat{Name: "a", Incarnation: 1})).To(gomega.BeTrue())
 	g.Expect(table.Live(300*time.Millisecond + failureTimeout)).To(gomega.BeEmpty())
 	g.Expect(table.Observe(time.Second, Heartbeat{Name: "a", Incarnation: 2})).To(gomega.BeTrue())
-	g.Expect(table.All(2 * forgetAfter)).To(gomega.BeEmpty())
+	g.Expect(table.All(2 * memberRetention)).To(gomega.BeEmpty())
 }
 
 // Guards against scheduling on a node that is too weak for bursts, or leaving.
--- a/coordination/liveness/relay.go
+++ b/coordination/liveness/relay.go
@@ -15,9 +15,9 @@
 	// relayCandidateCount is the number of nodes that a heartbeat is sent to for relaying while
 	// there is no confirmed relay.
 	relayCandidateCount = 3
-	// After relayFailureThreshold heartbeats in a row without a confirmation, heartbeats go
-	// directly to the nodes of the zone, except for each relayRetryHeartbeats-th, which tries
-	// relays again.
+	// In a large fleet, once relayFailureThreshold heartbeats in a row are unconfirmed,
+	// heartbeats go directly to the nodes of the zone, except when their count is a multiple of
+	// relayRetryHeartbeats: those try relays again.
 	relayFailureThreshold = 3
 	relayRetryHeartbeats  = 4
 	// New relays are picked from the most recently received 1/recentNodesDivisor of a zone's
@@ -115,7 +115,7 @@
 }
 
 // shouldSendDirectly reports whether a heartbeat goes directly to the zone's nodes because no
-// relay confirms any more: all delegates of the zone may have failed. It counts the heartbeat.
+// relay confirms any more: all delegates of the zone may have failed. It counts such heartbeats.
 func (r *Relays) shouldSendDirectly(zone string) bool {
 	state, found := r.zones[zone]
 	if !found || state.unconfirmedHeartbeats < relayFailureThreshold {
@@ -164,9 +164,9 @@
 	return members[:count:count]
 }
 
-// Confirmed records that the node relayed a heartbeat to the given number of nodes of its zone. A
-// confirmation of less than half of the zone's nodes is ignored: such a node doesn't know the
-// others yet.
+// Confirmed records that the node relayed a heartbeat to the given number of nodes of its zone.
+// It is ignored if that is less than half of the nodes that the relay was chosen from: such a
+// node doesn't know the others yet.
 func (r *Relays) Confirmed(zone, name string, reached int) {
 	state, found := r.zones[zone]
 	if !found || 2*reached < state.nodeCount {
--- a/coordination/liveness/relay_test.go
+++ b/coordination/liveness/relay_test.go
@@ -13,19 +13,19 @@
 
 // relayTable returns a table of a node of the zone "own" with two more nodes of that zone and the
 // given number of nodes of the zone "other", the first of which have wide links.
-func relayTable(others, wideLinks int) *Table {
+func relayTable(otherNodes, wideLinks int) *Table {
 	table := NewTable("self")
 	for i := range 2 {
 		name := fmt.Sprint("own", i)
 		table.Observe(0, Heartbeat{Name: name, Address: name, Zone: "own", CanRelay: true, IntervalMS: 1000})
 	}
-	for i := range others {
+	for i := range otherNodes {
 		name := fmt.Sprintf("other%02d", i)
-		link := 20.0
+		linkMbps := 20.0
 		if i < wideLinks {
-			link = 200
+			linkMbps = 200
 		}
-		table.Observe(structs.Instant(i)*time.Millisecond, Heartbeat{Name: name, Address: name, Zone: "other", LinkMbps: link, CanRelay: true, IntervalMS: 1000})
+		table.Observe(structs.Instant(i)*time.Millisecond, Heartbeat{Name: name, Address: name, Zone: "other", LinkMbps: linkMbps, CanRelay: true, IntervalMS: 1000})
 	}
 	return table
 }
@@ -33,6 +33,8 @@
 // drawLast is a source of random numbers that always returns the largest.
 func drawLast(count int) int { return count - 1 }
 
+// Guards against sending each heartbeat to several relays although one confirms, and against
+// keeping a relay that stopped to confirm.
 func TestHeartbeatsToALargeZoneUseAConfirmedRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
@@ -49,6 +51,7 @@
 	g.Expect(again).NotTo(gomega.ContainElement(first.Relays[1]))
 }
 
+// Guards against keeping a relay with a narrow link after one with a wide link confirmed.
 func TestRelayWithAWideLinkIsPreferred(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
@@ -61,6 +64,7 @@
 	g.Expect(relays.Recipients(0, "own", live, false).Relays).To(gomega.Equal([]string{"other00"}))
 }
 
+// Guards against using a relay that does not know most nodes of its zone.
 func TestRelayThatReachesFewNodesIsNotUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
@@ -71,6 +75,7 @@
 	relays.Confirmed("elsewhere", "x", 100) // a zone that nothing was sent to
 }
 
+// Guards against leaving out nodes that no relay serves.
 func TestSmallZonesAndNodesThatCannotRelayGetDirectHeartbeats(t *testing.T) {
 	g := gomega.NewWithT(t)
 	small := NewRelays(drawLast).Recipients(0, "own", relayTable(minZoneNodesForRelay-1, 1).Live(0), false)
--- a/coordination/liveness/slow_node_detector.go
+++ b/coordination/liveness/slow_node_detector.go
@@ -108,7 +108,7 @@
 // Slow reports whether the node is slow.
 func (d *SlowNodeDetector) Slow() bool { return d.isSlow }
 
-// TimerLag returns the mean lateness of timers.
+// TimerLag returns the moving average of the timers' lateness.
 func (d *SlowNodeDetector) TimerLag() time.Duration { return d.timerLag }
 
 // Slowdown returns the ratio of the current to the usual time of the fixed work.
--- a/coordination/liveness/slow_node_detector_test.go
+++ b/coordination/liveness/slow_node_detector_test.go
@@ -12,8 +12,8 @@
 // machine feeds a detector with timer lags and work times of a simulated machine.
 type machine struct {
 	SlowNodeDetector
-	now  structs.Instant
-	work time.Duration
+	now      structs.Instant
+	workTime time.Duration
 }
 
 // run simulates timers with the given lag for the duration. It stops when Slow changes, and
@@ -22,13 +22,15 @@
 	start := m.now
 	for m.now-start < duration {
 		m.now += TimerLagInterval
-		if m.Observe(m.now, timerLag, m.work) {
+		if m.Observe(m.now, timerLag, m.workTime) {
 			return m.now - start
 		}
 	}
 	return duration
 }
 
+// Guards against late detection of a slow machine, and against a node that stays slow after its
+// recovery.
 func TestSlowMachineIsDetectedWithinTenthsOfASecond(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{}
@@ -45,34 +47,36 @@
 // An idle machine has no timer lag, so its slowness shows only in the work time.
 func TestIdleSlowMachineIsDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := &machine{work: 3 * time.Microsecond}
+	m := &machine{workTime: 3 * time.Microsecond}
 	for i := range 500 {
-		m.work = time.Duration(1800+i*i%7*1000) * time.Nanosecond
+		m.workTime = time.Duration(1800+i*i%7*1000) * time.Nanosecond
 		m.run(TimerLagInterval, 0)
 	}
 	g.Expect(m.Slow()).To(gomega.BeFalse(), "single work times of up to four times the usual are ignored")
-	m.work = 17 * time.Microsecond
+	m.workTime = 17 * time.Microsecond
 	g.Expect(m.run(time.Minute, 0)).To(gomega.BeNumerically("<=", 200*time.Millisecond))
 	g.Expect(m.Slow()).To(gomega.BeTrue())
 	g.Expect(m.run(20*time.Second, 0)).To(gomega.Equal(20*time.Second), "the machine is still as slow")
-	m.work = 3 * time.Microsecond
+	m.workTime = 3 * time.Microsecond
 	m.run(20*time.Second, 0)
 	g.Expect(m.Slow()).To(gomega.BeFalse())
 }
 
+// Guards against a false detection because of single long work times.
 func TestOccasionalThreadDelaysDoNotMakeANodeSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{}
 	for i := range 5000 {
-		m.work = 3 * time.Microsecond
+		m.workTime = 3 * time.Microsecond
 		if i%10 == 0 {
-			m.work = 10 * time.Millisecond
+			m.workTime = 10 * time.Millisecond
 		}
 		m.run(TimerLagInterval, 0)
 		g.Expect(m.Slow()).To(gomega.BeFalse())
 	}
 }
 
+// Guards against a false detection because of single long timer lags.
 func TestSingleSuspensionsDoNotMakeANodeSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{}
@@ -106,6 +110,7 @@
 	g.Expect(m.run(time.Minute, 0)).To(gomega.BeNumerically("~", minHoldTime, 200*time.Millisecond))
 }
 
+// Guards against scheduling on a slow node while another eligible node is not slow.
 func TestSlowNodesAreSelectedOnlyIfAllAreSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	heartbeats := []*Heartbeat{{Name: "a", Cores: 1, Slow: true}, {Name: "b", Cores: 1}, {Name: "c", Cores: 1}, {Name: "weak", Cores: 0.2}}
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,12 +1,8 @@
 // Package membership keeps a node's view of the other nodes of its zone, after SWIM (Das, Gupta
 // and Motivala, 2002). Nodes probe each other directly or through others; a failed probe makes
-// its target suspect, and a suspicion that is not refuted in time makes it dead. Rumors of such
-// changes spread by gossip.
-//
-// A member counts as alive only if some node received a message of its current incarnation since
-// it was last suspected. A dead member is alive again once a message with a higher incarnation
-// arrives. The views of two nodes may differ while rumors spread, so no guarantee may depend on
-// equal views.
+// its target suspect, and a suspicion that is not refuted in time makes it dead. Changes spread
+// as rumors by gossip, so the views of two nodes may differ for a while, and no guarantee may
+// depend on equal views.
 //
 // The table does no I/O and reads no clock.
 package membership
@@ -163,9 +159,9 @@
 		t.apply(now, entry, rumor)
 		return
 	}
-	newer := rumor.Member.Incarnation > entry.Member.Incarnation
-	worse := rumor.Member.Incarnation == entry.Member.Incarnation && rumor.Status > entry.Status
-	if newer || worse {
+	isNewer := rumor.Member.Incarnation > entry.Member.Incarnation
+	isWorse := rumor.Member.Incarnation == entry.Member.Incarnation && rumor.Status > entry.Status
+	if isNewer || isWorse {
 		t.apply(now, entry, rumor)
 	}
 }
@@ -215,14 +211,14 @@
 // member once before any twice.
 func (t *Table) ProbeTargets(count int) []Member {
 	var targets []Member
-	refilled := false
+	isRefilled := false
 	for len(targets) < count {
 		if len(t.probeOrder) == 0 {
-			if refilled {
+			if isRefilled {
 				break
 			}
 			t.refillProbeOrder()
-			refilled = true
+			isRefilled = true
 			if len(t.probeOrder) == 0 {
 				break
 			}
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -14,6 +14,7 @@
 	return NewTable(Member{Name: name, Zone: "z", Incarnation: FirstIncarnation(1)}, deadAfter, rand.New(rand.NewPCG(1, 1)))
 }
 
+// Guards against a member that stays suspect, or dies although it refuted the suspicion.
 func TestUnrefutedSuspectsBecomeDead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := newTestTable("a"), newTestTable("b")
@@ -28,6 +29,8 @@
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a"}))
 }
 
+// Guards against old messages that make a dead process alive, and against a new process that
+// stays dead.
 func TestRestartedProcessIsAliveAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := newTestTable("a")
@@ -40,6 +43,7 @@
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a", "b"}))
 }
 
+// Guards against malformed rumors and those of other zones entering the table.
 func TestInvalidRumorsAndThoseOfOtherZonesAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := newTestTable("a")
@@ -47,6 +51,7 @@
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a"}))
 }
 
+// Guards against members that are probed more rarely than others.
 func TestProbeTargetsVisitEachMemberOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := newTestTable("a")
--- a/coordination/replicahealth/replicahealth.go
+++ b/coordination/replicahealth/replicahealth.go
@@ -48,8 +48,8 @@
 }
 
 // RecordSuccess records a complete response, also if it is an error: whether the replica or the
-// service causes errors is judged by the scheduling node, which sees the responses of all
-// replicas.
+// service causes errors is judged by the scheduling node. It resets the count of consecutive
+// failures, but not the time until which the replica counts as failing.
 func (t *Tracker) RecordSuccess(id string) { t.get(id).consecutiveFailures = 0 }
 
 // RecordBroken records a response that was truncated or malformed. The replica counts as failing
--- a/coordination/staleness/newer_versions.go
+++ b/coordination/staleness/newer_versions.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// DropAbove removes the versions above the given one, the newest that any live peer has. No live
-// peer can supply them, so this node isn't behind.
+// DropAbove removes the versions above newest, the newest version of any live peer: they can't be
+// fetched any more.
 func (v *NewerVersions) DropAbove(newest int64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// Reject records that this node can't activate the version and keeps its last valid one. Up to
-// this version, none counts as newer any more.
+// Reject records that this node can't activate the version and keeps its last valid one. Versions
+// up to the rejected one no longer count as newer.
 func (v *NewerVersions) Reject(version int64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/coordination/staleness/pull_tracker_test.go
+++ b/coordination/staleness/pull_tracker_test.go
@@ -7,6 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
+// Guards against concurrent pulls, and against pulls that overload a link on which they fail.
 func TestFailedPullsBackOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := &PullTracker[int64]{}
--- a/coordination/zones/zones.go
+++ b/coordination/zones/zones.go
@@ -1,7 +1,5 @@
-// Package zones detects which other zones one node can't reach.
-//
-// A network partition makes all replicas of a zone unreachable at once. Detecting that for each
-// replica by itself would cost a connect timeout each. So a zone counts as unreachable when its
+// Package zones detects which other zones one node can't reach, as detecting that for each
+// replica by itself would cost a connect timeout each. A zone counts as unreachable when its
 // nodes send no heartbeats, its replicas don't respond, and one connection to it fails. The
 // package does no I/O and reads no clock.
 package zones
--- a/coordination/zones/zones_test.go
+++ b/coordination/zones/zones_test.go
@@ -9,6 +9,8 @@
 	"github.com/thornwalk/thornwalk/coordination/liveness"
 )
 
+// Guards against taking a zone for unreachable on silence or a failed connection alone, or for
+// longer than it is.
 func TestZoneIsUnreachableIfItIsSilentAndAConnectionFails(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := NewTracker()
