--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -11,265 +11,264 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// waiting is a request without a place.
-type waiting struct {
+// queuedRequest is a request that has no replica yet.
+type queuedRequest struct {
 	Request
-	arrived structs.Instant
-	// doubt is the request's Doubted, shared with others of its node.
-	doubt *doubtList
-	// sizes is what is known of the lengths of its route's answers, of which it is in the band.
-	sizes *sizes
-	band  band
-	// size is the length that it is ordered by in this round.
-	size int
+	submittedAt structs.Instant
+	// suspects is made from Doubted and shared with other requests of the node.
+	suspects *suspectList
+	// lengths belongs to the route, and band is the band of the expected answer in it.
+	lengths *responseLengths
+	band    lengthBand
+	// sortLength is the effective length in the current round.
+	sortLength int
 }
 
-// place is a request in progress.
-type place struct {
-	content fingerprint.Fingerprint
-	node    string
-	service string
-	route   string
-	replica string
-	// born is that of the replica's life.
-	born    int64
-	version string
-	prompt  int
-	since   structs.Instant
-	// begun is true once the prompt was read, and overdue once the answer should
-	// have begun and did not.
-	begun, overdue bool
-	// isCold is true if the replica was cold when the request got the place.
+// assignment is a request that was given a replica and has not ended.
+type assignment struct {
+	fingerprint fingerprint.Fingerprint
+	node        string
+	service     string
+	route       string
+	replicaID   string
+	// startedAt identifies the replica's incarnation.
+	startedAt    int64
+	version      string
+	promptTokens int
+	assignedAt   structs.Instant
+	// started is true once the answer has started, and late if it did not start in time.
+	started, late bool
+	// isCold is true if the replica was cold at the assignment.
 	isCold bool
 }
 
-// service is the state of one pool.
-type service struct {
-	queue []*waiting
-	// replicas are the listed ones.
-	replicas []*replicaState
-	duration time.Duration
-	// failures is the smoothed share of its requests that fail.
-	failures float64
-	// versions says which versions get requests, and trial what those get that are judged.
-	versions rollouts.VersionPolicy
-	trial    *rollout.CanaryBudget
-	// routes has what is known of the lengths of answers by route.
-	routes map[string]*sizes
-	// warming bounds what cold replicas get; nil means that it is not known.
-	warming *SlowStart
+// servicePool is the queue and the replicas of one service.
+type servicePool struct {
+	queue []*queuedRequest
+	// replicas holds the listed replicas only.
+	replicas     []*replicaState
+	meanDuration time.Duration
+	// failureShare is the smoothed share of requests that fail.
+	failureShare  float64
+	versionPolicy rollouts.VersionPolicy
+	// canaryBudget may be nil.
+	canaryBudget   *rollout.CanaryBudget
+	lengthsByRoute map[string]*responseLengths
+	// slowStart is nil until it is set; cold replicas get no requests until then.
+	slowStart *SlowStart
 }
 
-// Scheduler holds the queues and the places of all services.
+// Scheduler holds the queues and the assignments of all services.
 type Scheduler struct {
-	services map[string]*service
-	places   map[string]*place
-	waits    map[string]*waiting
-	// states has every replica that is listed or that requests are in progress at.
-	states map[string]*replicaState
-	// foreign is what each node has in progress by replica that others placed.
-	foreign map[string]map[string]int
-	// doubts has the list of the latest request of each node that doubts replicas.
-	doubts map[string]*doubtList
-	// changes counts the changes of which states there are.
-	changes int
-	// options is used by one round after the other.
-	options []option
-	// contents says which requests replicas ended under, and running counts the places of
-	// the requests that ask for the same.
-	poisonTracker *poison.Tracker
-	running       map[fingerprint.Fingerprint]int
-	// regions has the region of each zone; a zone that it lacks is one by itself.
-	regions map[string]string
-	// emptied are the zones whose replicas get nothing.
-	emptied map[string]bool
-	// warms is true if cold replicas may be given requests, which began or ended at warmsSince.
-	warms      bool
-	warmsSince structs.Instant
-	// part is that of all nodes which follow this scheduler, zero if it does not lead, which it
-	// does since leadsSince.
-	part       float64
-	leadsSince structs.Instant
-	// pauses are those that replicas asked nodes for.
-	pauses map[asker]pauses
+	pools       map[string]*servicePool
+	assignments map[string]*assignment
+	queued      map[string]*queuedRequest
+	// replicaStates has every replica that is listed or has requests in flight.
+	replicaStates map[string]*replicaState
+	// externalByNode has, by node and replica, the in-flight requests that other schedulers assigned.
+	externalByNode map[string]map[string]int
+	// suspectsByNode has the suspect list of each node's latest request with suspected replicas.
+	suspectsByNode map[string]*suspectList
+	// replicaSetVersion is incremented when a replica is added to or removed from replicaStates.
+	replicaSetVersion int
+	// snapshotBuffer is the memory of the current snapshot, reused by each snapshot.
+	snapshotBuffer []replicaSnapshot
+	poisonTracker  *poison.Tracker
+	// assignmentCounts counts the assignments by fingerprint.
+	assignmentCounts map[fingerprint.Fingerprint]int
+	// regionByZone may lack zones.
+	regionByZone   map[string]string
+	evacuatedZones map[string]bool
+	// coldTrafficAllowed was last set at coldTrafficSince.
+	coldTrafficAllowed bool
+	coldTrafficSince   structs.Instant
+	// followerShare is the share of all nodes that use this scheduler's assignments, zero if it is not
+	// the active scheduler. It is the active one since activeSince.
+	followerShare float64
+	activeSince   structs.Instant
+	pauses        map[pauseKey]replicaPauses
 }
 
-// New returns an empty scheduler that bars no request.
+// New returns a scheduler without replicas and requests, which blocks no requests.
 func New() *Scheduler {
 	return &Scheduler{
-		poisonTracker: poison.NewTracker(poison.Policy{}), running: map[fingerprint.Fingerprint]int{},
-		services: map[string]*service{}, places: map[string]*place{}, waits: map[string]*waiting{},
-		states: map[string]*replicaState{}, pauses: map[asker]pauses{}, foreign: map[string]map[string]int{}, doubts: map[string]*doubtList{},
+		poisonTracker: poison.NewTracker(poison.Policy{}), assignmentCounts: map[fingerprint.Fingerprint]int{},
+		pools: map[string]*servicePool{}, assignments: map[string]*assignment{}, queued: map[string]*queuedRequest{},
+		replicaStates: map[string]*replicaState{}, pauses: map[pauseKey]replicaPauses{}, externalByNode: map[string]map[string]int{}, suspectsByNode: map[string]*suspectList{},
 	}
 }
 
-// SetPoisonTracker has the scheduler go by the ledger of requests that replicas ended under.
-func (s *Scheduler) SetPoisonTracker(contents *poison.Tracker) { s.poisonTracker = contents }
+// SetPoisonTracker sets the tracker of requests that crash replicas. The scheduler records trials in
+// it and uses it without locking.
+func (s *Scheduler) SetPoisonTracker(tracker *poison.Tracker) { s.poisonTracker = tracker }
 
-// SetRegions tells which region each zone is in.
-func (s *Scheduler) SetRegions(regions map[string]string) { s.regions = regions }
+// SetRegions sets the region of each zone. Zones that are not in the map count as one region.
+func (s *Scheduler) SetRegions(regionByZone map[string]string) { s.regionByZone = regionByZone }
 
-// distance is how much more a replica costs by where it stands.
-func (s *Scheduler) distance(from, to string) float64 {
+// localityFactor returns the factor on a replica's cost for its distance.
+func (s *Scheduler) localityFactor(fromZone, toZone string) float64 {
 	switch {
-	case from == to:
+	case fromZone == toZone:
 		return 1
-	case s.regions[from] == s.regions[to]:
+	case s.regionByZone[fromZone] == s.regionByZone[toZone]:
 		return otherZoneFactor
 	}
 	return otherRegionFactor
 }
 
-// SetReplicas replaces the known replicas.
+// SetReplicas replaces the listed replicas. What was learned about a replica is kept if the new list
+// has the same incarnation.
 func (s *Scheduler) SetReplicas(now structs.Instant, all []replicas.Replica) {
-	for _, pool := range s.services {
+	for _, pool := range s.pools {
 		pool.replicas = nil
 	}
-	for _, state := range s.states {
+	for _, state := range s.replicaStates {
 		state.listed = false
 	}
 	for _, replica := range all {
-		state := s.state(replica.ID)
-		if state.replica.ID != "" && !state.replica.IsSameIncarnation(replica) {
-			state.forget() // nothing that was learned of the life before holds
+		state := s.replicaState(replica.ID)
+		if state.entry.ID != "" && !state.entry.IsSameIncarnation(replica) {
+			state.forget()
 		}
-		if state.replica.Position != replica.Position {
-			state.warmth.until = now + replica.Warmup
+		if state.entry.Position != replica.Position {
+			state.warmUp.until = now + replica.Warmup
 		}
-		state.replica, state.listed = replica, true
-		pool := s.service(replica.Service)
+		state.entry, state.listed = replica, true
+		pool := s.pool(replica.Service)
 		pool.replicas = append(pool.replicas, state)
 	}
-	s.supersede()
-	for id := range s.states {
+	s.markSuperseded()
+	for id := range s.replicaStates {
 		s.forgetUnused(id)
 	}
 }
 
-// supersede leaves out each replica whose address has passed to one with a newer entry: it has
-// ended, and its own entry has not lapsed yet. What is sent to it comes to the other, which
-// refuses it, and counts against the share of repeats: of 60 requests while six of eight
-// replicas had started again, 4 to 9 arrived so, and none since, in the test of whole nodes.
-// Both stay listed, as the newer entry may vanish first.
-func (s *Scheduler) supersede() {
+// markSuperseded marks replicas whose address belongs to a replica with a newer entry: they have
+// ended, but their entries have not expired yet. They stay listed, as the newer entry may be removed
+// first.
+func (s *Scheduler) markSuperseded() {
 	newest := map[string]structs.StorePosition{}
-	for _, state := range s.states {
-		if address := state.replica.Address; state.listed && address != "" {
-			newest[address] = max(newest[address], state.replica.Position)
+	for _, state := range s.replicaStates {
+		if address := state.entry.Address; state.listed && address != "" {
+			newest[address] = max(newest[address], state.entry.Position)
 		}
 	}
-	for _, state := range s.states {
-		state.superseded = state.listed && state.replica.Position < newest[state.replica.Address]
+	for _, state := range s.replicaStates {
+		state.superseded = state.listed && state.entry.Position < newest[state.entry.Address]
 	}
 }
 
-// SetEjected replaces the replicas that no request is sent to.
+// SetEjected replaces the set of ejected replicas. They get requests only if no replica of their
+// service is healthy.
 func (s *Scheduler) SetEjected(ids map[string]bool) {
-	for id, state := range s.states {
-		state.avoided = ids[id]
+	for id, state := range s.replicaStates {
+		state.ejected = ids[id]
 	}
 }
 
-// SetExternalInFlight records how many requests the node has in progress at each replica
-// that were not placed by this scheduler.
+// SetExternalInFlight replaces, by replica, the number of the node's in-flight requests that other
+// schedulers assigned.
 func (s *Scheduler) SetExternalInFlight(node string, counts map[string]int) {
-	before := s.foreign[node]
-	delete(s.foreign, node)
+	before := s.externalByNode[node]
+	delete(s.externalByNode, node)
 	if len(counts) > 0 {
-		s.foreign[node] = counts
+		s.externalByNode[node] = counts
 	}
 	for id, count := range counts {
-		s.state(id).foreign += count
+		s.replicaState(id).external += count
 	}
 	for id, count := range before {
-		s.state(id).foreign -= count
+		s.replicaState(id).external -= count
 		s.forgetUnused(id)
 	}
 }
 
-// DropNode forgets the requests of a node that ended.
+// DropNode removes all requests and reports of a node that ended.
 func (s *Scheduler) DropNode(node string) {
 	s.SetExternalInFlight(node, nil)
-	delete(s.doubts, node)
+	delete(s.suspectsByNode, node)
 	s.dropPauses(node)
-	for id, held := range s.places {
-		if held.node == node {
-			s.release(id)
+	for id, assignment := range s.assignments {
+		if assignment.node == node {
+			s.removeAssignment(id)
 		}
 	}
-	for id, held := range s.waits {
-		if held.Node == node {
+	for id, request := range s.queued {
+		if request.Node == node {
 			s.Cancel(id)
 		}
 	}
 }
 
-// Nodes returns the nodes that hold places or wait for them.
+// Nodes returns the nodes that have requests queued or in flight.
 func (s *Scheduler) Nodes() map[string]bool {
 	nodes := map[string]bool{}
-	for _, held := range s.places {
-		nodes[held.node] = true
+	for _, assignment := range s.assignments {
+		nodes[assignment.node] = true
 	}
-	for _, held := range s.waits {
-		nodes[held.Node] = true
+	for _, request := range s.queued {
+		nodes[request.Node] = true
 	}
-	for node := range s.foreign {
+	for node := range s.externalByNode {
 		nodes[node] = true
 	}
 	return nodes
 }
 
-// Submit queues the request. The next Decide may end its wait.
+// Submit queues the request. It is decided by Decide. It sorts request.Doubted.
 func (s *Scheduler) Submit(now structs.Instant, request Request) {
-	pool := s.service(request.Service)
-	held := &waiting{Request: request, arrived: now, sizes: pool.sizesOf(request.Route)}
-	held.band = held.sizes.note(request.Answer)
-	held.doubt = s.shareDoubt(&held.Request)
-	s.waits[request.ID] = held
-	pool.queue = append(pool.queue, held)
-	pool.trial.Ask(request.Route)
+	pool := s.pool(request.Service)
+	queued := &queuedRequest{Request: request, submittedAt: now, lengths: pool.lengthsOf(request.Route)}
+	queued.band = queued.lengths.record(request.Answer)
+	queued.suspects = s.shareSuspects(&queued.Request)
+	s.queued[request.ID] = queued
+	pool.queue = append(pool.queue, queued)
+	pool.canaryBudget.Ask(request.Route)
 }
 
-// Cancel ends the wait of a request without a decision.
+// Cancel removes a request from the queue without a decision. It does nothing if the request is not
+// queued.
 func (s *Scheduler) Cancel(id string) {
-	held, found := s.waits[id]
+	request, found := s.queued[id]
 	if !found {
 		return
 	}
-	delete(s.waits, id)
-	pool := s.service(held.Service)
+	delete(s.queued, id)
+	pool := s.pool(request.Service)
 	for i, other := range pool.queue {
-		if other == held {
+		if other == request {
 			pool.queue = append(pool.queue[:i], pool.queue[i+1:]...)
 			return
 		}
 	}
 }
 
-func (s *Scheduler) service(name string) *service {
-	pool, found := s.services[name]
+// pool returns the pool of the service, and creates it if needed.
+func (s *Scheduler) pool(service string) *servicePool {
+	pool, found := s.pools[service]
 	if !found {
-		pool = &service{duration: initialDuration, failures: leastShare, routes: map[string]*sizes{}}
-		s.services[name] = pool
+		pool = &servicePool{meanDuration: initialMeanDuration, failureShare: minUsualShare, lengthsByRoute: map[string]*responseLengths{}}
+		s.pools[service] = pool
 	}
 	return pool
 }
 
-// Count is the state of one service for operators.
+// Count is the state of one service as operators see it.
 type Count struct {
-	Waiting int            `json:"waiting"`
-	Used    map[string]int `json:"used"`
+	Queued int `json:"waiting"`
+	// InFlight counts the reported requests by replica.
+	InFlight map[string]int `json:"used"`
 }
 
-// Counts returns the state of every service.
+// Counts returns the state of every service by name.
 func (s *Scheduler) Counts() map[string]Count {
 	counts := map[string]Count{}
-	for name, pool := range s.services {
-		used := map[string]int{}
+	for name, pool := range s.pools {
+		inFlight := map[string]int{}
 		for _, state := range pool.replicas {
-			used[state.replica.ID] = state.reported()
+			inFlight[state.entry.ID] = state.reportedInFlight()
 		}
-		counts[name] = Count{Waiting: len(pool.queue), Used: used}
+		counts[name] = Count{Queued: len(pool.queue), InFlight: inFlight}
 	}
 	return counts
 }
--- /dev/null
+++ b/coordination/admission/assignments.go
@@ -0,0 +1,111 @@
+package admission
+
+import (
+	"time"
+
+	"github.com/thornwalk/thornwalk/state/fingerprint"
+	"github.com/thornwalk/thornwalk/structs"
+)
+
+// RecordFirstEvent records that the answer to an assigned request has started. Load is the number of
+// requests that the replica then reported, or negative if unknown; what exceeds the known requests
+// counts as unreported load.
+func (s *Scheduler) RecordFirstEvent(now structs.Instant, id string, load int) {
+	assignment, found := s.assignments[id]
+	if !found {
+		return
+	}
+	assignment.started = true
+	if load < 0 {
+		return
+	}
+	state := s.replicaState(assignment.replicaID)
+	state.unreported = unreportedLoad{count: max(0, load-state.reportedInFlight()), observedAt: now}
+}
+
+// Completion describes an assigned request that ended.
+type Completion struct {
+	Content                 fingerprint.Fingerprint
+	Service, Route, Replica string
+	// Version is the replica's.
+	Version string
+	// Prompt is the number of prompt tokens.
+	Prompt int
+	// Placed is the time of the assignment.
+	Placed structs.Instant
+}
+
+// Finish removes the assignment of a request and learns the replica's health and speed from its end.
+// It returns false if the request has no assignment here.
+func (s *Scheduler) Finish(now structs.Instant, id string, seen Observation) (Completion, bool) {
+	assignment, found := s.assignments[id]
+	if !found {
+		return Completion{}, false
+	}
+	ended := Completion{Content: assignment.fingerprint, Service: assignment.service, Route: assignment.route, Replica: assignment.replicaID, Version: assignment.version, Prompt: assignment.promptTokens, Placed: assignment.assignedAt}
+	s.removeAssignment(id)
+	if !seen.Left && !assignment.late {
+		s.recordOutcome(now, assignment.service, assignment.replicaID, seen.Failed)
+	}
+	if seen.Failed || seen.Left || seen.Duration <= 0 {
+		return ended, true
+	}
+	pool := s.pool(assignment.service)
+	pool.meanDuration = smooth(pool.meanDuration, seen.Duration)
+	s.learnSpeed(assignment, seen)
+	return ended, true
+}
+
+// Observe learns the replica's speed from a request that another scheduler assigned, so that this one
+// knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
+func (s *Scheduler) Observe(now structs.Instant, service, replica string, prompt int, seen Observation) {
+	if seen.Failed || seen.Left || seen.Duration <= 0 {
+		return
+	}
+	pool := s.pool(service)
+	pool.meanDuration = smooth(pool.meanDuration, seen.Duration)
+	s.learnSpeed(&assignment{service: service, replicaID: replica, promptTokens: prompt, isCold: s.replicaState(replica).isCold(now, pool)}, seen)
+}
+
+// learnSpeed updates the replica's speed from a request that succeeded.
+func (s *Scheduler) learnSpeed(assignment *assignment, seen Observation) {
+	speed := s.replicaState(assignment.replicaID).speedFor(assignment.isCold)
+	if seen.Events > 0 && assignment.promptTokens > 0 && !assignment.late {
+		speed.prefill.observe(assignment.promptTokens, seen.FirstEvent)
+	}
+	step := seen.Duration
+	switch {
+	case seen.Events > 1:
+		step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1) / time.Duration(max(seen.Stride, 1))
+	case seen.Events == 1:
+		return
+	}
+	speed.stepTime = smooth(speed.stepTime, step)
+}
+
+// smooth returns the exponential moving average after one more observation.
+func smooth(average, observed time.Duration) time.Duration {
+	if average == 0 {
+		return observed
+	}
+	return average + time.Duration(smoothingWeight*float64(observed-average))
+}
+
+func (s *Scheduler) addAssignment(id string, assignment *assignment) {
+	s.assignments[id] = assignment
+	s.assignmentCounts[assignment.fingerprint]++
+	state := s.replicaState(assignment.replicaID)
+	state.assigned++
+	state.prefilling = append(state.prefilling, assignment)
+}
+
+func (s *Scheduler) removeAssignment(id string) {
+	assignment := s.assignments[id]
+	delete(s.assignments, id)
+	if s.assignmentCounts[assignment.fingerprint]--; s.assignmentCounts[assignment.fingerprint] <= 0 {
+		delete(s.assignmentCounts, assignment.fingerprint)
+	}
+	assignment.started = true // excludes its prompt from replicaState.unreadTokens
+	s.replicaState(assignment.replicaID).assigned--
+	s.forgetUnused(assignment.replicaID)
+}
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -9,214 +9,218 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Decide places and refuses what can be decided now.
+// Decide assigns or rejects every queued request that can be decided now. The others stay queued.
 func (s *Scheduler) Decide(now structs.Instant) []Decision {
 	var decisions []Decision
-	names := make([]string, 0, len(s.services))
-	for name, pool := range s.services {
+	names := make([]string, 0, len(s.pools))
+	for name, pool := range s.pools {
 		if len(pool.queue) > 0 {
 			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		decisions = s.decideService(now, name, decisions)
+		decisions = s.decidePool(now, name, decisions)
 	}
 	return decisions
 }
 
-// Sweep frees places so old that their end must have been lost, and counts
-// answers that should have begun against their replicas.
+// Sweep removes assignments whose end was probably lost, and counts answers that have not started
+// within firstEventTimeout as failures of their replicas.
 func (s *Scheduler) Sweep(now structs.Instant) {
-	for id, held := range s.places {
-		if !held.begun && !held.overdue && now-held.since > overdueAfter {
-			held.overdue = true
-			s.judge(now, held.service, held.replica, true)
+	for id, assignment := range s.assignments {
+		if !assignment.started && !assignment.late && now-assignment.assignedAt > firstEventTimeout {
+			assignment.late = true
+			s.recordOutcome(now, assignment.service, assignment.replicaID, true)
 		}
-		if now-held.since > placeLimit {
-			s.release(id)
+		if now-assignment.assignedAt > maxAssignmentAge {
+			s.removeAssignment(id)
 		}
 	}
 }
 
-func (s *Scheduler) decideService(now structs.Instant, name string, decisions []Decision) []Decision {
-	pool := s.services[name]
-	room := s.measure(now, name)
+// decidePool appends the decisions on one service's queue.
+func (s *Scheduler) decidePool(now structs.Instant, service string, decisions []Decision) []Decision {
+	pool := s.pools[service]
+	snapshot := s.snapshot(now, service)
 	sortQueue(now, pool.queue)
-	kept := pool.queue[:0]
-	ahead := 0
-	// In calm nothing is looked up for each of up to a thousand waiting requests.
-	judged := !s.poisonTracker.IsEmpty()
-	for _, held := range pool.queue {
+	undecided := pool.queue[:0]
+	queuedAhead := 0
+	// The queue may hold a thousand requests: skip their lookups while nothing is tracked.
+	checkPoison := !s.poisonTracker.IsEmpty()
+	for _, request := range pool.queue {
 		var decision Decision
 		done := false
-		if judged {
-			decision, done = s.decideContent(now, held)
+		if checkPoison {
+			decision, done = s.decidePoison(now, request)
 		}
 		if !done && decision.Reason != ReasonNone {
-			kept = append(kept, held) // nobody else waits for it
+			undecided = append(undecided, request) // not counted in queuedAhead: it delays no other request
 			continue
 		}
 		if !done {
-			decision, done = s.decideOne(now, held, room, ahead)
+			decision, done = s.decideRequest(now, request, snapshot, queuedAhead)
 		}
 		if !done {
-			kept = append(kept, held)
-			ahead++
+			undecided = append(undecided, request)
+			queuedAhead++
 			continue
 		}
-		held.sizes.decided(held.band, decision.Reason == ReasonNone)
-		delete(s.waits, held.ID)
+		request.lengths.recordDecision(request.band, decision.Reason == ReasonNone)
+		delete(s.queued, request.ID)
 		decisions = append(decisions, decision)
 	}
-	clear(pool.queue[len(kept):])
-	pool.queue = kept
+	clear(pool.queue[len(undecided):])
+	pool.queue = undecided
 	return decisions
 }
 
-// sortQueue orders by priority, then those that can still be in time, the
-// shortest answers first and before them long ones that fell behind, then the late
-// ones by arrival.
-func sortQueue(now structs.Instant, queue []*waiting) {
-	for _, held := range queue {
-		held.size = held.order()
+// sortQueue orders requests by priority, then those that can still meet their target before late
+// ones. The former are ordered by the length of their answers, shortest first, but those of an
+// underserved length band before all others; late ones by the time their target ended.
+func sortQueue(now structs.Instant, queue []*queuedRequest) {
+	for _, request := range queue {
+		request.sortLength = request.effectiveLength()
 	}
 	sort.SliceStable(queue, func(i, j int) bool {
 		a, b := queue[i], queue[j]
 		if a.Priority != b.Priority {
 			return a.Priority < b.Priority
 		}
-		aLate, bLate := now > a.arrived+a.Target, now > b.arrived+b.Target
+		aLate, bLate := now > a.submittedAt+a.Target, now > b.submittedAt+b.Target
 		if aLate != bLate {
 			return bLate
 		}
-		if !aLate && a.size != b.size {
-			return a.size < b.size
+		if !aLate && a.sortLength != b.sortLength {
+			return a.sortLength < b.sortLength
 		}
-		return a.arrived+a.Target < b.arrived+b.Target
+		return a.submittedAt+a.Target < b.submittedAt+b.Target
 	})
 }
 
-func (s *Scheduler) decideOne(now structs.Instant, held *waiting, room *room, ahead int) (Decision, bool) {
-	decision := Decision{ID: held.ID, Waited: now - held.arrived, QueuedAhead: ahead, Free: room.free, Expected: room.wait(ahead)}
-	if chosen := s.chooseTrial(now, held, room, held.Deadline-decision.Waited); chosen != nil {
-		s.place(now, held, chosen, &decision)
+// decideRequest decides one request, and returns false if it stays queued.
+func (s *Scheduler) decideRequest(now structs.Instant, request *queuedRequest, snapshot *poolSnapshot, queuedAhead int) (Decision, bool) {
+	decision := Decision{ID: request.ID, Waited: now - request.submittedAt, QueuedAhead: queuedAhead, Free: snapshot.freeSlots, Expected: snapshot.expectedWait(queuedAhead)}
+	if canary := s.chooseCanary(now, request, snapshot, request.Deadline-decision.Waited); canary != nil {
+		s.assign(now, request, canary, &decision)
 		return decision, true
 	}
-	paused := s.pauses[asker{held.Node, held.Service}]
-	options := room.untried(now, &held.Request, paused)
-	if len(options) == 0 && len(room.options) > 0 {
-		decision.Reason, decision.RetryAfter = ReasonNoReplica, minimumRetry
-		if left := room.untried(now, &held.Request, nil); len(left) > 0 {
-			decision.Reason, decision.RetryAfter = ReasonPaused, max(paused.soonest(now, left), minimumRetry)
+	pauses := s.pauses[pauseKey{request.Node, request.Service}]
+	eligible := snapshot.eligible(now, &request.Request, pauses)
+	if len(eligible) == 0 && len(snapshot.replicas) > 0 {
+		decision.Reason, decision.RetryAfter = ReasonNoReplica, minRetryAfter
+		if paused := snapshot.eligible(now, &request.Request, nil); len(paused) > 0 {
+			decision.Reason, decision.RetryAfter = ReasonPaused, max(pauses.shortestRemaining(now, paused), minRetryAfter)
 		}
 		return decision, true
 	}
-	if len(options) == 0 {
-		decision.Reason, decision.RetryAfter = ReasonNoReplica, minimumRetry
-		if room.emptied > 0 {
-			// The operators take a zone back after seconds at the soonest.
-			decision.Reason, decision.RetryAfter = ReasonEmptied, maximumRetry
+	if len(eligible) == 0 {
+		decision.Reason, decision.RetryAfter = ReasonNoReplica, minRetryAfter
+		if snapshot.evacuatedReplicas > 0 {
+			// Operators don't lift an evacuation within seconds.
+			decision.Reason, decision.RetryAfter = ReasonEvacuated, maxRetryAfter
 			return decision, true
 		}
-		return decision, decision.Waited >= held.Patience
+		return decision, decision.Waited >= request.Patience
 	}
-	left := held.Deadline - decision.Waited
-	if held.Answer > 0 && !room.canServe(held.Answer, left) {
-		decision.Reason, decision.RetryAfter = ReasonDeadline, maximumRetry
+	remaining := request.Deadline - decision.Waited
+	if request.Answer > 0 && !snapshot.canAnyFinish(request.Answer, remaining) {
+		decision.Reason, decision.RetryAfter = ReasonDeadline, maxRetryAfter
 		return decision, true
 	}
-	if chosen := s.choose(now, held, room, options, left); chosen != nil {
-		room.taken(chosen)
-		s.place(now, held, chosen, &decision)
+	if replica := s.chooseReplica(now, request, snapshot, eligible, remaining); replica != nil {
+		snapshot.recordAssigned(replica)
+		s.assign(now, request, replica, &decision)
 		return decision, true
 	}
-	expected := decision.Expected
-	decision.RetryAfter = retryAfter(expected, left)
-	if decision.Waited >= held.Patience {
-		decision.Reason = ReasonNoPlace
+	expectedWait := decision.Expected
+	decision.RetryAfter = retryAfter(expectedWait, remaining)
+	if decision.Waited >= request.Patience {
+		decision.Reason = ReasonNoSlot
 		return decision, true
 	}
-	late := decision.Waited+expected > time.Duration(float64(held.Target)*startShare)
-	if !held.Returned && late && decision.Waited >= time.Duration(float64(held.Target)*refuseShare) || ahead > maximumQueue {
+	late := decision.Waited+expectedWait > time.Duration(float64(request.Target)*maxStartShare)
+	if !request.Returned && late && decision.Waited >= time.Duration(float64(request.Target)*backlogRejectShare) || queuedAhead > maxQueueLength {
 		decision.Reason = ReasonBacklog
 		return decision, true
 	}
 	return Decision{}, false
 }
 
-// place gives the request a place at the replica.
-func (s *Scheduler) place(now structs.Instant, held *waiting, chosen *option, decision *Decision) {
-	decision.Trial = s.give(now, held, chosen)
-	decision.Replica, decision.Limit = chosen.state.replica, chosen.state.limit.known
+// assign assigns the request to the replica and completes the decision.
+func (s *Scheduler) assign(now structs.Instant, request *queuedRequest, replica *replicaSnapshot, decision *Decision) {
+	decision.Trial = s.recordAssignment(now, request, replica)
+	decision.Replica, decision.Limit = replica.state.entry, replica.state.limit.known
 }
 
-// give enters that the request got a place at the replica, and returns whether that is the
-// trial of a barred one.
-func (s *Scheduler) give(now structs.Instant, held *waiting, chosen *option) bool {
-	chosen.used++
-	chosen.unread += held.Prompt
-	standing, _ := s.poisonTracker.State(now, held.Content)
-	if standing == poison.OnTrial {
-		s.poisonTracker.RecordTrial(now, held.Content)
-	}
-	s.occupy(held.ID, &place{
-		content: held.Content, node: held.Node, service: held.Service, route: held.Route, replica: chosen.state.replica.ID, born: chosen.state.replica.StartedAt, version: chosen.state.replica.Version,
-		prompt: held.Prompt, since: now, isCold: chosen.isCold,
+// recordAssignment records the assignment with the replica's limits and the poison tracker. It
+// reports whether this is the trial of a blocked request.
+func (s *Scheduler) recordAssignment(now structs.Instant, request *queuedRequest, replica *replicaSnapshot) bool {
+	replica.inFlight++
+	replica.unreadTokens += request.Prompt
+	state, _ := s.poisonTracker.State(now, request.Content)
+	if state == poison.OnTrial {
+		s.poisonTracker.RecordTrial(now, request.Content)
+	}
+	s.addAssignment(request.ID, &assignment{
+		fingerprint: request.Content, node: request.Node, service: request.Service, route: request.Route, replicaID: replica.state.entry.ID, startedAt: replica.state.entry.StartedAt, version: replica.state.entry.Version,
+		promptTokens: request.Prompt, assignedAt: now, isCold: replica.isCold,
 	})
-	if chosen.isCold {
-		chosen.state.warmth.bank.take()
+	if replica.isCold {
+		replica.state.warmUp.bucket.consume()
 	}
-	if chosen.isLimited {
-		chosen.state.limit.bank.take()
+	if replica.isLimited {
+		replica.state.limit.bucket.consume()
 	}
-	return standing == poison.OnTrial
+	return state == poison.OnTrial
 }
 
-// retryAfter tells a refused caller to come back when the work ahead is done,
-// as late as it can be without taking the caller's time for the answer.
-func retryAfter(expected, left time.Duration) time.Duration {
-	longest := time.Duration(float64(left) * retryShare)
-	return min(max(expected, minimumRetry, longest/2), max(longest, minimumRetry))
+// retryAfter returns when a rejected caller should come back: after the expected wait, but early
+// enough to leave most of the remaining time for the answer.
+func retryAfter(expectedWait, remaining time.Duration) time.Duration {
+	longest := time.Duration(float64(remaining) * retryAfterShare)
+	return min(max(expectedWait, minRetryAfter, longest/2), max(longest, minRetryAfter))
 }
 
-// choose returns the best of the replicas with a free place, or nil. It leaves out
-// those where the request would be late while another one could still have it in time,
-// and for a while those where its prompt would make other streams pause too long.
-func (s *Scheduler) choose(now structs.Instant, held *waiting, room *room, options []*option, left time.Duration) *option {
-	if len(held.Tried) == 0 && room.noneFree(len(held.Doubted)) {
+// chooseReplica returns the cheapest of the eligible replicas with a free slot, or nil if the request
+// should wait. It skips replicas where the request would miss its target if another one could still
+// meet it, and at first those where its prompt would delay other streams too long.
+func (s *Scheduler) chooseReplica(now structs.Instant, request *queuedRequest, snapshot *poolSnapshot, eligible []*replicaSnapshot, remaining time.Duration) *replicaSnapshot {
+	if len(request.Tried) == 0 && snapshot.hasNoPreferredSlot(len(request.Doubted)) {
 		return nil
 	}
-	view := s.trustOf(room, held.doubt)
-	if view.free <= 0 && view.trusted > 0 && len(held.Tried) == 0 {
+	view := s.suspectView(snapshot, request.suspects)
+	if view.freeSlots <= 0 && view.preferredReplicas > 0 && len(request.Tried) == 0 {
 		return nil
 	}
-	if held.Yields && float64(room.free) <= reservedShare*float64(room.total) && held.Prompt > 0 {
+	if request.Yields && float64(snapshot.freeSlots) <= reservedSlotShare*float64(snapshot.totalSlots) && request.Prompt > 0 {
 		return nil
 	}
-	waited := now - held.arrived
-	calmOnly := waited < time.Duration(float64(held.Target)*calmPatience)
-	hopeful := slices.ContainsFunc(options, func(o *option) bool { return !o.doubted && !o.late(&held.Request, waited, 0) })
-	anyTrusted := slices.ContainsFunc(options, func(o *option) bool { return room.trusts(view, o) })
-	var best *option
+	waited := now - request.submittedAt
+	protectStreams := waited < time.Duration(float64(request.Target)*streamProtectionShare)
+	canMeetTarget := slices.ContainsFunc(eligible, func(r *replicaSnapshot) bool {
+		return !r.isUnhealthy && !r.wouldMissTarget(&request.Request, waited, 0)
+	})
+	anyPreferred := slices.ContainsFunc(eligible, func(r *replicaSnapshot) bool { return snapshot.isPreferred(view, r) })
+	var best *replicaSnapshot
 	var bestCost float64
-	for _, choice := range options {
-		if choice.used >= choice.places || anyTrusted && !room.trusts(view, choice) || !choice.fits(held.Answer, left) {
+	for _, replica := range eligible {
+		if replica.inFlight >= replica.maxInFlight || anyPreferred && !snapshot.isPreferred(view, replica) || !replica.canFinish(request.Answer, remaining) {
 			continue
 		}
-		if hopeful && choice.late(&held.Request, waited, choice.unread) {
+		if canMeetTarget && replica.wouldMissTarget(&request.Request, waited, replica.unreadTokens) {
 			continue
 		}
-		cost := choice.cost(held.Prompt)
-		cost *= s.distance(held.Zone, choice.state.replica.Zone)
-		if choice.disturbs(&held.Request) {
-			if calmOnly {
+		cost := replica.cost(request.Prompt)
+		cost *= s.localityFactor(request.Zone, replica.state.entry.Zone)
+		if replica.wouldDelayStreams(&request.Request) {
+			if protectStreams {
 				continue
 			}
-			cost += disturbanceCost * float64(choice.used)
+			cost += streamDelayCostTokens * float64(replica.inFlight)
 		}
 		if best == nil || cost < bestCost {
-			best, bestCost = choice, cost
+			best, bestCost = replica, cost
 		}
 	}
 	return best
--- a/coordination/admission/decide_bench_test.go
+++ b/coordination/admission/decide_bench_test.go
@@ -13,7 +13,7 @@
 // busyScheduler returns a scheduler of so many engines in five zones, six slots each, all
 // of which are known and full, but for one place at one engine in ten if some are free. So
 // many nodes tell of a request that another scheduler placed.
-func busyScheduler(engines, nodes int, free bool) *Scheduler {
+func newBusyScheduler(engines, nodes int, free bool) *Scheduler {
 	const slots = 6
 	s := New()
 	zones := []string{"a", "b", "c", "d", "e"}
@@ -33,13 +33,13 @@
 				Duration:   time.Second, Events: 20, Stride: 6,
 			})
 		}
-		taken := slots - s.state(replica.ID).foreign
+		taken := slots - s.replicaState(replica.ID).external
 		if free && i%10 == 0 {
 			taken--
 		}
 		for slot := range taken {
 			id := fmt.Sprint(replica.ID, slot)
-			s.occupy(id, &place{node: "n", service: "s", replica: replica.ID, prompt: 1000, begun: slot%2 == 0})
+			s.addAssignment(id, &assignment{node: "n", service: "s", replicaID: replica.ID, promptTokens: 1000, started: slot%2 == 0})
 		}
 	}
 	return s
@@ -60,7 +60,7 @@
 		free                    bool
 	}{{166, 0, 0, true}, {166, 295, 0, true}, {166, 0, 200, false}, {710, 0, 0, true}, {710, 390, 0, true}, {710, 0, 200, false}} {
 		b.Run(fmt.Sprintf("%dreplicas-%dforeign-%dwaiting", size.engines, size.nodes, size.waiting), func(b *testing.B) {
-			s := busyScheduler(size.engines, size.nodes, size.free)
+			s := newBusyScheduler(size.engines, size.nodes, size.free)
 			for i := range size.waiting {
 				s.Submit(0, benchmarkRequest(-1-i, 2))
 			}
@@ -78,7 +78,7 @@
 }
 
 // doubtedIDs names every so-manieth replica.
-func doubtedIDs(engines, every int) []string {
+func everyNthID(engines, every int) []string {
 	var ids []string
 	for i := 0; every > 0 && i < engines; i += every {
 		ids = append(ids, fmt.Sprintf("i-%010d", i))
@@ -87,10 +87,10 @@
 }
 
 // emptyReplicas ends what is in progress at the replicas.
-func emptyReplicas(s *Scheduler, ids map[string]bool) {
-	for id, held := range s.places {
-		if ids[held.replica] {
-			s.release(id)
+func removeAssignmentsAt(s *Scheduler, ids map[string]bool) {
+	for id, held := range s.assignments {
+		if ids[held.replicaID] {
+			s.removeAssignment(id)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 // BenchmarkDecideWhileNodesDoubtReplicas measures a round in which nothing is free, many
 // wait, and the nodes that ask find a part of the replicas failing, as when engines crash:
 // so many nodes that none is used, or, unshared, each for itself.
-func BenchmarkDecideWhileNodesDoubtReplicas(b *testing.B) {
+func BenchmarkDecideWithSuspectedReplicas(b *testing.B) {
 	const nodes = 79
 	for _, engines := range []int{140, 710} {
 		for _, waiting := range []int{300, 1000} {
@@ -108,8 +108,8 @@
 				byMany bool
 			}{{"none", 0, false}, {"quarter", 4, true}, {"quarter-unshared", 4, false}, {"half", 2, true}, {"half-unshared", 2, false}} {
 				b.Run(fmt.Sprintf("%dreplicas-%dwaiting-%s", engines, waiting, doubt.name), func(b *testing.B) {
-					s := busyScheduler(engines, 0, false)
-					doubted := doubtedIDs(engines, doubt.every)
+					s := newBusyScheduler(engines, 0, false)
+					doubted := everyNthID(engines, doubt.every)
 					failing := map[string]bool{}
 					for _, id := range doubted {
 						failing[id] = true
@@ -117,7 +117,7 @@
 					if doubt.byMany {
 						s.SetEjected(failing)
 					}
-					emptyReplicas(s, failing)
+					removeAssignmentsAt(s, failing)
 					for i := range waiting {
 						request := benchmarkRequest(-1-i, 2)
 						request.Node, request.Doubted = fmt.Sprint("n", i%nodes), slices.Clone(doubted)
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -1,19 +1,17 @@
-// Package admission decides which waiting request starts next, at which
-// replica, and which is refused, for all nodes that ask one scheduling node.
+// Package admission decides which queued request starts next, at which replica, and which is
+// rejected, for all nodes that use one scheduling node. Engines run requests in order of arrival and
+// know no priorities, so requests are queued here until a replica has a free slot; a queued request
+// that is rejected has certainly not run.
 //
-// Engines take requests in the order of arrival and know no priorities. So a
-// request is held here until a place at a replica is free; what is held can
-// still be refused with certainty that it did not run.
-//
-// The scheduler is passive: it does no I/O, starts no goroutine and reads no
-// clock. It is not safe for concurrent use. Its state is soft: it is rebuilt
-// from what the nodes report of their requests in progress.
+// The scheduler does no I/O, starts no goroutine and reads no clock. It is not safe for concurrent
+// use. Its state is not stored: a new scheduler learns it from the nodes' reports of their requests
+// in flight.
 //
 // Invariants:
-//   - A request that waits is given one decision, and none after Cancel.
-//   - A place is given only while fewer requests are known to be in progress at the
-//     replica than it has slots, and than may be on their way to it.
-//   - A less urgent request does not start while a more urgent one of its
-//     service waits that could use the same place: that would be in time there, or
-//     in time nowhere any more, and would not make the streams there pause.
+//   - A queued request gets exactly one decision, and none after Cancel.
+//   - A replica is assigned a request only while its known in-flight requests are fewer than its
+//     slots plus the extra slots for requests that are still on their way to it.
+//   - A request does not start before a more urgent one of its service that could use the same slot,
+//     which means that the urgent one would meet its target there, or meets it at no replica, and
+//     would not delay the streams there too long.
 package admission
--- a/coordination/admission/messages.go
+++ b/coordination/admission/messages.go
@@ -8,113 +8,113 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// Request is what the scheduler knows of a request that wants a place.
+// Request describes a request that needs a replica.
 type Request struct {
-	// ID is unique over all nodes and tries.
+	// ID is unique over all nodes and attempts.
 	ID string
 	// Node is the process that asks, with its incarnation.
 	Node    string
 	Service string
-	// Route names the operators' route, on which versions of a service are compared.
+	// Route is the configured route. Versions of a service are compared by route.
 	Route string
-	// Zone is the asking node's.
-	Zone     string
+	// Zone is the zone of Node.
+	Zone string
+	// Priority orders requests; lower values go first.
 	Priority int
-	// Prompt counts tokens and Answer is a guess at those of the answer; both are
+	// Prompt is the number of prompt tokens and Answer the expected number of answer tokens. Both are
 	// zero for plain services.
 	Prompt int
 	Answer int
-	// Stride is the tokens in one event of the answer, and Pause the longest time
-	// between two events at which the answer is still in time; zero means any.
+	// Stride is the number of tokens in one event of the answer, and Pause the longest time between two
+	// events at which the answer is still in time; zero means no limit.
 	Stride int
 	Pause  time.Duration
-	// Yields is true if the request leaves some places free for more urgent ones.
+	// Yields is true if the request leaves some slots free for more urgent ones.
 	Yields bool
-	// Deadline is the time until nobody waits for the answer any more.
+	// Deadline is the time left until the answer is of no use.
 	Deadline time.Duration
-	// Target is what is left of the time within which the first part of the
-	// answer earns its full credit.
+	// Target is the time left for the first part of the answer to be in time.
 	Target time.Duration
-	// Patience is the longest time to wait for a place.
+	// Patience is the longest time to wait for a replica.
 	Patience time.Duration
-	// Returned is true if the request was refused before and came back.
+	// Returned is true if the request was rejected before and sent again.
 	Returned bool
-	// Content is equal for requests that ask for the same.
+	// Content is the fingerprint, which is equal for requests with the same content.
 	Content fingerprint.Fingerprint
-	// Tried names replicas that the request came to before and that must not be
-	// chosen again.
+	// Tried holds the replicas that were tried before. They are not chosen again.
 	Tried []string
-	// Doubted names replicas that the asking node finds failing; they are chosen
-	// only if there is no other.
+	// Doubted holds the replicas that the node suspects. They are chosen only if there are no others.
 	Doubted []string
 }
 
-// WithElapsed returns the request as it is once so much time has passed.
-func (r Request) WithElapsed(passed time.Duration) Request {
-	r.Deadline = max(r.Deadline-passed, 0)
-	r.Target = max(r.Target-passed, 0)
-	r.Patience = max(r.Patience-passed, 0)
+// WithElapsed returns the request with its remaining times reduced by the elapsed time, to zero at
+// least.
+func (r Request) WithElapsed(elapsed time.Duration) Request {
+	r.Deadline = max(r.Deadline-elapsed, 0)
+	r.Target = max(r.Target-elapsed, 0)
+	r.Patience = max(r.Patience-elapsed, 0)
 	return r
 }
 
-// Reason says why a request was refused.
+// Reason says why a request was rejected.
 type Reason string
 
-// The reasons of refusals.
+// Reasons of rejections.
 const (
-	// ReasonNone is the reason of a decision that gives a place.
+	// ReasonNone means that the request was assigned.
 	ReasonNone Reason = ""
-	// ReasonNoReplica means that the service has no usable replica.
+	// ReasonNoReplica means that the service has no usable replica, or none that was not tried yet.
 	ReasonNoReplica Reason = "no-replica"
 	// ReasonPaused means that every usable replica has asked the request's node to pause.
 	ReasonPaused Reason = "replicas-pause"
-	// ReasonNoPlace means that no place became free in time.
-	ReasonNoPlace Reason = "no-place"
-	// ReasonDeadline means that no replica is fast enough for the answer.
+	// ReasonNoSlot means that no slot became free in time.
+	ReasonNoSlot Reason = "no-place"
+	// ReasonDeadline means that no replica is fast enough to answer before the deadline.
 	ReasonDeadline Reason = "too-long-for-deadline"
-	// ReasonBacklog means that the work ahead takes longer than the request can wait.
+	// ReasonBacklog means that the expected wait is too long or the queue is full.
 	ReasonBacklog Reason = "backlog"
-	// ReasonSuspect means that another try of the request, under which a replica ended, runs.
+	// ReasonSuspect means that the request is suspected of crashing replicas and is running elsewhere.
 	ReasonSuspect Reason = "suspect"
-	// ReasonEmptied means that all usable replicas are in zones that the operators emptied.
-	ReasonEmptied Reason = "zone-emptied"
-	// ReasonBarred means that too many replicas ended under the request.
-	ReasonBarred Reason = "barred"
+	// ReasonEvacuated means that all usable replicas are in evacuated zones.
+	ReasonEvacuated Reason = "zone-emptied"
+	// ReasonBlocked means that the request is blocked because replicas crashed under it.
+	ReasonBlocked Reason = "barred"
 )
 
-// Decision ends the wait of a request.
+// Decision assigns or rejects a queued request.
 type Decision struct {
 	ID      string
 	Replica replicas.Replica
-	// Limit is what is known of the replica's rate limit. If there is one, the place counts
+	// Limit is the replica's rate limit as far as it is known. If it is set, the assignment counts
 	// against it.
 	Limit pushback.TimedLimit
-	// Reason is empty if the replica was given.
+	// Reason is ReasonNone if the request was assigned.
 	Reason Reason
-	// Trial is true if the request is barred and was given the replica all the same.
+	// Trial is true if a blocked request was assigned as a trial.
 	Trial bool
-	// RetryAfter tells a refused caller when to come back.
+	// RetryAfter is when a rejected caller should come back.
 	RetryAfter time.Duration
-	Waited     time.Duration
-	// QueuedAhead is how many requests were before it, Free the places that were free and
-	// Expected the wait that was predicted.
+	// Waited is the time in the queue.
+	Waited time.Duration
+	// QueuedAhead is the number of requests before it, Free the number of free slots of healthy replicas
+	// and Expected the expected wait, all at the time of the decision.
 	QueuedAhead, Free int
 	Expected          time.Duration
 }
 
-// Observation is how a request with a place ended.
+// Observation describes how an assigned request ended.
 type Observation struct {
-	// FirstEvent is the time from the send to the first part of the answer, and
-	// Duration to its end; zero if there was none.
+	// FirstEvent and Duration are the times from the send to the first part of the answer and to its
+	// end; zero if there was none.
 	FirstEvent time.Duration
 	Duration   time.Duration
-	// Events counts the parts of a stream and Stride the tokens in one of them.
+	// Events is the number of events of a stream, and Stride the number of tokens in one.
 	Events int
 	Stride int
-	// Left is true if the caller gave up, which says nothing of the replica.
+	// Left is true if the caller gave up, which doesn't count for or against the replica.
 	Left bool
-	// Failed is true if the replica broke off, failed or was silent.
+	// Failed is true if the replica failed, broke off the answer or did not answer.
 	Failed bool
-	// Whole is true if the replica gave its whole answer, be it a failure.
+	// Whole is true if the replica sent a complete answer, even one that reports a failure.
 	Whole bool
 }
--- a/coordination/admission/pauses.go
+++ b/coordination/admission/pauses.go
@@ -7,51 +7,52 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// A replica that turns a request away may ask the node that sent it to pause. Other nodes may go on.
+// A replica that rejects a request may ask the sending node to pause. Other nodes are not affected.
 
-// asker is a node that asks for places at a service.
-type asker struct{ node, service string }
+// pauseKey identifies the pauses of a node at the replicas of a service.
+type pauseKey struct{ node, service string }
 
-// pauses has, by replica, until when an asker sends nothing there.
-type pauses map[string]structs.Instant
+// replicaPauses has the end of the pause by replica.
+type replicaPauses map[string]structs.Instant
 
-// SetPauses replaces the pauses of a node at the replicas of a service.
-func (s *Scheduler) SetPauses(now structs.Instant, node, service string, notes []pushback.Report) {
-	who := asker{node, service}
-	delete(s.pauses, who)
-	for _, note := range notes {
-		if note.Pause > 0 {
-			s.pause(who, note.Life.Replica, now+note.Pause)
+// SetPauses replaces the pauses of the node at the replicas of the service.
+func (s *Scheduler) SetPauses(now structs.Instant, node, service string, reports []pushback.Report) {
+	key := pauseKey{node, service}
+	delete(s.pauses, key)
+	for _, report := range reports {
+		if report.Pause > 0 {
+			s.setPause(key, report.Life.Replica, now+report.Pause)
 		}
 	}
 }
 
-// pause begins one pause of an asker.
-func (s *Scheduler) pause(who asker, replica string, until structs.Instant) {
-	if s.pauses[who] == nil {
-		s.pauses[who] = pauses{}
+func (s *Scheduler) setPause(key pauseKey, replicaID string, until structs.Instant) {
+	if s.pauses[key] == nil {
+		s.pauses[key] = replicaPauses{}
 	}
-	s.pauses[who][replica] = until
+	s.pauses[key][replicaID] = until
 }
 
-// dropPauses forgets the pauses of a node that ended.
+// dropPauses removes all pauses of the node.
 func (s *Scheduler) dropPauses(node string) {
-	for who := range s.pauses {
-		if who.node == node {
-			delete(s.pauses, who)
+	for key := range s.pauses {
+		if key.node == node {
+			delete(s.pauses, key)
 		}
 	}
 }
 
-// hold returns whether nothing is to be sent to the replica now.
-func (p pauses) hold(now structs.Instant, replica string) bool { return now < p[replica] }
+func (p replicaPauses) isPaused(now structs.Instant, replicaID string) bool {
+	return now < p[replicaID]
+}
 
-// soonest returns the time until the first of the options may be sent to again.
-func (p pauses) soonest(now structs.Instant, options []*option) time.Duration {
-	shortest := maximumRetry
-	for _, choice := range options {
-		if left := p[choice.state.replica.ID] - now; left > 0 {
-			shortest = min(shortest, left)
+// shortestRemaining returns the time until the first pause at one of the replicas ends, at most
+// maxRetryAfter.
+func (p replicaPauses) shortestRemaining(now structs.Instant, replicas []*replicaSnapshot) time.Duration {
+	shortest := maxRetryAfter
+	for _, replica := range replicas {
+		if remaining := p[replica.state.entry.ID] - now; remaining > 0 {
+			shortest = min(shortest, remaining)
 		}
 	}
 	return shortest
--- a/coordination/admission/pauses_test.go
+++ b/coordination/admission/pauses_test.go
@@ -11,19 +11,19 @@
 )
 
 // pauseAt is what a node tells of a replica that asked it to pause.
-func pauseAt(replica string, left time.Duration) []pushback.Report {
+func pauseReport(replica string, left time.Duration) []pushback.Report {
 	return []pushback.Report{{Life: pushback.Incarnation{Replica: replica}, Pause: left}}
 }
 
 // from is a request of the node.
-func from(node, id string) Request {
-	r := request(id, 0)
+func requestFrom(node, id string) Request {
+	r := newRequest(id, 0)
 	r.Node = node
 	return r
 }
 
 // replicasOf returns where the decisions lead, by request.
-func replicasOf(decisions []Decision) map[string]string {
+func replicaByRequest(decisions []Decision) map[string]string {
 	given := map[string]string{}
 	for _, decision := range decisions {
 		given[decision.ID] = decision.Replica.ID
@@ -32,48 +32,48 @@
 }
 
 // A pause is of one node: the others go on, and it goes elsewhere.
-func TestANodeThatPausesAtAReplicaGetsAnotherOne(t *testing.T) {
+func TestPausedReplicaIsAvoidedForOneNodeOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetReplicas(0, pool(4, 4))
-	s.SetPauses(0, "a", "s", pauseAt("r0", 3*time.Second))
+	s.SetReplicas(0, replicasWithSlots(4, 4))
+	s.SetPauses(0, "a", "s", pauseReport("r0", 3*time.Second))
 	for i := range 4 {
-		s.Submit(0, from("a", string(rune('a'+i))))
+		s.Submit(0, requestFrom("a", string(rune('a'+i))))
 	}
-	for _, replica := range replicasOf(s.Decide(0)) {
+	for _, replica := range replicaByRequest(s.Decide(0)) {
 		g.Expect(replica).To(gomega.Equal("r1"))
 	}
-	s.Submit(0, from("b", "other"))
-	g.Expect(replicasOf(s.Decide(0))).To(gomega.HaveKeyWithValue("other", "r0"))
+	s.Submit(0, requestFrom("b", "other"))
+	g.Expect(replicaByRequest(s.Decide(0))).To(gomega.HaveKeyWithValue("other", "r0"))
 	s.SetPauses(time.Second, "a", "s", nil)
-	s.Submit(time.Second, from("a", "later"))
-	g.Expect(replicasOf(s.Decide(time.Second))).To(gomega.HaveKeyWithValue("later", "r0"))
+	s.Submit(time.Second, requestFrom("a", "later"))
+	g.Expect(replicaByRequest(s.Decide(time.Second))).To(gomega.HaveKeyWithValue("later", "r0"))
 }
 
 // What waits goes by what its node tells meanwhile.
-func TestARequestThatWaitsGoesByALaterPause(t *testing.T) {
+func TestPauseAppliesToQueuedRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetReplicas(0, pool(1, 1))
-	s.Submit(0, from("a", "first"))
-	s.Submit(0, from("b", "second"))
-	placed := replicasOf(s.Decide(0))
-	s.Submit(0, from("a", "waits"))
+	s.SetReplicas(0, replicasWithSlots(1, 1))
+	s.Submit(0, requestFrom("a", "first"))
+	s.Submit(0, requestFrom("b", "second"))
+	placed := replicaByRequest(s.Decide(0))
+	s.Submit(0, requestFrom("a", "waits"))
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
 	s.ApplyPushback(0, "first", pushback.Signals{Pause: 3 * time.Second})
 	s.Finish(0, "first", Observation{Left: true})
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty(), "the free replica has asked its node to pause")
 	s.Finish(0, "second", Observation{Left: true})
-	g.Expect(replicasOf(s.Decide(0))).To(gomega.HaveKeyWithValue("waits", placed["second"]))
+	g.Expect(replicaByRequest(s.Decide(0))).To(gomega.HaveKeyWithValue("waits", placed["second"]))
 }
 
-func TestWhoeverPausesEverywhereIsToldWhenTheFirstPauseEnds(t *testing.T) {
+func TestRetryAfterIsTheShortestPauseIfAllReplicasArePaused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	s.SetReplicas(0, pool(1, 1))
-	s.SetPauses(0, "a", "s", append(pauseAt("r0", 1500*ms), pauseAt("r1", 900*ms)...))
-	s.Submit(0, from("a", "x"))
-	tried := from("a", "y")
+	s.SetReplicas(0, replicasWithSlots(1, 1))
+	s.SetPauses(0, "a", "s", append(pauseReport("r0", 1500*ms), pauseReport("r1", 900*ms)...))
+	s.Submit(0, requestFrom("a", "x"))
+	tried := requestFrom("a", "y")
 	tried.Tried = []string{"r1"}
 	s.Submit(0, tried)
 	told := map[string]structs.Instant{}
--- a/coordination/admission/quarantine.go
+++ b/coordination/admission/quarantine.go
@@ -7,98 +7,96 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Whether a replica fails more than the others of its service is told by a
-// cumulative sum (CUSUM, Page 1954) of the log-likelihood ratio of two shares of
-// failures: the service's, and one that is worth setting a replica aside for. It
-// finds a replica that fails everything within four to ten requests, and takes
-// random failures for a fault once in some ten thousand, however fast they come.
+// A replica that fails more often than its service is detected by a cumulative sum (CUSUM, Page 1954)
+// of the log-likelihood ratio of two failure shares: one that is worth a quarantine, and the usual one
+// of the service. Unlike a count in a window, it does not depend on the request rate.
 const (
-	// alarmSum is the sum at which a replica is set aside.
-	alarmSum = 8.2
-	// failingShare is the least share of failures that is worth it, and
-	// failingMargin by how much at least it exceeds the service's.
-	failingShare  = 0.5
-	failingMargin = 0.3
-	highestShare  = 0.95
-	// leastShare is the least share of failures that is reckoned with, and what a
-	// service's is taken for at first; shareWeight is the weight of one more request.
-	leastShare  = 0.05
-	shareWeight = 0.01
-	// enoughRequests is how many requests on trial end it.
-	enoughRequests = 3
-	firstAside     = 2 * time.Second
-	longestAside   = 8 * time.Second
-	// asideShare is the largest part of a service's replicas that is set aside,
-	// unless that is less than one of several.
-	asideShare = 0.4
+	// quarantineThreshold is the cumulative sum at which a replica is quarantined.
+	quarantineThreshold = 8.2
+	// A failure share is worth a quarantine if it is at least minFailingShare and exceeds the usual
+	// one by minFailingMargin. The sum uses at most maxFailingShare.
+	minFailingShare  = 0.5
+	minFailingMargin = 0.3
+	maxFailingShare  = 0.95
+	// minUsualShare is the lowest usual failure share of a service, and the initial one.
+	minUsualShare      = 0.05
+	failureShareWeight = 0.01
+	// minProbes is the number of requests that must end before a replica leaves probing.
+	minProbes         = 3
+	minQuarantineTime = 2 * time.Second
+	maxQuarantineTime = 8 * time.Second
+	// maxQuarantinedShare limits the quarantined replicas of a service. One of several may always be
+	// quarantined.
+	maxQuarantinedShare = 0.4
 )
 
-// conduct is what is known of how requests at one replica ended.
-type conduct struct {
-	sum float64
-	// requests counts those since the replica was set aside.
-	requests int
-	// asides counts how often in a row the replica was set aside; until is the
-	// end of the last time.
-	asides int
-	until  structs.Instant
+// health is the failure detector's state for one replica.
+type health struct {
+	cusum float64
+	// requestsSinceQuarantine counts the requests that ended since the last quarantine began.
+	requestsSinceQuarantine int
+	// consecutiveQuarantines is reset when cusum returns to zero.
+	consecutiveQuarantines int
+	// quarantinedUntil is the end of the last quarantine.
+	quarantinedUntil structs.Instant
 }
 
-// judge counts one ended request and sets the replica aside if too many failed.
-func (s *Scheduler) judge(now structs.Instant, service, replica string, failed bool) {
-	held := &s.state(replica).conduct
-	pool := s.service(service)
-	held.requests++
-	held.sum = max(held.sum+evidence(max(pool.failures, leastShare), failed), 0)
-	pool.countFailure(failed)
-	if held.sum == 0 {
-		held.asides = 0
+// recordOutcome counts a request that ended or whose answer is late, and quarantines the replica if
+// too many have failed.
+func (s *Scheduler) recordOutcome(now structs.Instant, service, replicaID string, failed bool) {
+	health := &s.replicaState(replicaID).health
+	pool := s.pool(service)
+	health.requestsSinceQuarantine++
+	health.cusum = max(health.cusum+logLikelihoodRatio(max(pool.failureShare, minUsualShare), failed), 0)
+	pool.updateFailureShare(failed)
+	if health.cusum == 0 {
+		health.consecutiveQuarantines = 0
 	}
-	if held.sum < alarmSum || now < held.until || !s.mayBeAside(now, service) {
+	if health.cusum < quarantineThreshold || now < health.quarantinedUntil || !s.mayQuarantine(now, service) {
 		return
 	}
-	held.until = now + min(firstAside<<held.asides, longestAside)
-	held.asides++
-	held.requests, held.sum = 0, alarmSum/2
+	health.quarantinedUntil = now + min(minQuarantineTime<<health.consecutiveQuarantines, maxQuarantineTime)
+	health.consecutiveQuarantines++
+	health.requestsSinceQuarantine, health.cusum = 0, quarantineThreshold/2
 }
 
-// evidence is the logarithm of how much likelier the end of one request is at a
-// replica that fails than at one that is like its service.
-func evidence(usual float64, failed bool) float64 {
-	failing := min(max(failingShare, usual+failingMargin), highestShare)
-	usual = min(usual, failing-failingMargin/2)
+// logLikelihoodRatio returns the log-likelihood ratio of one outcome between a failing replica and one
+// with the service's usual failure share.
+func logLikelihoodRatio(usual float64, failed bool) float64 {
+	failing := min(max(minFailingShare, usual+minFailingMargin), maxFailingShare)
+	usual = min(usual, failing-minFailingMargin/2)
 	if failed {
 		return math.Log(failing / usual)
 	}
 	return math.Log((1 - failing) / (1 - usual))
 }
 
-// countFailure enters one ended request into the service's share of failures.
-func (s *service) countFailure(failed bool) {
+func (p *servicePool) updateFailureShare(failed bool) {
 	share := 0.0
 	if failed {
 		share = 1
 	}
-	s.failures += shareWeight * (share - s.failures)
+	p.failureShare += failureShareWeight * (share - p.failureShare)
 }
 
-// mayBeAside returns whether one more replica of the service may be set aside.
-func (s *Scheduler) mayBeAside(now structs.Instant, service string) bool {
-	aside := 1
-	for _, other := range s.service(service).replicas {
-		if other.isAside(now) {
-			aside++
+// mayQuarantine reports whether one more replica of the service may be quarantined.
+func (s *Scheduler) mayQuarantine(now structs.Instant, service string) bool {
+	quarantined := 1
+	for _, replica := range s.pool(service).replicas {
+		if replica.isQuarantined(now) {
+			quarantined++
 		}
 	}
-	known := len(s.service(service).replicas)
-	return known > 1 && float64(aside) <= max(1, asideShare*float64(known))
+	listed := len(s.pool(service).replicas)
+	return listed > 1 && float64(quarantined) <= max(1, maxQuarantinedShare*float64(listed))
 }
 
-// isAside returns whether the replica gets no requests for now.
-func (r *replicaState) isAside(now structs.Instant) bool { return now < r.conduct.until }
+func (r *replicaState) isQuarantined(now structs.Instant) bool {
+	return now < r.health.quarantinedUntil
+}
 
-// onTrial returns whether the replica was set aside lately and has not answered
-// well since; it then gets one request at a time.
-func (r *replicaState) onTrial() bool {
-	return r.conduct.asides > 0 && r.conduct.requests < enoughRequests
+// isProbing reports whether too few requests have ended since the last quarantine. The replica then
+// gets one request at a time.
+func (r *replicaState) isProbing() bool {
+	return r.health.consecutiveQuarantines > 0 && r.health.requestsSinceQuarantine < minProbes
 }
--- a/coordination/admission/replica.go
+++ b/coordination/admission/replica.go
@@ -7,127 +7,128 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// replicaState is what the scheduler knows of one replica. It is one record, so that a
-// round of decisions looks nothing up by id: with a map for each of its parts a round
-// over 166 replicas took twice as long, and 1.6 ms while 295 nodes told of requests that
-// others had placed.
+// replicaState is what the scheduler knows about one replica. It is one record instead of several maps
+// because a round of decisions visits every replica.
 type replicaState struct {
-	replica replicas.Replica
-	// superseded is true if another replica has taken the address.
+	// entry is the replica's entry in the store, empty if it was never listed.
+	entry replicas.Replica
+	// superseded is true if a newer replica has the same address.
 	superseded bool
-	// listed is false for a replica that is known only by what is in progress there.
+	// listed is false if the replica is known only by its in-flight requests.
 	listed bool
-	// used counts the places given here, and foreign what nodes tell of beside these.
-	used, foreign int
-	hidden        hiddenLoad
-	// reading has the places whose prompts may not be read yet.
-	reading []*place
+	// assigned counts this scheduler's assignments, and external the in-flight requests that nodes
+	// report from other schedulers.
+	assigned, external int
+	unreported         unreportedLoad
+	// prefilling holds the assignments whose prompts may still be unread.
+	prefilling []*assignment
 	// speed was learned while the replica was warm, and coldSpeed while it was cold.
 	speed, coldSpeed speed
-	warmth           warmth
+	warmUp           warmUp
 	limit            rateLimit
-	// leaving is true if the replica said in an answer that it takes no new requests.
+	// leaving is true if the replica has announced that it takes no new requests.
 	leaving bool
-	conduct conduct
-	// avoided is true if several nodes find the replica failing.
-	avoided bool
-	// number is its place among the options of the latest room that it was in.
-	number int
+	health  health
+	ejected bool
+	// index is the position in the latest snapshot that has the replica, canaries excepted.
+	index int
 }
 
-// hiddenLoad is work at a replica that no node reports: it was sent by a process
-// that ended, or by nodes that are cut off.
-type hiddenLoad struct {
-	count int
-	at    structs.Instant
+// unreportedLoad is work at a replica that no node reports, because the sender has ended or is
+// partitioned.
+type unreportedLoad struct {
+	count      int
+	observedAt structs.Instant
 }
 
-// speed is what was learned of one replica.
+// speed is the learned speed of a replica.
 type speed struct {
-	// step is the mean time between two tokens of a stream, or the mean time of
-	// an answer of a plain service; zero if it is not known.
-	step    time.Duration
-	reading reading
+	// stepTime is the mean time between two tokens of a stream, or the mean time of an answer for a
+	// plain service; zero if unknown.
+	stepTime time.Duration
+	prefill  prefillEstimator
 }
 
-// state returns the record of the replica, which may be a new one.
-func (s *Scheduler) state(id string) *replicaState {
-	state, found := s.states[id]
+// replicaState returns the state of the replica, and creates it if needed.
+func (s *Scheduler) replicaState(id string) *replicaState {
+	state, found := s.replicaStates[id]
 	if !found {
 		state = &replicaState{}
-		s.states[id] = state
-		s.changes++
+		s.replicaStates[id] = state
+		s.replicaSetVersion++
 	}
 	return state
 }
 
-// forgetUnused drops what is known of a replica that is gone, once nothing is in progress
-// there.
+// forgetUnused forgets what was learned about a replica that is no longer listed, and removes its
+// state once it has no requests in flight.
 func (s *Scheduler) forgetUnused(id string) {
-	state := s.states[id]
+	state := s.replicaStates[id]
 	if state.listed {
 		return
 	}
-	if state.used <= 0 && state.foreign <= 0 {
-		delete(s.states, id)
-		s.changes++
+	if state.assigned <= 0 && state.external <= 0 {
+		delete(s.replicaStates, id)
+		s.replicaSetVersion++
 		return
 	}
 	state.forget()
 }
 
-// forget drops what was learned of the replica. What is in progress there stays until it is
-// told to have ended.
+// forget resets what was learned about an incarnation. In-flight requests stay until their end is
+// reported.
 func (r *replicaState) forget() {
-	r.speed, r.coldSpeed, r.conduct, r.hidden, r.avoided = speed{}, speed{}, conduct{}, hiddenLoad{}, false
+	r.speed, r.coldSpeed, r.health, r.unreported, r.ejected = speed{}, speed{}, health{}, unreportedLoad{}, false
 	r.limit, r.leaving = rateLimit{}, false
 }
 
-// reported is the work at the replica that nodes report.
-func (r *replicaState) reported() int { return r.used + r.foreign }
+// reportedInFlight counts the requests at the replica that nodes report.
+func (r *replicaState) reportedInFlight() int { return r.assigned + r.external }
 
-// usage is the work at the replica, with what no node reports.
-func (r *replicaState) usage(now structs.Instant) int {
-	if now-r.hidden.at < hiddenMemory {
-		return r.reported() + r.hidden.count
+// inFlight counts the requests at the replica, including recent unreported load.
+func (r *replicaState) inFlight(now structs.Instant) int {
+	if now-r.unreported.observedAt < unreportedLoadTTL {
+		return r.reportedInFlight() + r.unreported.count
 	}
-	return r.reported()
+	return r.reportedInFlight()
 }
 
-// unread counts the tokens of prompts that were sent lately and are not read yet.
-func (r *replicaState) unread(now structs.Instant) int {
+// unreadTokens counts the prompt tokens of recent assignments whose answers have not started. It drops
+// the other assignments from prefilling.
+func (r *replicaState) unreadTokens(now structs.Instant) int {
 	tokens := 0
-	kept := r.reading[:0]
-	for _, held := range r.reading {
-		if held.begun || now-held.since >= prefillTime {
+	unread := r.prefilling[:0]
+	for _, assignment := range r.prefilling {
+		if assignment.started || now-assignment.assignedAt >= maxPrefillTime {
 			continue
 		}
-		tokens += held.prompt
-		kept = append(kept, held)
+		tokens += assignment.promptTokens
+		unread = append(unread, assignment)
 	}
-	clear(r.reading[len(kept):])
-	r.reading = kept
+	clear(r.prefilling[len(unread):])
+	r.prefilling = unread
 	return tokens
 }
 
-// slowness is how much longer the replica takes than the fastest of its service. One
-// that nothing is known of counts as slow, once others are known: slow replicas are
-// the last to end a request, so that they stay unknown for longest.
-func (s *speed) slowness(fastest time.Duration) float64 {
+// slowdown returns the ratio of the step time to the fastest of the service. An unknown replica counts
+// as slow once others are known: slow replicas finish their first request last, so they stay unknown
+// for longest.
+func (s *speed) slowdown(fastest time.Duration) float64 {
 	if fastest <= 0 {
 		return 1
 	}
-	if s.step <= 0 {
-		return unknownSlowness
+	if s.stepTime <= 0 {
+		return unknownSlowdown
 	}
-	return float64(s.step) / float64(fastest)
+	return float64(s.stepTime) / float64(fastest)
 }
 
-// fastest returns the shortest step of the service's replicas, or zero if none is known.
-func (s *service) fastest() time.Duration {
+// fastestStep returns the shortest known step time of the listed replicas while warm, or zero if none
+// is known.
+func (p *servicePool) fastestStep() time.Duration {
 	var fastest time.Duration
-	for _, state := range s.replicas {
-		if step := state.speed.step; step > 0 && (fastest == 0 || step < fastest) {
+	for _, state := range p.replicas {
+		if step := state.speed.stepTime; step > 0 && (fastest == 0 || step < fastest) {
 			fastest = step
 		}
 	}
--- /dev/null
+++ b/coordination/admission/snapshot.go
@@ -0,0 +1,180 @@
+package admission
+
+import (
+	"slices"
+	"time"
+
+	"github.com/thornwalk/thornwalk/state/rollouts"
+	"github.com/thornwalk/thornwalk/structs"
+)
+
+// poolSnapshot describes the usable replicas of a service during one call of Decide, which updates it
+// with every assignment.
+type poolSnapshot struct {
+	replicas []*replicaSnapshot
+	// canaries are replicas of a version that is being judged, while the canary budget is open.
+	canaries []*replicaSnapshot
+	// freeSlots and totalSlots count the slots of healthy replicas.
+	freeSlots, totalSlots, healthyReplicas int
+	// capacity is the number of requests that the healthy replicas serve at a time, on average, and
+	// limitedTokens counts the tokens in the buckets of the rate-limited ones.
+	capacity, limitedTokens float64
+	// evacuatedReplicas counts the replicas left out because their zone is evacuated.
+	evacuatedReplicas int
+	meanDuration      time.Duration
+	suspectViews      map[*suspectList]*suspectView
+}
+
+// replicaSnapshot describes one replica in a poolSnapshot.
+type replicaSnapshot struct {
+	state *replicaState
+	// index is the position in poolSnapshot.replicas.
+	index        int
+	maxInFlight  int
+	inFlight     int
+	unreadTokens int
+	slowdown     float64
+	// stepTime is speed.stepTime; zero if unknown.
+	stepTime time.Duration
+	// prefillTimePerToken and prefillFixedTime add up to the time to the first event: a part for each
+	// prompt token, and a fixed part. Zero if unknown.
+	prefillTimePerToken, prefillFixedTime time.Duration
+	// isUnhealthy is true if the replica is quarantined or ejected. It is used only if all replicas
+	// are unhealthy.
+	isUnhealthy bool
+	// isLimited is true if the replica has announced a rate limit.
+	isCold, isLimited bool
+}
+
+// canFinish reports whether an answer of that many tokens is likely to be complete within the
+// remaining time.
+func (r *replicaSnapshot) canFinish(answerTokens int, remaining time.Duration) bool {
+	return time.Duration(answerTokens)*r.stepTime <= time.Duration(float64(remaining)*maxDeadlineShare)
+}
+
+// snapshot returns the current state of the service's replicas. The result is valid until the next
+// call, which reuses its memory.
+func (s *Scheduler) snapshot(now structs.Instant, service string) *poolSnapshot {
+	pool := s.pools[service]
+	snapshot := &poolSnapshot{meanDuration: pool.meanDuration, suspectViews: map[*suspectList]*suspectView{}, replicas: make([]*replicaSnapshot, 0, len(pool.replicas))}
+	fastest := pool.fastestStep()
+	isCanaryOpen := pool.canaryBudget.Open(now)
+	if cap(s.snapshotBuffer) < len(pool.replicas) {
+		s.snapshotBuffer = make([]replicaSnapshot, len(pool.replicas))
+	}
+	for i, state := range pool.replicas {
+		access := pool.versionPolicy.AccessFor(state.entry.Version)
+		if s.evacuatedZones[state.entry.Zone] {
+			snapshot.evacuatedReplicas++
+			continue
+		}
+		if state.superseded || state.leaving || state.entry.Draining || access == rollouts.AccessDenied || access == rollouts.AccessBudgeted && !isCanaryOpen {
+			continue
+		}
+		isCold := state.isCold(now, pool)
+		speed := state.speedFor(isCold)
+		timePerToken := speed.prefill.timePerToken()
+		replica := &s.snapshotBuffer[:cap(s.snapshotBuffer)][i]
+		*replica = replicaSnapshot{
+			state: state, maxInFlight: state.entry.Slots + pool.extraSlots(state.entry.Slots), inFlight: state.inFlight(now),
+			unreadTokens: state.unreadTokens(now), slowdown: speed.slowdown(fastest), stepTime: speed.stepTime,
+			prefillTimePerToken: timePerToken, prefillFixedTime: speed.prefill.fixedTime(timePerToken),
+			isUnhealthy: state.ejected || state.isQuarantined(now), isCold: isCold, isLimited: state.limit.known.IsSet(),
+		}
+		if state.isProbing() {
+			replica.maxInFlight = 1
+		}
+		if isCold {
+			replica.maxInFlight = min(replica.maxInFlight, replica.inFlight+s.coldTokens(now, state, pool))
+		}
+		if replica.isLimited {
+			replica.maxInFlight = min(replica.maxInFlight, replica.inFlight+s.limitedTokens(now, state))
+		}
+		if access == rollouts.AccessBudgeted {
+			snapshot.canaries = append(snapshot.canaries, replica)
+			continue
+		}
+		replica.index, state.index = len(snapshot.replicas), len(snapshot.replicas)
+		snapshot.replicas = append(snapshot.replicas, replica)
+		if !replica.isUnhealthy {
+			snapshot.addHealthy(replica, s.followerShare)
+		}
+	}
+	snapshot.useUnhealthyIfAllAre(s.followerShare)
+	snapshot.selectCanaries(pool.canaryBudget.Turn())
+	return snapshot
+}
+
+// extraSlots returns how many requests beyond its slots a replica may be assigned. A slot would
+// otherwise be idle between the end of an answer and the arrival of the next request, which matters
+// where answers take little longer than that. Requests that arrive early wait at the replica.
+func (p *servicePool) extraSlots(slots int) int {
+	return int(float64(slots) * float64(slotHandoverTime) / float64(max(p.meanDuration, slotHandoverTime)))
+}
+
+// useUnhealthyIfAllAre treats all replicas as healthy if none is or none has a slot: an unhealthy
+// replica is better than none.
+func (p *poolSnapshot) useUnhealthyIfAllAre(followerShare float64) {
+	if p.totalSlots > 0 {
+		return
+	}
+	p.healthyReplicas, p.capacity, p.limitedTokens = 0, 0, 0
+	for _, replica := range p.replicas {
+		replica.isUnhealthy = false
+		p.addHealthy(replica, followerShare)
+	}
+}
+
+// addHealthy counts the slots and the capacity of a healthy replica. The capacity of a rate-limited
+// one is bounded by the requests that this scheduler may assign to it during one mean duration.
+func (p *poolSnapshot) addHealthy(replica *replicaSnapshot, followerShare float64) {
+	p.healthyReplicas++
+	p.totalSlots += replica.maxInFlight
+	p.freeSlots += max(0, replica.maxInFlight-replica.inFlight)
+	capacity := float64(replica.maxInFlight)
+	if replica.isLimited {
+		capacity = min(float64(replica.state.entry.Slots), replica.state.limit.refillRate(followerShare)*p.meanDuration.Seconds())
+		p.limitedTokens += replica.state.limit.bucket.tokens
+	}
+	p.capacity += capacity
+}
+
+// eligible returns the replicas that the request has not tried and that its node has no pause for.
+func (p *poolSnapshot) eligible(now structs.Instant, request *Request, pauses replicaPauses) []*replicaSnapshot {
+	if len(request.Tried)+len(pauses) == 0 {
+		return p.replicas
+	}
+	var eligible []*replicaSnapshot
+	for _, replica := range p.replicas {
+		if id := replica.state.entry.ID; !slices.Contains(request.Tried, id) && !pauses.isPaused(now, id) {
+			eligible = append(eligible, replica)
+		}
+	}
+	return eligible
+}
+
+const maxExpectedWait = time.Hour
+
+// expectedWait estimates the time until a request with that many queued ahead of it gets a slot.
+func (p *poolSnapshot) expectedWait(queuedAhead int) time.Duration {
+	if p.capacity <= 0 {
+		return p.meanDuration * time.Duration(queuedAhead+1)
+	}
+	requests := max(float64(queuedAhead+1)-p.limitedTokens, 0)
+	return time.Duration(min(float64(p.meanDuration)*requests/p.capacity, float64(maxExpectedWait)))
+}
+
+// canAnyFinish reports whether any replica, busy or not, is fast enough to finish the answer.
+func (p *poolSnapshot) canAnyFinish(answerTokens int, remaining time.Duration) bool {
+	for _, replica := range p.replicas {
+		if replica.canFinish(answerTokens, remaining) {
+			return true
+		}
+	}
+	return false
+}
+
+// cost returns the cost of running the prompt at the replica, in prompt tokens of the fastest replica.
+func (r *replicaSnapshot) cost(promptTokens int) float64 {
+	return r.slowdown * float64(requestCostTokens+r.unreadTokens+promptTokens+r.inFlight*inFlightCostTokens)
+}
--- a/coordination/rejections/rejections.go
+++ b/coordination/rejections/rejections.go
@@ -1,5 +1,5 @@
-// Package rejections remembers which requests were refused lately, by their content: one that comes
-// back is told apart from one that comes for the first time. It reads no clock.
+// Package rejections remembers the fingerprints of recently rejected requests, so that a request that
+// is sent again can be distinguished from a new one. It reads no clock.
 package rejections
 
 import (
@@ -9,37 +9,40 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Bounds of what is remembered of refused requests.
 const (
-	refusalMemory   = 12 * time.Second
-	maximumRefusals = 20000
+	// A set in steady use remembers a rejection for retention at most, and for half of it at least
+	// unless maxPerGeneration is exceeded before.
+	retention        = 12 * time.Second
+	maxPerGeneration = 20000
 )
 
-// Recent holds the refused requests in two generations. It is not safe for concurrent use.
+// Recent is a set of recently rejected requests. It keeps two generations and drops the older one at
+// each rotation. It is not safe for concurrent use.
 type Recent struct {
-	young, old map[fingerprint.Fingerprint]bool
-	turned     structs.Instant
+	current, previous map[fingerprint.Fingerprint]bool
+	rotatedAt         structs.Instant
 }
 
-// New returns an empty memory.
+// New returns an empty set.
 func New() *Recent {
-	return &Recent{young: map[fingerprint.Fingerprint]bool{}, old: map[fingerprint.Fingerprint]bool{}}
+	return &Recent{current: map[fingerprint.Fingerprint]bool{}, previous: map[fingerprint.Fingerprint]bool{}}
 }
 
-func (r *Recent) turn(now structs.Instant) {
-	if now-r.turned > refusalMemory/2 || len(r.young) > maximumRefusals {
-		r.old, r.young, r.turned = r.young, map[fingerprint.Fingerprint]bool{}, now
+// rotate starts a new generation if the current one is too old or full.
+func (r *Recent) rotate(now structs.Instant) {
+	if now-r.rotatedAt > retention/2 || len(r.current) > maxPerGeneration {
+		r.previous, r.current, r.rotatedAt = r.current, map[fingerprint.Fingerprint]bool{}, now
 	}
 }
 
-// Add remembers that the request was refused.
-func (r *Recent) Add(now structs.Instant, content fingerprint.Fingerprint) {
-	r.turn(now)
-	r.young[content] = true
+// Add records that a request with the fingerprint was rejected.
+func (r *Recent) Add(now structs.Instant, request fingerprint.Fingerprint) {
+	r.rotate(now)
+	r.current[request] = true
 }
 
-// Has returns whether the request was refused lately.
-func (r *Recent) Has(now structs.Instant, content fingerprint.Fingerprint) bool {
-	r.turn(now)
-	return r.young[content] || r.old[content]
+// Has reports whether a request with the fingerprint was rejected recently.
+func (r *Recent) Has(now structs.Instant, request fingerprint.Fingerprint) bool {
+	r.rotate(now)
+	return r.current[request] || r.previous[request]
 }
--- a/coordination/rejections/rejections_test.go
+++ b/coordination/rejections/rejections_test.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/state/fingerprint"
 )
 
-func TestARefusalIsRememberedForAWhile(t *testing.T) {
+func TestRejectionIsRememberedForItsRetention(t *testing.T) {
 	g := gomega.NewWithT(t)
 	memory := New()
 	first, other := fingerprint.Of("", "GET", "h", "/a", nil), fingerprint.Of("", "GET", "h", "/b", nil)
