--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -27,7 +27,7 @@
 	return Request{ID: id, Node: "n", Service: "s", Priority: priority, Target: time.Second, Patience: 2 * time.Second, Deadline: 5 * time.Second, Returned: true}
 }
 
-// placedIDs returns the ids of the decisions that gave a place.
+// assignedIDs returns the IDs of the requests that the decisions assign.
 func assignedIDs(decisions []Decision) []string {
 	var ids []string
 	for _, decision := range decisions {
@@ -38,6 +38,7 @@
 	return ids
 }
 
+// Guards against the wrong queue order: by priority, then short answers before long ones.
 func TestQueueOrderIsPriorityThenShortAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -54,14 +55,15 @@
 	last := "running"
 	for range 4 {
 		s.Finish(10*ms, last, Observation{Duration: 5 * ms})
-		placed := assignedIDs(s.Decide(10 * ms))
-		g.Expect(placed).To(gomega.HaveLen(1))
-		last = placed[0]
+		assigned := assignedIDs(s.Decide(10 * ms))
+		g.Expect(assigned).To(gomega.HaveLen(1))
+		last = assigned[0]
 		order = append(order, last)
 	}
 	g.Expect(order).To(gomega.Equal([]string{"high", "short", "long", "low"}))
 }
 
+// Guards against overfilling replicas with requests that other schedulers assigned.
 func TestExternalInFlightCountsAgainstSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -74,7 +76,7 @@
 	g.Expect(assignedIDs(s.Decide(ms))).To(gomega.Equal([]string{"b"}))
 }
 
-// After a loss of power replicas still work on what dead processes sent.
+// Guards against overfilling replicas that still run requests of nodes that have ended.
 func TestUnreportedLoadCountsUntilItExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -87,6 +89,8 @@
 	g.Expect(assignedIDs(s.Decide(10*ms + unreportedLoadTTL))).To(gomega.Equal([]string{"b"}))
 }
 
+// Guards against queueing new requests that cannot meet their target, and against rejecting them
+// again when they come back.
 func TestLateRequestIsRejectedEarlyOnceAndThenQueued(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -100,30 +104,31 @@
 	fresh.Returned = false
 	s.Submit(0, fresh)
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
-	quarter := time.Duration(float64(fresh.Target) * backlogRejectShare)
-	refused := s.Decide(quarter)
-	g.Expect(refused).To(gomega.HaveLen(1))
-	g.Expect(refused[0].ID).To(gomega.Equal("fresh"))
-	g.Expect(refused[0].Reason).To(gomega.Equal(ReasonBacklog))
-	g.Expect(refused[0].RetryAfter).To(gomega.And(gomega.BeNumerically(">=", 500*ms), gomega.BeNumerically("<", 2*time.Second)))
+	rejectAfter := time.Duration(float64(fresh.Target) * backlogRejectShare)
+	rejected := s.Decide(rejectAfter)
+	g.Expect(rejected).To(gomega.HaveLen(1))
+	g.Expect(rejected[0].ID).To(gomega.Equal("fresh"))
+	g.Expect(rejected[0].Reason).To(gomega.Equal(ReasonBacklog))
+	g.Expect(rejected[0].RetryAfter).To(gomega.And(gomega.BeNumerically(">=", 500*ms), gomega.BeNumerically("<", 2*time.Second)))
 	back := newRequest("back", 1)
-	s.Submit(quarter, back)
-	g.Expect(s.Decide(2 * quarter)).To(gomega.BeEmpty())
-	late := s.Decide(quarter + back.Patience)
-	g.Expect(late).NotTo(gomega.BeEmpty())
-	g.Expect(late[len(late)-1].Reason).To(gomega.Equal(ReasonNoSlot))
+	s.Submit(rejectAfter, back)
+	g.Expect(s.Decide(2 * rejectAfter)).To(gomega.BeEmpty())
+	afterPatience := s.Decide(rejectAfter + back.Patience)
+	g.Expect(afterPatience).NotTo(gomega.BeEmpty())
+	g.Expect(afterPatience[len(afterPatience)-1].Reason).To(gomega.Equal(ReasonNoSlot))
 }
 
-// Long answers at slow replicas run into their deadline and hold a place until then.
+// Guards against assigning long answers to slow replicas, where they miss their deadline and occupy a
+// slot until then.
 func TestLongAnswersGoOnlyToFastReplicas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(1, 1))
-	teach := func(replica string, step time.Duration) {
-		s.replicaState(replica).speed.stepTime = step
+	setStepTime := func(replicaID string, step time.Duration) {
+		s.replicaState(replicaID).speed.stepTime = step
 	}
-	teach("r0", 20*ms)
-	teach("r1", 4*ms)
+	setStepTime("r0", 20*ms)
+	setStepTime("r1", 4*ms)
 	long := newRequest("long", 0)
 	long.Answer = 1000
 	s.Submit(0, long)
@@ -133,11 +138,12 @@
 	long.ID = "second"
 	s.Submit(0, long)
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
-	long.ID, long.Answer = "hopeless", 5000
+	long.ID, long.Answer = "too-long", 5000
 	s.Submit(0, long)
 	g.Expect(s.Decide(0)[0].Reason).To(gomega.Equal(ReasonDeadline))
 }
 
+// Guards against sending to a failing replica, and against never or too eagerly using it again.
 func TestFailingReplicaIsQuarantinedAndProbed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -153,13 +159,14 @@
 	s.SetEjected(nil)
 	s.Submit(now, newRequest("next", 0))
 	g.Expect(s.Decide(now)[0].Replica.ID).NotTo(gomega.Equal("r0"))
-	later := now + minQuarantineTime + ms
+	afterQuarantine := now + minQuarantineTime + ms
 	s.SetEjected(map[string]bool{"r1": true, "r2": true})
-	s.Submit(later, newRequest("trial", 0))
-	s.Submit(later, newRequest("second", 0))
-	g.Expect(assignedIDs(s.Decide(later))).To(gomega.Equal([]string{"trial"}))
+	s.Submit(afterQuarantine, newRequest("probe", 0))
+	s.Submit(afterQuarantine, newRequest("second", 0))
+	g.Expect(assignedIDs(s.Decide(afterQuarantine))).To(gomega.Equal([]string{"probe"}))
 }
 
+// Guards against slots that stay occupied after their node has ended.
 func TestDropNodeRemovesAssignmentsAndQueuedRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -175,69 +182,69 @@
 	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"c"}))
 }
 
-// Whatever happens, no replica gets more than its slots, each request has at
-// most one decision, and nothing less urgent starts before what waits.
+// Checks the invariants of package admission for random sequences of events: no replica exceeds its
+// slots, each request gets at most one decision, and no request starts before a more urgent one.
 func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		all := replicasWithSlots(2, 3)
 		s.SetReplicas(0, all)
 		now := structs.Instant(0)
-		decided, running, waitingAt := map[string]int{}, map[string]string{}, map[string]int{}
+		decisionCounts, replicaByID, queuedPriority := map[string]int{}, map[string]string{}, map[string]int{}
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * ms
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0, 1:
-				one := newRequest(fmt.Sprint(step), rapid.IntRange(0, 2).Draw(t, "priority"))
-				one.Returned = rapid.Bool().Draw(t, "returned")
-				s.Submit(now, one)
-				waitingAt[one.ID] = one.Priority
+				submitted := newRequest(fmt.Sprint(step), rapid.IntRange(0, 2).Draw(t, "priority"))
+				submitted.Returned = rapid.Bool().Draw(t, "returned")
+				s.Submit(now, submitted)
+				queuedPriority[submitted.ID] = submitted.Priority
 			case 2:
-				for id := range running {
+				for id := range replicaByID {
 					s.Finish(now, id, Observation{Duration: 50 * ms, Failed: rapid.Bool().Draw(t, "failed")})
-					delete(running, id)
+					delete(replicaByID, id)
 					break
 				}
 			case 3:
-				for id := range waitingAt {
+				for id := range queuedPriority {
 					s.Cancel(id)
-					delete(waitingAt, id)
+					delete(queuedPriority, id)
 					break
 				}
 			}
-			placedLowest := -1
+			lowestAssigned := -1
 			for _, decision := range s.Decide(now) {
-				priority, waited := waitingAt[decision.ID]
-				if decided[decision.ID]++; decided[decision.ID] > 1 || !waited {
-					t.Fatalf("request %s: %d decisions, waiting %v", decision.ID, decided[decision.ID], waited)
+				priority, wasQueued := queuedPriority[decision.ID]
+				if decisionCounts[decision.ID]++; decisionCounts[decision.ID] > 1 || !wasQueued {
+					t.Fatalf("request %s: %d decisions, queued before: %v", decision.ID, decisionCounts[decision.ID], wasQueued)
 				}
-				delete(waitingAt, decision.ID)
+				delete(queuedPriority, decision.ID)
 				if decision.Reason != ReasonNone {
 					continue
 				}
-				running[decision.ID] = decision.Replica.ID
-				placedLowest = max(placedLowest, priority)
+				replicaByID[decision.ID] = decision.Replica.ID
+				lowestAssigned = max(lowestAssigned, priority)
 			}
-			for id, priority := range waitingAt {
-				if priority < placedLowest {
-					t.Fatalf("request %s of priority %d waits behind one of %d", id, priority, placedLowest)
+			for id, priority := range queuedPriority {
+				if priority < lowestAssigned {
+					t.Fatalf("request %s of priority %d is queued while one of priority %d was assigned", id, priority, lowestAssigned)
 				}
 			}
 			counts := map[string]int{}
-			for _, replica := range running {
+			for _, replica := range replicaByID {
 				counts[replica]++
 			}
 			for _, replica := range all {
 				if counts[replica.ID] > replica.Slots {
-					t.Fatalf("%d requests at %s", counts[replica.ID], replica.ID)
+					t.Fatalf("%d requests in flight at %s, more than its slots", counts[replica.ID], replica.ID)
 				}
 			}
 		}
 	})
 }
 
-// Replicas whose answers were lost kept getting requests, since a caller that left says
-// nothing of the replica.
+// Guards against a replica that never answers but keeps getting requests, because callers leave
+// before a failure is observed.
 func TestLateAnswersCountAsFailures(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -257,8 +264,7 @@
 	g.Expect(s.replicaState("r0").health.requestsSinceQuarantine).To(gomega.BeNumerically("<", minProbes))
 }
 
-// Failures at random may put one of two replicas aside while nodes avoid the other: both
-// are well, and every request would be refused.
+// Guards against rejecting every request when all replicas are quarantined or ejected.
 func TestUnhealthyReplicasAreUsedIfAllAreUnhealthy(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -275,19 +281,22 @@
 	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"next"}))
 }
 
+// Guards against using a replica that the asking node suspects, and against rejecting the request if
+// all are suspected.
 func TestSuspectedReplicaIsUsedOnlyAsLastResort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(1, 4))
-	doubting := newRequest("a", 0)
-	doubting.Doubted = []string{"r0"}
-	s.Submit(0, doubting)
+	suspecting := newRequest("a", 0)
+	suspecting.Doubted = []string{"r0"}
+	s.Submit(0, suspecting)
 	g.Expect(s.Decide(0)[0].Replica.ID).To(gomega.Equal("r1"))
-	doubting.ID, doubting.Doubted = "b", []string{"r0", "r1"}
-	s.Submit(0, doubting)
+	suspecting.ID, suspecting.Doubted = "b", []string{"r0", "r1"}
+	s.Submit(0, suspecting)
 	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"b"}))
 }
 
+// Guards against queueing a request that has no replica left to try.
 func TestRequestThatTriedEveryReplicaIsRejectedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -300,28 +309,27 @@
 	g.Expect(decisions[0].Reason).To(gomega.Equal(ReasonNoReplica))
 }
 
-// A plain service that fails one request in five at random had one of two replicas set
-// aside most of the time.
+// Guards against quarantining healthy replicas of a service that fails one request in five.
 func TestRandomFailuresRarelyQuarantineReplicas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(6, 6, 6))
 	random := rand.New(rand.NewPCG(1, 2))
-	aside := 0
+	quarantined := 0
 	const requests = 6000
 	for i := range requests {
 		now := structs.Instant(i) * 6 * ms
 		replica := fmt.Sprintf("r%d", i%3)
 		s.recordOutcome(now, "s", replica, random.Float64() < 0.2)
 		if s.replicaState(replica).isQuarantined(now) {
-			aside++
+			quarantined++
 		}
 	}
-	g.Expect(aside).To(gomega.BeNumerically("<", requests/100))
+	g.Expect(quarantined).To(gomega.BeNumerically("<", requests/100))
 }
 
-// A replica that fails half of its requests is found within some tens of them, also
-// where the others fail one in five.
+// Guards against missing a replica that fails most but not all of its requests, also where the others
+// fail one in five.
 func TestPartlyFailingReplicaIsQuarantined(t *testing.T) {
 	g := gomega.NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -331,26 +339,25 @@
 		for i := range 300 {
 			s.recordOutcome(0, "s", fmt.Sprintf("r%d", i%3), random.Float64() < usual)
 		}
-		found := 0
-		for i := 0; found == 0 && i < 400; i++ {
+		detectedAfter := 0
+		for i := 0; detectedAfter == 0 && i < 400; i++ {
 			s.recordOutcome(ms, "s", "r1", random.Float64() < usual)
 			s.recordOutcome(ms, "s", "r2", random.Float64() < usual)
 			s.recordOutcome(ms, "s", "r0", random.Float64() < 0.65)
 			if s.replicaState("r0").isQuarantined(ms) {
-				found = i + 1
+				detectedAfter = i + 1
 			}
 		}
-		g.Expect(found).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", 80)), fmt.Sprint(usual))
+		g.Expect(detectedAfter).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", 80)), fmt.Sprint(usual))
 	}
 }
 
-// Slots of a service whose answers take 30 ms stood empty for a fifth of the time,
-// between two requests.
+// Guards against idle slots between two requests of a service with short answers.
 func TestShortAnswersAllowExtraSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, service := range []struct {
 		duration time.Duration
-		places   int
+		assigned int
 	}{{30 * ms, 8}, {800 * ms, 6}} {
 		s := New()
 		s.SetReplicas(0, replicasWithSlots(6))
@@ -358,47 +365,47 @@
 		for i := range 10 {
 			s.Submit(0, newRequest(fmt.Sprint(i), 0))
 		}
-		g.Expect(assignedIDs(s.Decide(0))).To(gomega.HaveLen(service.places), service.duration.String())
+		g.Expect(assignedIDs(s.Decide(0))).To(gomega.HaveLen(service.assigned), service.duration.String())
 	}
 }
 
-// What was learned and judged of a replica does not hold for its next life under the same id.
+// Guards against applying health and speed to the next incarnation of a replica with the same ID.
 func TestRestartedReplicaForgetsHealthAndSpeed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	first := replicas.Replica{ID: "a", Service: "s", Slots: 4, StartedAt: 1}
+	restarting := replicas.Replica{ID: "a", Service: "s", Slots: 4, StartedAt: 1}
 	other := replicas.Replica{ID: "b", Service: "s", Slots: 4, StartedAt: 1}
-	s.SetReplicas(0, []replicas.Replica{first, other})
+	s.SetReplicas(0, []replicas.Replica{restarting, other})
 	for range 20 {
 		s.recordOutcome(time.Second, "s", "a", true)
 	}
 	s.learnSpeed(&assignment{service: "s", replicaID: "a"}, Observation{Duration: time.Minute})
 	g.Expect(s.replicaState("a").isQuarantined(time.Second)).To(gomega.BeTrue())
-	first.Position = 2
-	s.SetReplicas(0, []replicas.Replica{first, other})
-	g.Expect(s.replicaState("a").isQuarantined(time.Second)).To(gomega.BeTrue(), "the same life")
-	first.StartedAt = 2
-	s.SetReplicas(0, []replicas.Replica{first, other})
+	restarting.Position = 2
+	s.SetReplicas(0, []replicas.Replica{restarting, other})
+	g.Expect(s.replicaState("a").isQuarantined(time.Second)).To(gomega.BeTrue(), "the same incarnation")
+	restarting.StartedAt = 2
+	s.SetReplicas(0, []replicas.Replica{restarting, other})
 	g.Expect(s.replicaState("a").isQuarantined(time.Second)).To(gomega.BeFalse())
 	g.Expect(s.replicaState("a").speed).To(gomega.Equal(speed{}))
 }
 
-// An address belongs to the replica with the newest entry, for as long as that is there.
+// Guards against sending to a replica whose address has a newer entry of another replica.
 func TestSupersededReplicaGetsNoRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
-	old := replicas.Replica{ID: "a", Service: "s", Slots: 4, Address: "h:1", Position: 5}
-	fresh := replicas.Replica{ID: "b", Service: "other", Slots: 4, Address: "h:1", Position: 9}
-	beside := replicas.Replica{ID: "c", Service: "s", Slots: 4, Address: "h:2", Position: 6}
-	offered := func(all ...replicas.Replica) []string {
+	superseded := replicas.Replica{ID: "a", Service: "s", Slots: 4, Address: "h:1", Position: 5}
+	newer := replicas.Replica{ID: "b", Service: "other", Slots: 4, Address: "h:1", Position: 9}
+	other := replicas.Replica{ID: "c", Service: "s", Slots: 4, Address: "h:2", Position: 6}
+	usable := func(all ...replicas.Replica) []string {
 		s.SetReplicas(0, all)
 		var ids []string
-		for _, choice := range s.snapshot(time.Second, "s").replicas {
-			ids = append(ids, choice.state.entry.ID)
+		for _, replica := range s.snapshot(time.Second, "s").replicas {
+			ids = append(ids, replica.state.entry.ID)
 		}
 		return ids
 	}
-	g.Expect(offered(old, beside)).To(gomega.ConsistOf("a", "c"))
-	g.Expect(offered(old, beside, fresh)).To(gomega.ConsistOf("c"))
-	g.Expect(offered(old, beside)).To(gomega.ConsistOf("a", "c"))
+	g.Expect(usable(superseded, other)).To(gomega.ConsistOf("a", "c"))
+	g.Expect(usable(superseded, other, newer)).To(gomega.ConsistOf("c"))
+	g.Expect(usable(superseded, other)).To(gomega.ConsistOf("a", "c"))
 }
--- a/coordination/admission/decide_bench_test.go
+++ b/coordination/admission/decide_bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// busyScheduler returns a scheduler of so many engines in five zones, six slots each, all
-// of which are known and full, but for one place at one engine in ten if some are free. So
-// many nodes tell of a request that another scheduler placed.
+// newBusyScheduler returns a scheduler of engines in five zones with six slots each and learned speeds.
+// All slots are occupied, except one at every tenth engine if free is true. Each of the nodes reports
+// one external request in flight.
 func newBusyScheduler(engines, nodes int, free bool) *Scheduler {
 	const slots = 6
 	s := New()
@@ -33,11 +33,11 @@
 				Duration:   time.Second, Events: 20, Stride: 6,
 			})
 		}
-		taken := slots - s.replicaState(replica.ID).external
+		occupied := slots - s.replicaState(replica.ID).external
 		if free && i%10 == 0 {
-			taken--
+			occupied--
 		}
-		for slot := range taken {
+		for slot := range occupied {
 			id := fmt.Sprint(replica.ID, slot)
 			s.addAssignment(id, &assignment{node: "n", service: "s", replicaID: replica.ID, promptTokens: 1000, started: slot%2 == 0})
 		}
@@ -52,16 +52,15 @@
 	}
 }
 
-// BenchmarkDecide measures a round in which one more request comes, which is placed if a
-// place is free.
+// BenchmarkDecide measures a round with one new request, which is assigned if a slot is free.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct {
-		engines, nodes, waiting int
-		free                    bool
+		engines, nodes, queued int
+		free                   bool
 	}{{166, 0, 0, true}, {166, 295, 0, true}, {166, 0, 200, false}, {710, 0, 0, true}, {710, 390, 0, true}, {710, 0, 200, false}} {
-		b.Run(fmt.Sprintf("%dreplicas-%dforeign-%dwaiting", size.engines, size.nodes, size.waiting), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%dreplicas-%dexternal-%dqueued", size.engines, size.nodes, size.queued), func(b *testing.B) {
 			s := newBusyScheduler(size.engines, size.nodes, size.free)
-			for i := range size.waiting {
+			for i := range size.queued {
 				s.Submit(0, benchmarkRequest(-1-i, 2))
 			}
 			b.ReportAllocs()
@@ -77,7 +76,7 @@
 	}
 }
 
-// doubtedIDs names every so-manieth replica.
+// everyNthID returns the ID of every nth engine; none if every is zero.
 func everyNthID(engines, every int) []string {
 	var ids []string
 	for i := 0; every > 0 && i < engines; i += every {
@@ -86,41 +85,41 @@
 	return ids
 }
 
-// emptyReplicas ends what is in progress at the replicas.
+// removeAssignmentsAt removes all assignments at the replicas.
 func removeAssignmentsAt(s *Scheduler, ids map[string]bool) {
-	for id, held := range s.assignments {
-		if ids[held.replicaID] {
+	for id, assignment := range s.assignments {
+		if ids[assignment.replicaID] {
 			s.removeAssignment(id)
 		}
 	}
 }
 
-// BenchmarkDecideWhileNodesDoubtReplicas measures a round in which nothing is free, many
-// wait, and the nodes that ask find a part of the replicas failing, as when engines crash:
-// so many nodes that none is used, or, unshared, each for itself.
+// BenchmarkDecideWithSuspectedReplicas measures a round with a long queue and no preferred replica that
+// has a free slot, while every asking node suspects a share of the replicas. These are ejected too,
+// except in the not-ejected cases.
 func BenchmarkDecideWithSuspectedReplicas(b *testing.B) {
 	const nodes = 79
 	for _, engines := range []int{140, 710} {
-		for _, waiting := range []int{300, 1000} {
-			for _, doubt := range []struct {
-				name   string
-				every  int
-				byMany bool
-			}{{"none", 0, false}, {"quarter", 4, true}, {"quarter-unshared", 4, false}, {"half", 2, true}, {"half-unshared", 2, false}} {
-				b.Run(fmt.Sprintf("%dreplicas-%dwaiting-%s", engines, waiting, doubt.name), func(b *testing.B) {
+		for _, queued := range []int{300, 1000} {
+			for _, suspects := range []struct {
+				name    string
+				every   int
+				ejected bool
+			}{{"none", 0, false}, {"quarter", 4, true}, {"quarter-not-ejected", 4, false}, {"half", 2, true}, {"half-not-ejected", 2, false}} {
+				b.Run(fmt.Sprintf("%dreplicas-%dqueued-%s", engines, queued, suspects.name), func(b *testing.B) {
 					s := newBusyScheduler(engines, 0, false)
-					doubted := everyNthID(engines, doubt.every)
-					failing := map[string]bool{}
-					for _, id := range doubted {
-						failing[id] = true
+					suspected := everyNthID(engines, suspects.every)
+					suspectedSet := map[string]bool{}
+					for _, id := range suspected {
+						suspectedSet[id] = true
 					}
-					if doubt.byMany {
-						s.SetEjected(failing)
+					if suspects.ejected {
+						s.SetEjected(suspectedSet)
 					}
-					removeAssignmentsAt(s, failing)
-					for i := range waiting {
+					removeAssignmentsAt(s, suspectedSet)
+					for i := range queued {
 						request := benchmarkRequest(-1-i, 2)
-						request.Node, request.Doubted = fmt.Sprint("n", i%nodes), slices.Clone(doubted)
+						request.Node, request.Doubted = fmt.Sprint("n", i%nodes), slices.Clone(suspected)
 						s.Submit(0, request)
 					}
 					b.ReportAllocs()
--- a/coordination/admission/locality_test.go
+++ b/coordination/admission/locality_test.go
@@ -6,8 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-// Work stays in its zone, then in its region, for as long as that is not far more loaded: what goes
-// between regions was most of what a laboratory's busy day paid for.
+// Guards against traffic to other zones and regions while the replicas of the own region have free slots.
 func TestRequestsStayInTheirRegionWhileSlotsAreFree(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -17,19 +16,19 @@
 		all[i].Zone = zone
 	}
 	s.SetReplicas(0, all)
-	used := func() []int {
+	assigned := func() []int {
 		return []int{s.replicaStates["r0"].assigned, s.replicaStates["r1"].assigned, s.replicaStates["r2"].assigned}
 	}
 	for range 8 {
-		asking := newRequest("q"+string(rune('a'+len(s.assignments))), 0)
-		asking.Zone = "north-a"
-		s.Submit(0, asking)
+		request := newRequest("q"+string(rune('a'+len(s.assignments))), 0)
+		request.Zone = "north-a"
+		s.Submit(0, request)
 		s.Decide(0)
 	}
-	g.Expect(used()).To(gomega.Equal([]int{0, 4, 4}))
-	asking := newRequest("last", 0)
-	asking.Zone = "north-a"
-	s.Submit(0, asking)
-	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"last"}), "rather far away than not at all")
-	g.Expect(used()).To(gomega.Equal([]int{1, 4, 4}))
+	g.Expect(assigned()).To(gomega.Equal([]int{0, 4, 4}))
+	request := newRequest("last", 0)
+	request.Zone = "north-a"
+	s.Submit(0, request)
+	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"last"}), "another region is used if the own one is full")
+	g.Expect(assigned()).To(gomega.Equal([]int{1, 4, 4}))
 }
--- a/coordination/admission/pauses_test.go
+++ b/coordination/admission/pauses_test.go
@@ -10,28 +10,28 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// pauseAt is what a node tells of a replica that asked it to pause.
-func pauseReport(replica string, left time.Duration) []pushback.Report {
-	return []pushback.Report{{Life: pushback.Incarnation{Replica: replica}, Pause: left}}
+// pauseReport returns a report of a replica that asked a node to pause.
+func pauseReport(replicaID string, remaining time.Duration) []pushback.Report {
+	return []pushback.Report{{Life: pushback.Incarnation{Replica: replicaID}, Pause: remaining}}
 }
 
-// from is a request of the node.
+// requestFrom returns a request of the node.
 func requestFrom(node, id string) Request {
 	r := newRequest(id, 0)
 	r.Node = node
 	return r
 }
 
-// replicasOf returns where the decisions lead, by request.
+// replicaByRequest returns the assigned replicas by request ID.
 func replicaByRequest(decisions []Decision) map[string]string {
-	given := map[string]string{}
+	assigned := map[string]string{}
 	for _, decision := range decisions {
-		given[decision.ID] = decision.Replica.ID
+		assigned[decision.ID] = decision.Replica.ID
 	}
-	return given
+	return assigned
 }
 
-// A pause is of one node: the others go on, and it goes elsewhere.
+// Guards against sending to a paused replica, and against pausing it for other nodes.
 func TestPausedReplicaIsAvoidedForOneNodeOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -50,23 +50,24 @@
 	g.Expect(replicaByRequest(s.Decide(time.Second))).To(gomega.HaveKeyWithValue("later", "r0"))
 }
 
-// What waits goes by what its node tells meanwhile.
+// Guards against ignoring a pause that begins while a request is queued.
 func TestPauseAppliesToQueuedRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(1, 1))
 	s.Submit(0, requestFrom("a", "first"))
 	s.Submit(0, requestFrom("b", "second"))
-	placed := replicaByRequest(s.Decide(0))
-	s.Submit(0, requestFrom("a", "waits"))
+	assigned := replicaByRequest(s.Decide(0))
+	s.Submit(0, requestFrom("a", "queued"))
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
 	s.ApplyPushback(0, "first", pushback.Signals{Pause: 3 * time.Second})
 	s.Finish(0, "first", Observation{Left: true})
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty(), "the free replica has asked its node to pause")
 	s.Finish(0, "second", Observation{Left: true})
-	g.Expect(replicaByRequest(s.Decide(0))).To(gomega.HaveKeyWithValue("waits", placed["second"]))
+	g.Expect(replicaByRequest(s.Decide(0))).To(gomega.HaveKeyWithValue("queued", assigned["second"]))
 }
 
+// Guards against a retry time before the first usable pause has ended.
 func TestRetryAfterIsTheShortestPauseIfAllReplicasArePaused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -76,12 +77,12 @@
 	tried := requestFrom("a", "y")
 	tried.Tried = []string{"r1"}
 	s.Submit(0, tried)
-	told := map[string]structs.Instant{}
+	retryAfter := map[string]structs.Instant{}
 	for _, decision := range s.Decide(0) {
 		g.Expect(decision.Reason).To(gomega.Equal(ReasonPaused))
-		told[decision.ID] = decision.RetryAfter
+		retryAfter[decision.ID] = decision.RetryAfter
 	}
-	g.Expect(told).To(gomega.Equal(map[string]structs.Instant{"x": 900 * ms, "y": 1500 * ms}))
+	g.Expect(retryAfter).To(gomega.Equal(map[string]structs.Instant{"x": 900 * ms, "y": 1500 * ms}))
 	s.DropNode("a")
 	g.Expect(s.pauses).To(gomega.BeEmpty())
 }
--- a/coordination/admission/prefill_test.go
+++ b/coordination/admission/prefill_test.go
@@ -8,21 +8,23 @@
 	"github.com/onsi/gomega"
 )
 
-// teachReading lets the replica have read prompts at the time a token.
-func learnPrefill(s *Scheduler, replica string, perToken, step time.Duration) {
-	s.replicaState(replica).speed.stepTime = step
+// learnPrefill sets the replica's step time and lets it observe prompts with the prefill time per token.
+func learnPrefill(s *Scheduler, replicaID string, perToken, step time.Duration) {
+	s.replicaState(replicaID).speed.stepTime = step
 	for i := range 20 {
 		prompt := 500 + 100*i
-		s.replicaState(replica).speed.prefill.observe(prompt, 40*ms+time.Duration(prompt)*perToken)
+		s.replicaState(replicaID).speed.prefill.observe(prompt, 40*ms+time.Duration(prompt)*perToken)
 	}
 }
 
-func promptRequest(id string, prompt int) Request {
-	held := newRequest(id, 0)
-	held.Prompt, held.Answer, held.Stride, held.Pause = prompt, 50, 3, 300*ms
-	return held
+// promptRequest returns a streaming request with a prompt.
+func promptRequest(id string, promptTokens int) Request {
+	request := newRequest(id, 0)
+	request.Prompt, request.Answer, request.Stride, request.Pause = promptTokens, 50, 3, 300*ms
+	return request
 }
 
+// Guards against a wrong estimate of the prefill time per token and the fixed time.
 func TestPrefillEstimatorFitsALine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -32,8 +34,7 @@
 	g.Expect(new(prefillEstimator).timePerToken()).To(gomega.BeZero())
 }
 
-// Without this wait one stream in six at a slow replica pauses for more than 300 ms while
-// other prompts are read beside it.
+// Guards against streams that stall at a slow replica while long prompts are read beside them.
 func TestPromptWaitsWhileItWouldDelayStreams(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -46,16 +47,18 @@
 	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"first"}))
 	s.Submit(0, promptRequest("second", 3000))
 	s.Submit(0, promptRequest("short", 300))
-	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"short"}), "a short prompt disturbs nobody")
+	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"short"}), "a short prompt does not delay streams")
 	s.RecordFirstEvent(100*ms, "first", -1)
 	s.RecordFirstEvent(100*ms, "short", -1)
 	g.Expect(assignedIDs(s.Decide(100 * ms))).To(gomega.Equal([]string{"second"}))
 	s.Submit(100*ms, promptRequest("third", 3000))
 	g.Expect(assignedIDs(s.Decide(100 * ms))).To(gomega.BeEmpty())
-	patience := time.Duration(float64(time.Second) * streamProtectionShare)
-	g.Expect(assignedIDs(s.Decide(100*ms+patience))).To(gomega.Equal([]string{"third"}), "no longer than its patience")
+	protection := time.Duration(float64(time.Second) * streamProtectionShare)
+	g.Expect(assignedIDs(s.Decide(100*ms+protection))).To(gomega.Equal([]string{"third"}), "protection ends before the target")
 }
 
+// Guards against sending long prompts to slow replicas while a fast one reads them without delaying
+// streams.
 func TestLongPromptsGoToReplicasWithFastPrefill(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -70,12 +73,11 @@
 	for _, decision := range decisions {
 		counts[decision.Replica.ID]++
 	}
-	g.Expect(counts["r0"]).To(gomega.BeNumerically("<=", 1), "only while nobody else is there")
+	g.Expect(counts["r0"]).To(gomega.BeNumerically("<=", 1), "at most one while it is idle")
 	g.Expect(counts["r1"]).To(gomega.BeNumerically(">=", 4))
 }
 
-// A node that begins to schedule must not send long prompts to slow replicas for want of
-// knowing them.
+// Guards against a new active scheduler that does not know which replicas are slow.
 func TestSpeedIsLearnedFromRequestsOfOtherSchedulers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -83,20 +85,19 @@
 	s.Observe(0, "s", "r0", 100, Observation{FirstEvent: 100 * ms, Duration: 1100 * ms, Events: 11, Stride: 1})
 	s.Observe(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
 	s.Submit(0, promptRequest("a", 1000))
-	placed := s.Decide(0)
-	g.Expect(placed).To(gomega.HaveLen(1))
-	g.Expect(placed[0].Replica.ID).To(gomega.Equal("r1"))
+	decisions := s.Decide(0)
+	g.Expect(decisions).To(gomega.HaveLen(1))
+	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r1"))
 	s.Observe(0, "s", "r1", 100, Observation{Failed: true, Duration: time.Second, Events: 2, Stride: 1})
-	g.Expect(s.replicaState("r1").speed.stepTime).To(gomega.Equal(20*ms), "a failed request tells no pace")
+	g.Expect(s.replicaState("r1").speed.stepTime).To(gomega.Equal(20*ms), "a failed request does not change the speed")
 }
 
-// After a restart the replicas that have ended no request yet are the slow ones; they must
-// not count as fast.
+// Guards against treating replicas that have not finished a request yet as fast: those are the slow ones.
 func TestReplicasOfUnknownSpeedRankAfterFastOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(2, 4, 2))
-	s.Submit(0, promptRequest("explores", 100))
+	s.Submit(0, promptRequest("first", 100))
 	g.Expect(s.Decide(0)[0].Replica.ID).To(gomega.Equal("r0"))
 	s.Observe(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
 	s.Observe(0, "s", "r2", 100, Observation{FirstEvent: 90 * ms, Duration: 990 * ms, Events: 11, Stride: 1})
@@ -108,12 +109,12 @@
 		order = append(order, decision.Replica.ID)
 	}
 	g.Expect(order).To(gomega.HaveLen(6))
-	g.Expect(order[:4]).To(gomega.HaveEach("r1"), "the fast one first, with all its places")
-	g.Expect(order[4]).To(gomega.Equal("r0"), "then the one that is not known")
+	g.Expect(order[:4]).To(gomega.HaveEach("r1"), "the fast replica first, with all its slots")
+	g.Expect(order[4]).To(gomega.Equal("r0"), "then the one of unknown speed")
 }
 
-// Long prompts must not go to slow replicas, where 13 to 43% of them are in time, as soon
-// as the fast ones are full for a moment.
+// Guards against assigning long prompts to slow replicas, where they miss their target, while the fast
+// ones are briefly full.
 func TestLongPromptWaitsForReplicaThatMeetsItsTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -125,7 +126,7 @@
 	s.Submit(0, promptRequest("long", 20000))
 	s.Submit(0, promptRequest("short", 200))
 	decisions := s.Decide(0)
-	g.Expect(assignedIDs(decisions)).To(gomega.Equal([]string{"short"}), "a short one takes the slow replica at once")
+	g.Expect(assignedIDs(decisions)).To(gomega.Equal([]string{"short"}), "a short prompt is assigned to the slow replica at once")
 	g.Expect(assignedIDs(s.Decide(300 * ms))).To(gomega.BeEmpty())
 	s.Finish(400*ms, "running", Observation{Duration: 400 * ms, Events: 2, Stride: 1, FirstEvent: 10 * ms})
 	decisions = s.Decide(400 * ms)
@@ -133,6 +134,7 @@
 	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r0"))
 }
 
+// Guards against queueing a prompt for a faster replica that does not exist.
 func TestPromptThatNoReplicaServesInTimeDoesNotWait(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -140,7 +142,7 @@
 	learnPrefill(s, "r0", 60*time.Microsecond, 13*ms)
 	learnPrefill(s, "r1", 50*time.Microsecond, 11*ms)
 	s.Submit(0, promptRequest("long", 20000))
-	placed := s.Decide(0)
-	g.Expect(placed).To(gomega.HaveLen(1))
-	g.Expect(placed[0].Replica.ID).To(gomega.Equal("r1"))
+	decisions := s.Decide(0)
+	g.Expect(decisions).To(gomega.HaveLen(1))
+	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r1"))
 }
--- a/coordination/admission/slow_start_test.go
+++ b/coordination/admission/slow_start_test.go
@@ -12,19 +12,19 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// warming is the bound of a service whose cold replicas bear 19 requests in a second.
+// testSlowStart is the limit for cold replicas that can handle 19 requests in any second.
 var testSlowStart = NewSlowStart(19, 3*time.Second)
 
-// coldPool returns replicas that say to stay cold for so long, in the zone "east".
-func coldPool(count int, left time.Duration) []replicas.Replica {
+// coldPool returns replicas in zone "east" whose entries state the warm-up.
+func coldPool(count int, warmUp time.Duration) []replicas.Replica {
 	all := replicasWithSlots(make([]int, count)...)
 	for i := range all {
-		all[i].Slots, all[i].Zone, all[i].Warmup, all[i].Position = 1000, "east", left, structs.StorePosition(i+1)
+		all[i].Slots, all[i].Zone, all[i].Warmup, all[i].Position = 1000, "east", warmUp, structs.StorePosition(i+1)
 	}
 	return all
 }
 
-// ask submits so many requests and returns how many got a place.
+// submitAndAssign submits requests and returns how many are assigned at once, with any queued before.
 func submitAndAssign(s *Scheduler, now structs.Instant, count int) int {
 	for range count {
 		s.Submit(now, newRequest(fmt.Sprint(now, "-", len(s.queued), "-", len(s.assignments)), 0))
@@ -32,22 +32,23 @@
 	return len(assignedIDs(s.Decide(now)))
 }
 
+// Guards against overloading a replica that has just started.
 func TestColdReplicaGetsLimitedRequestsUntilWarm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetSlowStart("s", testSlowStart)
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
-	g.Expect(submitAndAssign(s, 0, 50)).To(gomega.BeZero(), "this scheduler does not lead")
+	g.Expect(submitAndAssign(s, 0, 50)).To(gomega.BeZero(), "cold traffic is not allowed")
 	s.SetColdTrafficAllowed(0, true)
-	given := 0
+	assigned := 0
 	for now := structs.Instant(0); now < time.Second; now += 10 * ms {
-		given += len(assignedIDs(s.Decide(now)))
+		assigned += len(assignedIDs(s.Decide(now)))
 	}
-	g.Expect(given).To(gomega.BeNumerically("~", testSlowStart.Rate, 1))
-	g.Expect(assignedIDs(s.Decide(2*time.Second))).To(gomega.HaveLen(50-given), "it is warm")
+	g.Expect(assigned).To(gomega.BeNumerically("~", testSlowStart.Rate, 1))
+	g.Expect(assignedIDs(s.Decide(2*time.Second))).To(gomega.HaveLen(50-assigned), "the replica is warm")
 }
 
-// As long as the configuration is not known, nobody knows what a cold replica bears.
+// Guards against sending to a cold replica before its limit is configured.
 func TestColdReplicaGetsNothingWithoutSlowStartSetting(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -55,9 +56,10 @@
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
 	g.Expect(submitAndAssign(s, time.Second, 10)).To(gomega.BeZero())
 	s.SetSlowStart("s", SlowStart{})
-	g.Expect(assignedIDs(s.Decide(time.Second))).To(gomega.HaveLen(10), "there is none")
+	g.Expect(assignedIDs(s.Decide(time.Second))).To(gomega.HaveLen(10), "the service has no limit")
 }
 
+// Guards against leaving requests queued for cold replicas while warm ones have free slots.
 func TestWarmReplicasTakeWhatColdOnesMayNot(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -71,6 +73,7 @@
 	g.Expect(s.replicaStates["r0"].assigned + s.replicaStates["r1"].assigned).To(gomega.Equal(100))
 }
 
+// Guards against sending to an evacuated zone, and against overloading its replicas after the lift.
 func TestEvacuatedZoneGetsNothingAndIsColdAfterLift(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -81,15 +84,15 @@
 	s.Submit(0, newRequest("a", 0))
 	decisions := s.Decide(0)
 	g.Expect(decisions).To(gomega.HaveLen(1))
-	g.Expect(decisions[0].Reason).To(gomega.Equal(ReasonEvacuated), "it is refused at once")
-	back := time.Minute
-	s.SetEvacuatedZones(back, map[string]bool{"nowhere": true})
-	g.Expect(submitAndAssign(s, back, 50)).To(gomega.BeNumerically("<=", testSlowStart.Burst), "the banks were idle")
-	g.Expect(submitAndAssign(s, back+testSlowStart.ColdTime-ms, 50)).To(gomega.BeNumerically("<=", testSlowStart.Burst))
-	g.Expect(submitAndAssign(s, back+testSlowStart.ColdTime, 10)).To(gomega.Equal(58), "it is warm")
+	g.Expect(decisions[0].Reason).To(gomega.Equal(ReasonEvacuated), "it is rejected at once")
+	lifted := time.Minute
+	s.SetEvacuatedZones(lifted, map[string]bool{"nowhere": true})
+	g.Expect(submitAndAssign(s, lifted, 50)).To(gomega.BeNumerically("<=", testSlowStart.Burst), "at most a full bucket")
+	g.Expect(submitAndAssign(s, lifted+testSlowStart.ColdTime-ms, 50)).To(gomega.BeNumerically("<=", testSlowStart.Burst))
+	g.Expect(submitAndAssign(s, lifted+testSlowStart.ColdTime, 10)).To(gomega.Equal(58), "the replica is warm")
 }
 
-// What a cold replica is seen to do says nothing of it once it is warm.
+// Guards against using the speed of the cold phase once the replica is warm.
 func TestColdSpeedIsLearnedSeparately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
@@ -102,15 +105,15 @@
 	g.Expect(s.replicaStates["r0"].speed.stepTime).To(gomega.Equal(30 * ms))
 }
 
-// coldFleet is schedulers that lead in any order before one cold replica, as a run of the check
-// draws it.
+// coldFleet is a set of schedulers that are active in any order and assign requests to one cold replica.
 type coldFleet struct {
 	schedulers []*Scheduler
-	// leading are one or two of them: a second one leads while it does not know of the first.
+	// active holds one or two indexes: a second scheduler is active while it does not know the first.
 	active     []int
 	now        structs.Instant
 	assignedAt []structs.Instant
-	// keeps is true if a scheduler keeps its banks from one time it leads to the next.
+	// keepsBuckets is the fault that the check must find: a scheduler that becomes active again does
+	// not empty its buckets.
 	keepsBuckets bool
 }
 
@@ -130,42 +133,45 @@
 	return s
 }
 
-// begin has the scheduler lead.
-func (f *coldFleet) allowColdTraffic(which int) {
-	held := f.schedulers[which].replicaStates["r0"].warmUp
-	f.schedulers[which].SetColdTrafficAllowed(f.now, true)
+// allowColdTraffic allows the scheduler to send cold traffic.
+func (f *coldFleet) allowColdTraffic(index int) {
+	warmUp := f.schedulers[index].replicaStates["r0"].warmUp
+	f.schedulers[index].SetColdTrafficAllowed(f.now, true)
 	if f.keepsBuckets {
-		f.schedulers[which].coldTrafficSince = 0
-		f.schedulers[which].replicaStates["r0"].warmUp = held
+		f.schedulers[index].coldTrafficSince = 0
+		f.schedulers[index].replicaStates["r0"].warmUp = warmUp
 	}
 }
 
-func (f *coldFleet) activate(which int) {
+// activate makes the scheduler the only active one.
+func (f *coldFleet) activate(index int) {
 	for _, other := range f.active {
 		f.schedulers[other].SetColdTrafficAllowed(f.now, false)
 	}
-	f.allowColdTraffic(which)
-	f.active = []int{which}
+	f.allowColdTraffic(index)
+	f.active = []int{index}
 }
 
-func (f *coldFleet) activateSecond(which int) {
-	if len(f.active) == 1 && f.active[0] != which {
-		f.allowColdTraffic(which)
-		f.active = append(f.active, which)
+// activateSecond makes the scheduler active beside a single other one.
+func (f *coldFleet) activateSecond(index int) {
+	if len(f.active) == 1 && f.active[0] != index {
+		f.allowColdTraffic(index)
+		f.active = append(f.active, index)
 	}
 }
 
-func (f *coldFleet) ask(which, count int) {
-	placed := submitAndAssign(f.schedulers[which], f.now, count)
-	for range placed {
+// submit submits requests to the scheduler and cancels those that are not assigned at once.
+func (f *coldFleet) submit(index, count int) {
+	assigned := submitAndAssign(f.schedulers[index], f.now, count)
+	for range assigned {
 		f.assignedAt = append(f.assignedAt, f.now)
 	}
-	for id := range f.schedulers[which].queued {
-		f.schedulers[which].Cancel(id)
+	for id := range f.schedulers[index].queued {
+		f.schedulers[index].Cancel(id)
 	}
 }
 
-// check looks at every second.
+// check returns an error if any second holds more requests than the limit.
 func (f *coldFleet) check() error {
 	for _, from := range f.assignedAt {
 		count := 0
@@ -175,29 +181,29 @@
 			}
 		}
 		if count > 19 {
-			return fmt.Errorf("%d requests in the second from %v", count, from)
+			return fmt.Errorf("%d requests in the second from %v, limit 19", count, from)
 		}
 	}
 	return nil
 }
 
-// Whoever leads and however often that changes, a cold replica gets no more than the bound.
+// Guards against exceeding the limit of a cold replica while the active scheduler changes.
 func TestSlowStartHoldsAcrossSchedulers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newColdFleet()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			f.now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * ms
-			which := rapid.IntRange(0, len(f.schedulers)-1).Draw(t, "scheduler")
+			index := rapid.IntRange(0, len(f.schedulers)-1).Draw(t, "scheduler")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				f.activate(which)
+				f.activate(index)
 			case 1:
-				f.activateSecond(which)
+				f.activateSecond(index)
 			case 2:
-				f.schedulers[which] = f.newScheduler() // a process that starts again
-				f.activate(which)
+				f.schedulers[index] = f.newScheduler() // a restarted process
+				f.activate(index)
 			default:
-				f.ask(which, rapid.IntRange(1, 30).Draw(t, "requests"))
+				f.submit(index, rapid.IntRange(1, 30).Draw(t, "requests"))
 			}
 		}
 		if err := f.check(); err != nil {
@@ -206,25 +212,25 @@
 	})
 }
 
-// The check must see what it is for: banks that a scheduler keeps while others lead break the bound.
+// Guards against a check that finds nothing: buckets kept while others were active exceed the limit.
 func TestKeptBucketsExceedSlowStart(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for _, keeps := range []bool{false, true} {
+	for _, keepsBuckets := range []bool{false, true} {
 		f := newColdFleet()
-		f.keepsBuckets = keeps
-		for which := range f.schedulers {
-			f.activate(which)
+		f.keepsBuckets = keepsBuckets
+		for index := range f.schedulers {
+			f.activate(index)
 			f.now += time.Second
-			f.ask(which, 0)
-			f.schedulers[which].coldTokens(f.now, f.schedulers[which].replicaStates["r0"], f.schedulers[which].pool("s"))
+			f.submit(index, 0)
+			f.schedulers[index].coldTokens(f.now, f.schedulers[index].replicaStates["r0"], f.schedulers[index].pool("s"))
 		}
 		for range 4 {
-			for which := range f.schedulers {
-				f.activate(which)
-				f.ask(which, 30)
+			for index := range f.schedulers {
+				f.activate(index)
+				f.submit(index, 30)
 				f.now += 100 * ms
 			}
 		}
-		g.Expect(f.check() != nil).To(gomega.Equal(keeps))
+		g.Expect(f.check() != nil).To(gomega.Equal(keepsBuckets))
 	}
 }
--- a/coordination/admission/suspects_test.go
+++ b/coordination/admission/suspects_test.go
@@ -10,8 +10,8 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// What a round believes of the lists of doubted replicas is what a search by name would
-// say, also after places were given and while replicas come and go.
+// Guards against a suspect view that differs from a plain search of the lists, also after assignments
+// and after replicas were added and removed.
 func TestSuspectViewMatchesSearchByID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "replicas")
@@ -19,50 +19,51 @@
 		s := New()
 		s.SetReplicas(0, replicasWithSlots(slices.Repeat([]int{2}, count)...))
 		for round := range 3 {
-			s.SetEjected(map[string]bool{id.Draw(t, "avoided"): true})
+			s.SetEjected(map[string]bool{id.Draw(t, "ejected"): true})
 			for i := range rapid.IntRange(0, 6).Draw(t, "requests") {
-				asked := newRequest(fmt.Sprint(round, "-", i), 1)
-				asked.Node = fmt.Sprint("n", i%2)
-				asked.Doubted = rapid.SliceOfN(id, 0, 6).Draw(t, "doubted")
-				s.Submit(0, asked)
+				request := newRequest(fmt.Sprint(round, "-", i), 1)
+				request.Node = fmt.Sprint("n", i%2)
+				request.Doubted = rapid.SliceOfN(id, 0, 6).Draw(t, "suspected")
+				s.Submit(0, request)
 			}
-			room := s.snapshot(0, "s")
-			for _, held := range s.pool("s").queue {
-				checkSuspectView(t, s, room, held)
+			snapshot := s.snapshot(0, "s")
+			for _, queued := range s.pool("s").queue {
+				checkSuspectView(t, s, snapshot, queued)
 			}
-			if len(room.replicas) > 0 {
-				chosen := room.replicas[rapid.IntRange(0, len(room.replicas)-1).Draw(t, "given")]
-				if chosen.inFlight < chosen.maxInFlight {
-					chosen.inFlight++
-					room.recordAssigned(chosen)
+			if len(snapshot.replicas) > 0 {
+				replica := snapshot.replicas[rapid.IntRange(0, len(snapshot.replicas)-1).Draw(t, "assigned")]
+				if replica.inFlight < replica.maxInFlight {
+					replica.inFlight++
+					snapshot.recordAssigned(replica)
 				}
 			}
-			for _, held := range s.pool("s").queue {
-				checkSuspectView(t, s, room, held)
+			for _, queued := range s.pool("s").queue {
+				checkSuspectView(t, s, snapshot, queued)
 			}
-			gone := rapid.IntRange(0, count).Draw(t, "left")
-			s.SetReplicas(0, slices.DeleteFunc(replicasWithSlots(slices.Repeat([]int{2}, count)...), func(r replicas.Replica) bool { return r.ID == fmt.Sprint("r", gone) }))
+			removed := rapid.IntRange(0, count).Draw(t, "removed")
+			s.SetReplicas(0, slices.DeleteFunc(replicasWithSlots(slices.Repeat([]int{2}, count)...), func(r replicas.Replica) bool { return r.ID == fmt.Sprint("r", removed) }))
 		}
 	})
 }
 
-func checkSuspectView(t *rapid.T, s *Scheduler, room *poolSnapshot, held *queuedRequest) {
-	view := s.suspectView(room, held.suspects)
-	free, trusted := 0, 0
-	for _, choice := range room.replicas {
-		trusts := !choice.isUnhealthy && !slices.Contains(held.Doubted, choice.state.entry.ID)
-		if room.isPreferred(view, choice) != trusts {
-			t.Fatalf("%s: trusted %v, by name %v", choice.state.entry.ID, !trusts, trusts)
+// checkSuspectView compares the view of the request with a search of its list by ID.
+func checkSuspectView(t *rapid.T, s *Scheduler, snapshot *poolSnapshot, request *queuedRequest) {
+	view := s.suspectView(snapshot, request.suspects)
+	free, preferred := 0, 0
+	for _, replica := range snapshot.replicas {
+		isPreferred := !replica.isUnhealthy && !slices.Contains(request.Doubted, replica.state.entry.ID)
+		if snapshot.isPreferred(view, replica) != isPreferred {
+			t.Fatalf("%s: preferred %v, by search %v", replica.state.entry.ID, !isPreferred, isPreferred)
 		}
-		if trusts {
-			trusted++
-			free += max(0, choice.maxInFlight-choice.inFlight)
+		if isPreferred {
+			preferred++
+			free += max(0, replica.maxInFlight-replica.inFlight)
 		}
 	}
-	if view.freeSlots != free || view.preferredReplicas != trusted {
-		t.Fatalf("%d free at %d replicas, by name %d at %d", view.freeSlots, view.preferredReplicas, free, trusted)
+	if view.freeSlots != free || view.preferredReplicas != preferred {
+		t.Fatalf("%d free slots at %d preferred replicas, by search %d at %d", view.freeSlots, view.preferredReplicas, free, preferred)
 	}
-	if room.hasNoPreferredSlot(len(held.Doubted)) && (free > 0 || trusted == 0) {
-		t.Fatalf("takes none for free, by name %d at %d replicas", free, trusted)
+	if snapshot.hasNoPreferredSlot(len(request.Doubted)) && (free > 0 || preferred == 0) {
+		t.Fatalf("reports no preferred slot, by search %d free at %d replicas", free, preferred)
 	}
 }
--- a/coordination/rejections/rejections_test.go
+++ b/coordination/rejections/rejections_test.go
@@ -9,13 +9,14 @@
 	"github.com/thornwalk/thornwalk/state/fingerprint"
 )
 
+// Guards against forgetting a rejection too early or keeping it too long.
 func TestRejectionIsRememberedForItsRetention(t *testing.T) {
 	g := gomega.NewWithT(t)
-	memory := New()
+	recent := New()
 	first, other := fingerprint.Of("", "GET", "h", "/a", nil), fingerprint.Of("", "GET", "h", "/b", nil)
-	memory.Add(0, first)
-	g.Expect(memory.Has(5*time.Second, first)).To(gomega.BeTrue())
-	g.Expect(memory.Has(5*time.Second, other)).To(gomega.BeFalse())
-	g.Expect(memory.Has(10*time.Second, first)).To(gomega.BeTrue())
-	g.Expect(memory.Has(20*time.Second, first)).To(gomega.BeFalse())
+	recent.Add(0, first)
+	g.Expect(recent.Has(5*time.Second, first)).To(gomega.BeTrue())
+	g.Expect(recent.Has(5*time.Second, other)).To(gomega.BeFalse())
+	g.Expect(recent.Has(10*time.Second, first)).To(gomega.BeTrue())
+	g.Expect(recent.Has(20*time.Second, first)).To(gomega.BeFalse())
 }
