--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -24,7 +24,7 @@
 	sortLength int
 }
 
-// assignment is a request that was given a replica and has not ended.
+// assignment is a request that was assigned to a replica and has not ended.
 type assignment struct {
 	fingerprint fingerprint.Fingerprint
 	node        string
--- a/coordination/admission/canary.go
+++ b/coordination/admission/canary.go
@@ -14,8 +14,8 @@
 // the other replicas are: a version that fails only under load would otherwise pass.
 
 // canaryReplicaShare is the number of replicas that take canary requests, as a share of the replicas
-// of other versions. With fewer than minCanaryReplicas, one failing replica could not be told from a
-// failing version.
+// of other versions. With fewer than minCanaryReplicas, one failing replica could not be
+// distinguished from a failing version.
 const (
 	canaryReplicaShare = 0.1
 	minCanaryReplicas  = 3
@@ -26,7 +26,7 @@
 	s.pool(service).versionPolicy = policy
 }
 
-// SetCanaryBudget sets the budget for requests to replicas of a version that is being judged. With nil
+// SetCanaryBudget sets the budget for requests to replicas of a version in its canary phase. With nil
 // they get none.
 func (s *Scheduler) SetCanaryBudget(service string, budget *rollout.CanaryBudget) {
 	s.pool(service).canaryBudget = budget
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -175,11 +175,11 @@
 	return state == poison.OnTrial
 }
 
-// retryAfter returns when a rejected caller should come back: after the expected wait, but early
-// enough to leave most of the remaining time for the answer.
+// retryAfter returns when a rejected caller should come back: after the expected wait, within limits that
+// depend on the remaining time so that most of it is left for the answer.
 func retryAfter(expectedWait, remaining time.Duration) time.Duration {
-	longest := time.Duration(float64(remaining) * retryAfterShare)
-	return min(max(expectedWait, minRetryAfter, longest/2), max(longest, minRetryAfter))
+	latest := time.Duration(float64(remaining) * retryAfterShare)
+	return min(max(expectedWait, minRetryAfter, latest/2), max(latest, minRetryAfter))
 }
 
 // chooseReplica returns the cheapest of the eligible replicas with a free slot, or nil if the request
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -11,7 +11,7 @@
 //   - A queued request gets exactly one decision, and none after Cancel.
 //   - A replica is assigned a request only while its known in-flight requests are fewer than its
 //     slots plus the extra slots for requests that are still on their way to it.
-//   - A request does not start before a more urgent one of its service that could use the same slot,
-//     which means that the urgent one would meet its target there, or meets it at no replica, and
-//     would not delay the streams there too long.
+//   - A request does not start before a more urgent one of its service that could use the same slot. A
+//     request can use a slot if it meets its target there, or at no replica at all, and does not delay
+//     the streams there too long.
 package admission
--- a/coordination/admission/rate_limit.go
+++ b/coordination/admission/rate_limit.go
@@ -9,14 +9,9 @@
 
 // An overloaded replica announces the rate that it accepts from all nodes together. Each scheduler
 // assigns requests to it from a token bucket that is refilled with the scheduler's follower share of
-// that rate. The limit holds because each node follows one scheduler at a time: the shares of all
-// schedulers sum to one, except that a scheduler may count a node for FollowTime after it left. A
-// scheduler that becomes active starts with empty buckets. So in a time T all schedulers together
-// earn at most
-//
-//	refillShare x rate x (T + FollowTime)
-//
-// beside the tokens of the schedulers that are active at the start of T, at most two bursts.
+// that rate. Each node follows one scheduler at a time, except that its previous one may count it for
+// FollowTime more, and a scheduler that becomes active starts with empty buckets. So in a time T all
+// schedulers together assign at most refillShare x rate x (T + FollowTime) requests, and two bursts.
 
 const (
 	// FollowTime is how long after its last heartbeat a node counts as a follower of the scheduler that
--- a/coordination/admission/response_lengths.go
+++ b/coordination/admission/response_lengths.go
@@ -4,7 +4,7 @@
 
 // Serving the shortest answers first serves the most requests, but under lasting overload the longest
 // would never be served. So the served share is tracked for the long bands of each route, and requests
-// of a band that falls too far behind the whole route go first until it has caught up.
+// of a band that falls too far behind its route go first until it has caught up.
 
 const (
 	// longestShare and longShare are the shares of a route's requests with the longest answers from
--- a/coordination/admission/snapshot.go
+++ b/coordination/admission/snapshot.go
@@ -12,7 +12,7 @@
 // with every assignment.
 type poolSnapshot struct {
 	replicas []*replicaSnapshot
-	// canaries are replicas of a version that is being judged, while the canary budget is open.
+	// canaries are replicas of a version in its canary phase, while the canary budget is open.
 	canaries []*replicaSnapshot
 	// freeSlots and totalSlots count the slots of healthy replicas.
 	freeSlots, totalSlots, healthyReplicas int
--- a/coordination/admission/token_bucket.go
+++ b/coordination/admission/token_bucket.go
@@ -8,8 +8,8 @@
 	refilledAt structs.Instant
 }
 
-// refill adds the tokens earned since the last refill at the rate per second, up to burst. A bucket
-// that was last refilled before since is emptied first and earns from since on.
+// refill adds rate tokens for each second since the last refill, up to burst. If the last refill was
+// before since, the bucket is emptied and only the time from since on counts.
 func (b *tokenBucket) refill(now, since structs.Instant, rate, burst float64) {
 	if b.refilledAt < since {
 		b.tokens, b.refilledAt = 0, since
