--- a/coordination/retrybudget/retrybudget.go
+++ b/coordination/retrybudget/retrybudget.go
@@ -1,26 +1,11 @@
-// Package retrybudget bounds how many requests are sent to a second replica, so that retries do
-// not multiply an overload.
+// Package retrybudget limits retries, so that they do not multiply an overload. In every window, all
+// schedulers together permit at most Ratio x requests + Slack retries of a service, in whatever order
+// nodes schedule, fail, restart or are suspended, provided that the shares of the nodes that schedule
+// at the same time sum to at most two. The package doesn't send retries and does no I/O.
 //
-// Guarantee: whatever nodes schedule one after the other, and in whatever order they die, start
-// again or are suspended, a service gets in every window at most
-//
-//	Ratio x its requests + Slack
-//
-// repeats from all of them together, as long as the shares of those that schedule at a time sum
-// to two at most. It holds by construction, not by what one node knows of another:
-//
-//   - A budget is a bank: each request of a service pays Ratio of a repeat into it, time pays a
-//     little, and each repeat takes one out. What a budget gives in a window is thus no more than
-//     what it held at the beginning and what was paid in meanwhile.
-//   - A node begins to schedule with an empty bank, and one that ends loses what it held. So
-//     nothing that was paid in once can be given by two nodes.
-//   - A bank holds bankPart of the Slack at most, those repeats included that were given to
-//     requests which still wait for a place: they count when they are sent, not when they ask.
-//     With Activate, Deactivate and Reset they are void: the caller sees to it that they are not sent, and
-//     whoever schedules next is asked for them.
-//
-// A window in the memory of each scheduling node gave 182, 86, 31 and 30 repeats by four nodes in
-// turn, each within its own bound, and 309 in ten seconds where 271 are allowed for 1,084 requests.
+// The bound holds without coordination: retries only use tokens of the node's own bucket, which is
+// refilled by requests and slowly by time. A node that becomes scheduler starts with empty buckets,
+// and one that stops loses its tokens, so that no token is used twice.
 package retrybudget
 
 import (
@@ -29,173 +14,174 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Policy bounds the repeats of a service, all nodes together.
+// Policy limits the retries of a service at all nodes together.
 type Policy struct {
-	// Ratio is the repeats allowed for each request.
+	// Ratio is the number of retries permitted for each request.
 	Ratio float64
-	// Slack is the repeats allowed beside these in a Window, of which this node may give its
-	// share.
+	// Slack is this node's share of the retries permitted in each Window in addition to Ratio.
 	Slack  float64
 	Window time.Duration
 }
 
-// Parts of the slack. With two nodes that schedule at a time, as when one of them is suspended or
-// doesn't hear the others, both banks full: 2 x (bankPart + timePart) = 1.
+// Shares of the slack. Two nodes may schedule at the same time, as when one is suspended, each with
+// full buckets: 2 x (capacityShare + refillShare) = 1.
 const (
-	// bankPart is what a bank holds at most.
-	bankPart = 0.45
-	// timePart is what time pays in over a window, so that a service with few requests gets
-	// repeats too.
-	timePart = 0.05
+	// capacityShare is the share that a bucket holds at most.
+	capacityShare = 0.45
+	// refillShare is the share that time adds in each window, so that services with few requests
+	// can retry too.
+	refillShare = 0.05
 )
 
-// leastBank lets a bank hold one repeat however small the slack is; else none could be given.
-const leastBank = 1
+// minCapacity in tokens lets a bucket permit a retry however small the slack is.
+const minCapacity = 1
 
-// whole is one repeat, less what sums of fractions may lack.
-const whole = 1 - 1e-9
+// oneRetry is the tokens needed for a retry, reduced by the tolerance for rounding errors.
+const oneRetry = 1 - 1e-9
 
-// bank is what may be given for one service.
-type bank struct {
-	left float64
-	// reserved counts repeats that were given to requests which wait for a place.
-	reserved int
-	paidAt   structs.Instant
-	use      Stats
+// tokenBucket holds the tokens of one service, one for each retry.
+type tokenBucket struct {
+	tokens float64
+	// reserved counts the retries of requests that are still queued.
+	reserved   int
+	refilledAt structs.Instant
+	stats      Stats
 }
 
-// Stats is what a budget counted of one service since the node began to schedule.
+// Stats counts the requests and retries of one service since the last Activate, Deactivate or Reset.
 type Stats struct {
-	// Requests paid in; Retries were given and Rejected were not.
+	// Retries were permitted, Rejected were not.
 	Requests, Retries, Rejected int
-	// Left may be given now.
-	Left float64
+	// Available is the tokens left.
+	Available float64
 }
 
-// Permit is one repeat that was taken out of a bank. The zero value is none.
+// Permit is the right to one retry. The zero value permits none.
 type Permit struct {
 	service string
 	term    uint64
 }
 
-// Budget gives repeats by service. It is not safe for concurrent use.
+// Budget issues permits by service. It is not safe for concurrent use.
 type Budget struct {
-	policy   Policy
-	services map[string]*bank
-	// schedules is true from Activate to Deactivate. The term tells what was given in between from
-	// what was given before.
-	schedules bool
-	term      uint64
-	// isFirst is true if nobody can have given anything before this node's first term.
+	policy  Policy
+	buckets map[string]*tokenBucket
+	// isActive is true from Activate to Deactivate. The term changes with each of these calls and
+	// voids earlier permits.
+	isActive bool
+	term     uint64
+	// isFirst is true if no node can have issued permits before this node's first term.
 	isFirst bool
 }
 
-// New returns a budget that gives nothing until Activate. If isFirst is true, no node scheduled
-// before, so that banks begin full; else the first request of a system that just started would
-// not be repeated.
+// New returns a budget that issues no permits until Activate. If isFirst is true, no node has
+// scheduled before and buckets start full, so that requests right after the first start of the system
+// can be retried.
 func New(policy Policy, isFirst bool) *Budget {
-	return &Budget{policy: policy, services: map[string]*bank{}, isFirst: isFirst}
+	return &Budget{policy: policy, buckets: map[string]*tokenBucket{}, isFirst: isFirst}
 }
 
-// SetPolicy takes changed bounds into force.
+// SetPolicy replaces the policy.
 func (b *Budget) SetPolicy(policy Policy) { b.policy = policy }
 
-// Activate tells that this node schedules from now on. It begins with nothing: what its
-// predecessor was paid for may have been given already.
-func (b *Budget) Activate() { b.restart(true) }
+// Activate records that this node schedules from now on. It empties the buckets and voids all permits:
+// the caller must not send retries with them.
+func (b *Budget) Activate() { b.reset(true) }
 
-// Deactivate tells that another node schedules from now on.
-func (b *Budget) Deactivate() { b.restart(false) }
+// Deactivate records that another node schedules from now on. It empties the buckets and voids all
+// permits.
+func (b *Budget) Deactivate() { b.reset(false) }
 
-// Reset empties the bank of a node that stood still and may have been replaced meanwhile.
-func (b *Budget) Reset() { b.restart(b.schedules) }
+// Reset empties the buckets and voids all permits after a suspension, in which another node may have
+// scheduled.
+func (b *Budget) Reset() { b.reset(b.isActive) }
 
-func (b *Budget) restart(schedules bool) {
+func (b *Budget) reset(isActive bool) {
 	b.isFirst = b.isFirst && b.term == 0
-	b.schedules = schedules
+	b.isActive = isActive
 	b.term++
-	clear(b.services)
+	clear(b.buckets)
 }
 
-// RecordRequest counts a request of the service.
+// RecordRequest counts a request of the service that is not a retry.
 func (b *Budget) RecordRequest(now structs.Instant, service string) {
-	if !b.schedules {
+	if !b.isActive {
 		return
 	}
-	held := b.bank(now, service)
-	held.use.Requests++
-	b.pay(held, b.policy.Ratio)
+	bucket := b.refill(now, service)
+	bucket.stats.Requests++
+	b.add(bucket, b.policy.Ratio)
 }
 
-// Reserve takes one repeat out of the bank for a request that waits for a place, or returns false
-// if there is none. It counts against what the bank may hold until Commit or Cancel.
+// Reserve takes a permit for a queued request, or returns false if there is none. The permit counts
+// against the capacity of the bucket until Commit or Cancel.
 func (b *Budget) Reserve(now structs.Instant, service string) (Permit, bool) {
-	if !b.schedules {
+	if !b.isActive {
 		return Permit{}, false
 	}
-	held := b.bank(now, service)
-	if held.left < whole {
-		held.use.Rejected++
+	bucket := b.refill(now, service)
+	if bucket.tokens < oneRetry {
+		bucket.stats.Rejected++
 		return Permit{}, false
 	}
-	held.left = max(held.left-1, 0)
-	held.reserved++
-	held.use.Retries++
+	bucket.tokens = max(bucket.tokens-1, 0)
+	bucket.reserved++
+	bucket.stats.Retries++
 	return Permit{service: service, term: b.term}, true
 }
 
-// Commit tells that the request got its place.
-func (b *Budget) Commit(repeat Permit) { b.settle(repeat) }
+// Commit records that the request was assigned to a replica.
+func (b *Budget) Commit(permit Permit) { b.release(permit) }
 
-// Cancel gives back a repeat whose request got no place.
-func (b *Budget) Cancel(repeat Permit) {
-	if held := b.settle(repeat); held != nil {
-		held.left++
-		held.use.Retries--
+// Cancel returns the permit of a request that was not assigned.
+func (b *Budget) Cancel(permit Permit) {
+	if bucket := b.release(permit); bucket != nil {
+		bucket.tokens++
+		bucket.stats.Retries--
 	}
 }
 
-// settle ends the reservation, unless it is void.
-func (b *Budget) settle(repeat Permit) *bank {
-	held, found := b.services[repeat.service]
-	if !found || repeat.term != b.term {
+// release ends the reservation and returns its bucket, or nil if the permit is void.
+func (b *Budget) release(permit Permit) *tokenBucket {
+	bucket, found := b.buckets[permit.service]
+	if !found || permit.term != b.term {
 		return nil
 	}
-	held.reserved--
-	return held
+	bucket.reserved--
+	return bucket
 }
 
-// Stats returns what was counted of each service.
+// Stats returns the statistics by service.
 func (b *Budget) Stats(now structs.Instant) map[string]Stats {
-	uses := map[string]Stats{}
-	for service := range b.services {
-		held := b.bank(now, service)
-		use := held.use
-		use.Left = held.left
-		uses[service] = use
+	byService := map[string]Stats{}
+	for service := range b.buckets {
+		bucket := b.refill(now, service)
+		stats := bucket.stats
+		stats.Available = bucket.tokens
+		byService[service] = stats
 	}
-	return uses
+	return byService
 }
 
-// bank returns the service's bank with what time paid in.
-func (b *Budget) bank(now structs.Instant, service string) *bank {
-	held, found := b.services[service]
+// refill returns the service's bucket, created if needed, with the tokens added by time until now.
+func (b *Budget) refill(now structs.Instant, service string) *tokenBucket {
+	bucket, found := b.buckets[service]
 	if !found {
-		held = &bank{paidAt: now}
+		bucket = &tokenBucket{refilledAt: now}
 		if b.isFirst {
-			held.left = b.capacity()
+			bucket.tokens = b.capacity()
 		}
-		b.services[service] = held
+		b.buckets[service] = bucket
 	}
-	b.pay(held, b.policy.Slack*timePart*float64(now-held.paidAt)/float64(b.policy.Window))
-	held.paidAt = now
-	return held
+	b.add(bucket, b.policy.Slack*refillShare*float64(now-bucket.refilledAt)/float64(b.policy.Window))
+	bucket.refilledAt = now
+	return bucket
 }
 
-// pay adds to the bank what fits. It also drops what fits no longer under a smaller policy.
-func (b *Budget) pay(held *bank, amount float64) {
-	held.left = max(min(held.left+amount, b.capacity()-float64(held.reserved)), 0)
+// add adds tokens up to the capacity. It also drops tokens in excess of a reduced capacity.
+func (b *Budget) add(bucket *tokenBucket, tokens float64) {
+	bucket.tokens = max(min(bucket.tokens+tokens, b.capacity()-float64(bucket.reserved)), 0)
 }
 
-// capacity is what a bank holds at most.
-func (b *Budget) capacity() float64 { return max(b.policy.Slack*bankPart, leastBank) }
+// capacity returns the maximum number of tokens in a bucket, including reserved ones.
+func (b *Budget) capacity() float64 { return max(b.policy.Slack*capacityShare, minCapacity) }
--- a/coordination/retrybudget/retrybudget_test.go
+++ b/coordination/retrybudget/retrybudget_test.go
@@ -13,197 +13,204 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-var tenSeconds = Policy{Ratio: 0.2, Slack: 40, Window: 10 * time.Second}
+var tenSecondPolicy = Policy{Ratio: 0.2, Slack: 40, Window: 10 * time.Second}
 
-// give takes repeats until there are no more, as many as the limit at most.
-func give(budget *Budget, now structs.Instant, limit int) int {
-	for given := range limit {
-		repeat, ok := budget.Reserve(now, "s")
+// retryAll takes and commits permits until none is left, at most limit, and returns their number.
+func retryAll(budget *Budget, now structs.Instant, limit int) int {
+	for count := range limit {
+		permit, ok := budget.Reserve(now, "s")
 		if !ok {
-			return given
+			return count
 		}
-		budget.Commit(repeat)
+		budget.Commit(permit)
 	}
 	return limit
 }
 
-func TestRepeatsAreGivenForRequestsAndFromTheSlack(t *testing.T) {
+// Permits must be limited to the ratio of the requests, the refill by time and the capacity.
+func TestPermitsAreLimitedByRequestsTimeAndCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
-	budget := New(tenSeconds, false)
+	budget := New(tenSecondPolicy, false)
 	budget.Activate()
 	for range 10 {
 		budget.RecordRequest(0, "s")
 	}
-	g.Expect(give(budget, 0, 20)).To(gomega.Equal(2))
-	g.Expect(give(budget, 10*time.Second, 20)).To(gomega.Equal(2), "time pays a part of the slack")
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.Equal(2))
+	g.Expect(retryAll(budget, 10*time.Second, 20)).To(gomega.Equal(2), "time adds its share of the slack")
 	for range 1000 {
 		budget.RecordRequest(10*time.Second, "s")
 	}
-	g.Expect(give(budget, 10*time.Second, 100)).To(gomega.Equal(18), "what a bank holds at most")
+	g.Expect(retryAll(budget, 10*time.Second, 100)).To(gomega.Equal(18), "the capacity of a bucket")
 	_, ok := budget.Reserve(10*time.Second, "other")
 	g.Expect(ok).To(gomega.BeFalse())
-	g.Expect(budget.Stats(10 * time.Second)["s"]).To(gomega.Equal(Stats{Requests: 1010, Retries: 22, Rejected: 3, Left: 0}))
+	g.Expect(budget.Stats(10 * time.Second)["s"]).To(gomega.Equal(Stats{Requests: 1010, Retries: 22, Rejected: 3, Available: 0}))
 }
 
-func TestANodeGivesNothingBeforeItSchedulesNorFromWhatItHeldBefore(t *testing.T) {
+// A node must issue no permits while it does not schedule, nor from tokens of an earlier term, which
+// its successor may have replaced by its own.
+func TestPermitsNeedActivationAndTokensOfTheCurrentTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
-	budget := New(tenSeconds, false)
-	pay := func() {
+	budget := New(tenSecondPolicy, false)
+	recordRequests := func() {
 		for range 50 {
 			budget.RecordRequest(0, "s")
 		}
 	}
-	pay()
-	g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
+	recordRequests()
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.BeZero())
 	for _, change := range []func(){budget.Activate, budget.Activate, budget.Reset, func() { budget.Deactivate(); budget.Activate() }} {
 		change()
-		g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
-		pay()
+		g.Expect(retryAll(budget, 0, 20)).To(gomega.BeZero())
+		recordRequests()
 	}
-	g.Expect(give(budget, 0, 20)).To(gomega.Equal(10))
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.Equal(10))
 	budget.Deactivate()
 	budget.Reset()
-	pay()
-	g.Expect(give(budget, 0, 20)).To(gomega.BeZero())
+	recordRequests()
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.BeZero())
 }
 
-func TestARepeatThatWaitsCountsAgainstTheBankUntilItIsSent(t *testing.T) {
+// Retries that are still queued must count against the capacity: otherwise a window gets them in
+// addition to those of a full bucket.
+func TestQueuedRetryCountsAgainstCapacityUntilSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	budget := New(tenSeconds, false)
+	budget := New(tenSecondPolicy, false)
 	budget.Activate()
-	pay := func() {
+	recordRequests := func() {
 		for range 200 {
 			budget.RecordRequest(0, "s")
 		}
 	}
-	pay()
-	var waiting []Permit
+	recordRequests()
+	var queued []Permit
 	for range 18 {
-		repeat, ok := budget.Reserve(0, "s")
+		permit, ok := budget.Reserve(0, "s")
 		g.Expect(ok).To(gomega.BeTrue())
-		waiting = append(waiting, repeat)
+		queued = append(queued, permit)
 	}
-	pay()
-	g.Expect(give(budget, 0, 20)).To(gomega.BeZero(), "all that a bank holds is on its way")
-	budget.Cancel(waiting[0])
-	g.Expect(give(budget, 0, 20)).To(gomega.Equal(1))
-	budget.Commit(waiting[1])
-	pay()
-	g.Expect(give(budget, 0, 20)).To(gomega.Equal(2))
+	recordRequests()
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.BeZero(), "the whole capacity is reserved")
+	budget.Cancel(queued[0])
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.Equal(1))
+	budget.Commit(queued[1])
+	recordRequests()
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.Equal(2))
 	budget.Activate()
-	budget.Cancel(waiting[2])
-	g.Expect(give(budget, 0, 20)).To(gomega.BeZero(), "given in an earlier term")
+	budget.Cancel(queued[2])
+	g.Expect(retryAll(budget, 0, 20)).To(gomega.BeZero(), "the permit is of an earlier term")
 }
 
-func TestTheFirstNodeThatEverSchedulesBeginsWithFullBanks(t *testing.T) {
+// The first scheduler of a new system must start with full buckets, but only in its first term.
+func TestOnlyFirstTermOfFirstSchedulerStartsWithFullBuckets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, change := range []func(*Budget){func(b *Budget) { b.Activate() }, func(b *Budget) { b.Deactivate(); b.Activate() }, (*Budget).Reset} {
-		budget := New(tenSeconds, true)
+		budget := New(tenSecondPolicy, true)
 		budget.Activate()
-		g.Expect(give(budget, 0, 10)).To(gomega.Equal(10))
+		g.Expect(retryAll(budget, 0, 10)).To(gomega.Equal(10))
 		change(budget)
-		g.Expect(give(budget, 0, 10)).To(gomega.BeZero(), "it may have given already")
+		g.Expect(retryAll(budget, 0, 10)).To(gomega.BeZero(), "permits may have been issued already")
 	}
 }
 
-// fleet is nodes that schedule in any order, as a run of the check draws it.
+// fleet models nodes that become schedulers in any order.
 type fleet struct {
 	budgets []*Budget
 	now     structs.Instant
-	// scheduling are the nodes that take themselves for the scheduling one: one of them, or two
-	// while one does not know of the other.
-	scheduling []int
+	// schedulers are the nodes that consider themselves the scheduling node: one, or two while
+	// one does not know of the other.
+	schedulers []int
 	requests   []structs.Instant
-	repeats    []structs.Instant
-	waiting    []reservation
-	create     func() *Budget
-	// keeps is true if nodes keep their banks from one time they schedule to the next.
-	keeps bool
+	retries    []structs.Instant
+	queued     []reservation
+	newBudget  func() *Budget
+	// keepsBuckets is true if nodes keep their buckets when they stop or start to schedule, which
+	// breaks the bound.
+	keepsBuckets bool
 }
 
 type reservation struct {
 	node   int
-	repeat Permit
+	permit Permit
 }
 
-func newFleet(create func() *Budget) *fleet {
-	f := &fleet{create: create}
+func newFleet(newBudget func() *Budget) *fleet {
+	f := &fleet{newBudget: newBudget}
 	for range 4 {
-		f.budgets = append(f.budgets, create())
+		f.budgets = append(f.budgets, newBudget())
 	}
 	f.budgets[0].isFirst = true
-	f.lead(0)
+	f.setScheduler(0)
 	return f
 }
 
-// lead has one node schedule.
-func (f *fleet) lead(node int) {
-	for _, other := range f.scheduling {
+// setScheduler makes the node the only scheduler.
+func (f *fleet) setScheduler(node int) {
+	for _, other := range f.schedulers {
 		if other != node {
-			kept := maps.Clone(f.budgets[other].services)
+			kept := maps.Clone(f.budgets[other].buckets)
 			f.budgets[other].Deactivate()
-			f.drop(other)
-			if f.keeps {
-				maps.Copy(f.budgets[other].services, kept)
+			f.dropQueued(other)
+			if f.keepsBuckets {
+				maps.Copy(f.budgets[other].buckets, kept)
 			}
 		}
 	}
-	kept := maps.Clone(f.budgets[node].services)
+	kept := maps.Clone(f.budgets[node].buckets)
 	f.budgets[node].Activate()
-	f.drop(node)
-	f.scheduling = []int{node}
-	if f.keeps {
-		maps.Copy(f.budgets[node].services, kept)
+	f.dropQueued(node)
+	f.schedulers = []int{node}
+	if f.keepsBuckets {
+		maps.Copy(f.budgets[node].buckets, kept)
 	}
 }
 
-// drop loses what waits at a node.
-func (f *fleet) drop(node int) {
-	f.waiting = slices.DeleteFunc(f.waiting, func(one reservation) bool { return one.node == node })
+// dropQueued drops the retries queued at the node.
+func (f *fleet) dropQueued(node int) {
+	f.queued = slices.DeleteFunc(f.queued, func(queued reservation) bool { return queued.node == node })
 }
 
-// split has a second node schedule that does not know of the first one.
-func (f *fleet) split(node int) {
-	if len(f.scheduling) == 1 && f.scheduling[0] != node {
+// addScheduler makes the node a second scheduler that does not know of the first one.
+func (f *fleet) addScheduler(node int) {
+	if len(f.schedulers) == 1 && f.schedulers[0] != node {
 		f.budgets[node].Activate()
-		f.scheduling = append(f.scheduling, node)
+		f.schedulers = append(f.schedulers, node)
 	}
 }
 
-// ask is requests that come to a replica for the first time.
-func (f *fleet) ask(at, requests int) {
-	for range requests {
-		f.budgets[f.scheduling[at%len(f.scheduling)]].RecordRequest(f.now, "s")
+// recordRequests records requests at one of the schedulers.
+func (f *fleet) recordRequests(index, count int) {
+	for range count {
+		f.budgets[f.schedulers[index%len(f.schedulers)]].RecordRequest(f.now, "s")
 		f.requests = append(f.requests, f.now)
 	}
 }
 
-// repeat asks for repeats of any requests.
-func (f *fleet) repeat(at, repeats int) {
-	node := f.scheduling[at%len(f.scheduling)]
-	for range repeats {
-		if repeat, ok := f.budgets[node].Reserve(f.now, "s"); ok {
-			f.waiting = append(f.waiting, reservation{node: node, repeat: repeat})
+// queueRetries queues up to count retries at one of the schedulers, as far as it permits them.
+func (f *fleet) queueRetries(index, count int) {
+	node := f.schedulers[index%len(f.schedulers)]
+	for range count {
+		if permit, ok := f.budgets[node].Reserve(f.now, "s"); ok {
+			f.queued = append(f.queued, reservation{node: node, permit: permit})
 		}
 	}
 }
 
-// send has what waits get its places.
-func (f *fleet) send() {
-	for _, one := range f.waiting {
-		f.budgets[one.node].Commit(one.repeat)
-		f.repeats = append(f.repeats, f.now)
+// sendQueued sends all queued retries.
+func (f *fleet) sendQueued() {
+	for _, retry := range f.queued {
+		f.budgets[retry.node].Commit(retry.permit)
+		f.retries = append(f.retries, f.now)
 	}
-	f.waiting = nil
+	f.queued = nil
 }
 
-// check looks at every window.
+// check returns an error if a window has more retries than the policy allows.
 func (f *fleet) check(policy Policy) error {
-	for _, from := range f.repeats {
-		repeats, requests := 0, 0
-		for _, at := range f.repeats {
+	for _, from := range f.retries {
+		retries, requests := 0, 0
+		for _, at := range f.retries {
 			if at >= from && at < from+policy.Window {
-				repeats++
+				retries++
 			}
 		}
 		for _, at := range f.requests {
@@ -211,73 +218,72 @@
 				requests++
 			}
 		}
-		if allowed := policy.Ratio*float64(requests) + policy.Slack; float64(repeats) > allowed {
-			return fmt.Errorf("%d repeats from %v, %.1f allowed for %d requests", repeats, from, allowed, requests)
+		if allowed := policy.Ratio*float64(requests) + policy.Slack; float64(retries) > allowed {
+			return fmt.Errorf("%d retries in the window from %v, %.1f allowed for %d requests", retries, from, allowed, requests)
 		}
 	}
 	return nil
 }
 
-// play draws an order of requests and changes.
-func (f *fleet) play(draw func(low, high int, label string) int) {
+// run performs drawn steps: requests, retries and changes of the schedulers.
+func (f *fleet) run(draw func(low, high int, label string) int) {
 	for range draw(1, 150, "steps") {
 		f.now += time.Duration(draw(0, 150, "gap")) * time.Millisecond
 		node := draw(0, len(f.budgets)-1, "node")
 		switch draw(0, 11, "step") {
 		case 0, 1:
-			f.lead(node)
+			f.setScheduler(node)
 		case 2:
-			f.split(node)
+			f.addScheduler(node)
 		case 3:
-			f.budgets[node] = f.create()
-			f.lead(node)
+			f.budgets[node] = f.newBudget()
+			f.setScheduler(node)
 		case 4:
 			f.budgets[node].Reset()
-			f.drop(node)
+			f.dropQueued(node)
 		case 5:
-			f.send()
+			f.sendQueued()
 		case 6:
-			f.ask(node, draw(1, 100, "requests"))
+			f.recordRequests(node, draw(1, 100, "requests"))
 		default:
-			f.repeat(node, draw(1, 30, "repeats"))
-			if draw(0, 1, "places are free") == 1 {
-				f.send()
+			f.queueRetries(node, draw(1, 30, "retries"))
+			if draw(0, 1, "slots are free") == 1 {
+				f.sendQueued()
 			}
 		}
 	}
-	f.send()
+	f.sendQueued()
 }
 
-// Whatever order nodes schedule in, no window holds more than the bound.
-func TestNoWindowHoldsMoreThanTheBoundWhoeverSchedules(t *testing.T) {
+// The bound must hold in every window, in whatever order nodes schedule.
+func TestNoWindowExceedsTheBoundInAnyOrderOfSchedulers(t *testing.T) {
 	policy := Policy{Ratio: 0.2, Slack: 20, Window: 2 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(func() *Budget { return New(policy, false) })
-		f.play(func(low, high int, label string) int { return rapid.IntRange(low, high).Draw(t, label) })
+		f.run(func(low, high int, label string) int { return rapid.IntRange(low, high).Draw(t, label) })
 		if err := f.check(policy); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The check must see what it is for: banks that a node keeps from one time it schedules to the
-// next, as a count in each node's memory is kept, break the bound.
-func TestBanksThatAreKeptBreakTheBound(t *testing.T) {
+// Guards the check above: it must fail for nodes that keep their buckets from one term to the next.
+func TestKeptBucketsBreakTheBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	policy := Policy{Ratio: 0.2, Slack: 20, Window: 2 * time.Second}
-	for _, keeps := range []bool{false, true} {
+	for _, keepsBuckets := range []bool{false, true} {
 		f := newFleet(func() *Budget { return New(policy, false) })
-		f.keeps = keeps
+		f.keepsBuckets = keepsBuckets
 		for node := range f.budgets {
-			f.lead(node)
-			f.ask(node, 100)
+			f.setScheduler(node)
+			f.recordRequests(node, 100)
 			f.now += policy.Window
 		}
 		for node := range f.budgets {
-			f.lead(node)
-			f.repeat(node, 30)
-			f.send()
+			f.setScheduler(node)
+			f.queueRetries(node, 30)
+			f.sendQueued()
 		}
-		g.Expect(f.check(policy) != nil).To(gomega.Equal(keeps))
+		g.Expect(f.check(policy) != nil).To(gomega.Equal(keepsBuckets))
 	}
 }
