--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -8,171 +8,173 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Whether the answers of the target are worse than those of the other versions is told by a
-// cumulative sum (CUSUM, Page 1954) for each route: of the log-likelihood ratio of two
-// shares of bad answers, the usual one on that route in these seconds and one that is worth
-// a roll-back. It starts anew whenever it falls to zero, so that a version which turns bad
-// later, or only under load, is found as soon as one that is bad at once.
+// The Analyzer runs a one-sided CUSUM test (Page 1954) for each route: it sums the log-likelihood
+// ratio between a bad-answer share that justifies a rollback and the current share of the other
+// versions. The sum never falls below zero, so that versions that turn bad later or under load are
+// detected as fast as others.
 const (
-	// alarmSum is the sum at which the target is bad: with alarmSum 11.5 a good one reaches
-	// it once in 100,000 answers or less (exp(-11.5)); a roll-out shows it some hundreds.
-	alarmSum = 11.5
-	// othersSum is what has to be left of the sum without the replica that weighs most in
-	// it, so that one failing replica is not taken for its version: exp(-7.5), or one in
-	// 1,800, is the chance that good ones show as much beside it. With 4 one play in ten
-	// ended so, with 6.5 one in forty, with 7.5 one in a hundred. aloneFactor is how much
-	// larger the sum has to be where the target has answered from one replica only.
-	othersSum   = 7.5
-	aloneFactor = 1.5
-	// badMargin is by how much at least the share of bad answers of a bad version exceeds
-	// the usual one.
-	badMargin  = 0.2
-	leastUsual = 0.02
-	mostShare  = 0.95
-	// slowWeight and fastWeight are the weights of one more answer in the two means of the
-	// usual share; the larger mean counts, so that a fault of the network is seen in the
-	// others' answers as soon as in the target's.
-	slowWeight = 0.01
-	fastWeight = 0.08
-	// timesKept is how many times of the others' answers are remembered on a route,
-	// timesNeeded from how many on times are compared, and timesRefresh after how many more
-	// the limit is reckoned anew.
-	timesKept    = 256
-	timesNeeded  = 24
-	timesRefresh = 32
-	// slowQuantile of the others' times, slowFactor times longer, is where a slow answer
-	// begins. Replicas differ by up to 2.8 times in one service, and the target's may be
-	// slow ones by chance: with the quantile 0.9 good versions were rolled back in 18 of
-	// 200 plays, with 0.95 in 7, with 0.97 in one.
+	// alarmThreshold is the sum at which the target is bad. A good target reaches it in about
+	// exp(-11.5) = 1 of 100,000 answers.
+	alarmThreshold = 11.5
+	// otherReplicasThreshold is the sum that must remain without the replica that contributes most,
+	// so that one faulty replica does not condemn its version.
+	otherReplicasThreshold = 7.5
+	// singleReplicaFactor multiplies alarmThreshold while only one replica of the target
+	// contributes to the sum.
+	singleReplicaFactor = 1.5
+	// minDegradation is by how much the bad-answer share of a bad version exceeds the baseline.
+	minDegradation   = 0.2
+	minBaselineShare = 0.02
+	maxBadShare      = 0.95
+	// slowMeanWeight and fastMeanWeight are the weights of a new answer in the two moving averages
+	// of the baseline. The higher average applies, so that faults of the network show in the
+	// baseline as soon as in the target's answers.
+	slowMeanWeight = 0.01
+	fastMeanWeight = 0.08
+	// maxTimes is the number of recent times kept for a route, minTimes the number from which
+	// answers are compared, and timesPerUpdate the number of new times between two updates of the
+	// limit.
+	maxTimes       = 256
+	minTimes       = 24
+	timesPerUpdate = 32
+	// An answer is slow if it takes longer than slowFactor times the slowQuantile of the other
+	// versions' times. The quantile is high because replicas of one service differ in speed.
 	slowQuantile = 0.97
 	slowFactor   = 1.25
 )
 
-// Sample is how one request ended, as far as it tells something of the replica.
+// Sample is the result of one request, as far as it depends on the replica.
 type Sample struct {
 	Route   string
 	Replica string
-	// Begun is when the request was placed.
+	// Begun is when the request was assigned.
 	Begun structs.Instant
-	// Target is true if the replica has the version that is judged.
+	// Target is true if the replica has the target version.
 	Target bool
 	Failed bool
-	// First is the time to the first part, for each token of the prompt where it has any,
-	// and Step the time between two parts or that of a whole plain answer. Zero is unknown.
+	// First is the time to the first event, divided by the size of the prompt for answers in
+	// events. Step is the time between two events, or the duration of a plain answer. Zero means
+	// unknown.
 	First, Step time.Duration
 }
 
-// Analyzer compares the answers of two versions on the same routes in the same seconds. The
-// zero value is not usable; it is not safe for concurrent use.
+// Analyzer compares the answers of the target with those of other versions on the same routes at the
+// same time. Create it with NewAnalyzer. It is not safe for concurrent use.
 type Analyzer struct {
-	routes map[string]*routeJudge
+	routes map[string]*routeAnalyzer
 }
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Analyzer { return &Analyzer{routes: map[string]*routeJudge{}} }
+// NewAnalyzer returns an analyzer without samples.
+func NewAnalyzer() *Analyzer { return &Analyzer{routes: map[string]*routeAnalyzer{}} }
 
-// routeJudge is the judgement on one route.
-type routeJudge struct {
-	first, step times
-	slow, fast  float64
-	// sum is the evidence against the target, and parts what each of its replicas adds.
-	sum   float64
-	parts map[string]float64
+// routeAnalyzer compares the answers on one route.
+type routeAnalyzer struct {
+	firstTimes, stepTimes recentTimes
+	// slowMean and fastMean are the moving averages of the baseline's bad-answer share.
+	slowMean, fastMean float64
+	// sum is the evidence against the target, replicaSums the contributions of its replicas.
+	sum         float64
+	replicaSums map[string]float64
 }
 
-// Observe enters one answer and returns whether it was bad.
-func (j *Analyzer) Observe(answer Sample) bool {
-	route, found := j.routes[answer.Route]
+// Observe records the sample and reports whether it counts as bad.
+func (a *Analyzer) Observe(sample Sample) bool {
+	route, found := a.routes[sample.Route]
 	if !found {
-		route = &routeJudge{parts: map[string]float64{}}
-		j.routes[answer.Route] = route
+		route = &routeAnalyzer{replicaSums: map[string]float64{}}
+		a.routes[sample.Route] = route
 	}
-	bad := answer.Failed || route.first.isSlow(answer.First) || route.step.isSlow(answer.Step)
-	if answer.Target {
-		route.weigh(answer.Replica, bad)
-		return bad
+	isBad := sample.Failed || route.firstTimes.isSlow(sample.First) || route.stepTimes.isSlow(sample.Step)
+	if sample.Target {
+		route.addEvidence(sample.Replica, isBad)
+		return isBad
 	}
-	if !answer.Failed {
-		route.first.add(answer.First)
-		route.step.add(answer.Step)
+	if !sample.Failed {
+		route.firstTimes.add(sample.First)
+		route.stepTimes.add(sample.Step)
 	}
-	route.slow += slowWeight * (share(bad) - route.slow)
-	route.fast += fastWeight * (share(bad) - route.fast)
-	return bad
+	route.slowMean += slowMeanWeight * (badShare(isBad) - route.slowMean)
+	route.fastMean += fastMeanWeight * (badShare(isBad) - route.fastMean)
+	return isBad
 }
 
-func share(bad bool) float64 {
-	if bad {
+// badShare returns the bad-answer share of a single answer.
+func badShare(isBad bool) float64 {
+	if isBad {
 		return 1
 	}
 	return 0
 }
 
-// weigh enters an answer of the target into the evidence.
-func (r *routeJudge) weigh(replica string, bad bool) {
-	usual := max(r.slow, r.fast, leastUsual)
-	worse := min(usual+badMargin, mostShare)
-	usual = min(usual, worse-badMargin/2)
-	weight := math.Log((1 - worse) / (1 - usual))
-	if bad {
-		weight = math.Log(worse / usual)
+// addEvidence adds an answer of the target to the sums.
+func (r *routeAnalyzer) addEvidence(replica string, isBad bool) {
+	baseline := max(r.slowMean, r.fastMean, minBaselineShare)
+	degraded := min(baseline+minDegradation, maxBadShare)
+	baseline = min(baseline, degraded-minDegradation/2)
+	logRatio := math.Log((1 - degraded) / (1 - baseline))
+	if isBad {
+		logRatio = math.Log(degraded / baseline)
 	}
-	r.sum += weight
-	r.parts[replica] += weight
+	r.sum += logRatio
+	r.replicaSums[replica] += logRatio
 	if r.sum <= 0 {
 		r.sum = 0
-		clear(r.parts)
+		clear(r.replicaSums)
 	}
 }
 
-// Doubt returns how far the evidence against the target is on the route that shows most:
-// from 1 on it is bad.
-func (j *Analyzer) Doubt() (doubt float64, route string) {
-	for name, judged := range j.routes {
-		if found := judged.doubt(); found > doubt || found == doubt && found > 0 && name < route {
-			doubt, route = found, name
+// RegressionScore returns the highest score of the routes and its route. The target is bad from a
+// score of 1 on.
+func (a *Analyzer) RegressionScore() (score float64, route string) {
+	for name, analyzer := range a.routes {
+		if found := analyzer.regressionScore(); found > score || found == score && found > 0 && name < route {
+			score, route = found, name
 		}
 	}
-	return doubt, route
+	return score, route
 }
 
-func (r *routeJudge) doubt() float64 {
-	if len(r.parts) == 1 {
-		return r.sum / (alarmSum * aloneFactor)
+func (r *routeAnalyzer) regressionScore() float64 {
+	if len(r.replicaSums) == 1 {
+		return r.sum / (alarmThreshold * singleReplicaFactor)
 	}
-	most := 0.0
-	for _, part := range r.parts {
-		most = max(most, part)
+	highest := 0.0
+	for _, sum := range r.replicaSums {
+		highest = max(highest, sum)
 	}
-	return min(r.sum/alarmSum, (r.sum-most)/othersSum)
+	return min(r.sum/alarmThreshold, (r.sum-highest)/otherReplicasThreshold)
 }
 
-// times remembers the latest times of the others' answers.
-type times struct {
-	kept  []time.Duration
-	next  int
-	since int
-	// limit is where a slow answer begins; zero if too little is known.
-	limit time.Duration
+// recentTimes holds the latest times of the baseline's answers.
+type recentTimes struct {
+	times []time.Duration
+	// next is the index to overwrite once times is full.
+	next        int
+	sinceUpdate int
+	// slowLimit is the time above which an answer is slow; zero if there are too few times.
+	slowLimit time.Duration
 }
 
-func (t *times) add(took time.Duration) {
-	if took <= 0 {
+// add adds a time; zero is ignored.
+func (t *recentTimes) add(elapsed time.Duration) {
+	if elapsed <= 0 {
 		return
 	}
-	if len(t.kept) < timesKept {
-		t.kept = append(t.kept, took)
+	if len(t.times) < maxTimes {
+		t.times = append(t.times, elapsed)
 	} else {
-		t.kept[t.next] = took
-		t.next = (t.next + 1) % timesKept
+		t.times[t.next] = elapsed
+		t.next = (t.next + 1) % maxTimes
 	}
-	if t.since++; len(t.kept) < timesNeeded || t.since < timesRefresh {
+	if t.sinceUpdate++; len(t.times) < minTimes || t.sinceUpdate < timesPerUpdate {
 		return
 	}
-	t.since = 0
-	sorted := slices.Clone(t.kept)
+	t.sinceUpdate = 0
+	sorted := slices.Clone(t.times)
 	slices.Sort(sorted)
-	t.limit = time.Duration(slowFactor * float64(sorted[int(slowQuantile*float64(len(sorted)))]))
+	t.slowLimit = time.Duration(slowFactor * float64(sorted[int(slowQuantile*float64(len(sorted)))]))
 }
 
-func (t *times) isSlow(took time.Duration) bool { return t.limit > 0 && took > t.limit }
+func (t *recentTimes) isSlow(elapsed time.Duration) bool {
+	return t.slowLimit > 0 && elapsed > t.slowLimit
+}
--- a/coordination/rollout/analyzer_test.go
+++ b/coordination/rollout/analyzer_test.go
@@ -13,152 +13,159 @@
 	"github.com/onsi/gomega"
 )
 
-// verdict is what both ways of judging give: from 1 on the target is bad.
-type verdict interface {
-	Observe(answer Sample) bool
-	Doubt() (float64, string)
+// detector is implemented by the Analyzer and by the method it is compared with. The target is bad from
+// a score of 1 on.
+type detector interface {
+	Observe(sample Sample) bool
+	RegressionScore() (float64, string)
 }
 
-// rankJudge is the way that was weighed against Analyzer: the rank of each answer of the
-// target among the latest of the others on its route, failures being the slowest, against
-// the ranks of one that is slower throughout (Lehmann's alternative of order three).
-type rankJudge struct{ routes map[string]*rankRoute }
+// rankDetector ranks each answer of the target among the latest answers of the other versions on its
+// route, with failures as the slowest, and tests the ranks against those of a slower version (Lehmann's
+// alternative of order three).
+type rankDetector struct{ routes map[string]*rankRoute }
 
 type rankRoute struct {
 	others []float64
 	sum    float64
 }
 
-func newRankJudge() *rankJudge { return &rankJudge{routes: map[string]*rankRoute{}} }
+func newRankDetector() *rankDetector { return &rankDetector{routes: map[string]*rankRoute{}} }
 
-func (j *rankJudge) Observe(answer Sample) bool {
-	const kept, needed, order = 128, 24, 3
-	route, found := j.routes[answer.Route]
+func (d *rankDetector) Observe(sample Sample) bool {
+	const maxOthers, minOthers, order = 128, 24, 3
+	route, found := d.routes[sample.Route]
 	if !found {
 		route = &rankRoute{}
-		j.routes[answer.Route] = route
+		d.routes[sample.Route] = route
 	}
-	took := float64(answer.Step)
-	if answer.Failed {
-		took = math.Inf(1)
+	elapsed := float64(sample.Step)
+	if sample.Failed {
+		elapsed = math.Inf(1)
 	}
-	if !answer.Target {
-		route.others = append(route.others, took)
-		route.others = route.others[max(0, len(route.others)-kept):]
+	if !sample.Target {
+		route.others = append(route.others, elapsed)
+		route.others = route.others[max(0, len(route.others)-maxOthers):]
 		return false
 	}
-	if len(route.others) < needed {
+	if len(route.others) < minOthers {
 		return false
 	}
-	below, same := 0, 0
+	faster, equal := 0, 0
 	for _, other := range route.others {
 		switch {
-		case other < took:
-			below++
-		case other == took:
-			same++
+		case other < elapsed:
+			faster++
+		case other == elapsed:
+			equal++
 		}
 	}
-	rank := (float64(below) + float64(same)/2 + 0.5) / float64(len(route.others)+1)
+	rank := (float64(faster) + float64(equal)/2 + 0.5) / float64(len(route.others)+1)
 	route.sum = max(0, route.sum+math.Log(order)+(order-1)*math.Log(rank))
 	return false
 }
 
-func (j *rankJudge) Doubt() (float64, string) {
-	most := 0.0
-	for _, route := range j.routes {
-		most = max(most, route.sum/alarmSum)
+func (d *rankDetector) RegressionScore() (float64, string) {
+	highest := 0.0
+	for _, route := range d.routes {
+		highest = max(highest, route.sum/alarmThreshold)
 	}
-	return most, ""
+	return highest, ""
 }
 
-// play is one drawn course of a roll-out: nine of ten answers are of the others.
-type play struct {
+// drawnAnswer is one answer of a simulated rollout, into which a scenario injects faults.
+type drawnAnswer struct {
 	random *rand.Rand
-	// count is the number of the answer and route its route.
-	count, route   int
-	target         bool
+	// index is the position of the answer in its run.
+	index, route   int
+	isTarget       bool
 	replica        int
 	failed, slowed bool
 }
 
 const (
-	playAnswers  = 4000
-	playRoutes   = 5
-	playReplicas = 4
-	speedKinds   = 3
+	answersPerRun      = 4000
+	routesPerRun       = 5
+	replicasPerVersion = 4
+	// On average one of replicasPerFastOne replicas is fast.
+	replicasPerFastOne = 3
 )
 
-// courseOf is what happens in a play: it makes answers fail or take six times as long.
-type courseOf func(p *play)
+// scenario injects faults: it makes answers fail or take six times as long.
+type scenario func(a *drawnAnswer)
 
-func failing(share float64) courseOf {
-	return func(p *play) { p.failed = p.failed || p.target && p.random.Float64() < share }
+// failing makes the given share of the target's answers fail.
+func failing(share float64) scenario {
+	return func(a *drawnAnswer) { a.failed = a.failed || a.isTarget && a.random.Float64() < share }
 }
 
-func slow(share float64) courseOf {
-	return func(p *play) { p.slowed = p.slowed || p.target && p.random.Float64() < share }
+// slow delays the given share of the target's answers.
+func slow(share float64) scenario {
+	return func(a *drawnAnswer) { a.slowed = a.slowed || a.isTarget && a.random.Float64() < share }
 }
 
-func from(start int, course courseOf) courseOf {
-	return func(p *play) {
-		if p.count >= start {
-			course(p)
+// from injects the faults from answer start on.
+func from(start int, inner scenario) scenario {
+	return func(a *drawnAnswer) {
+		if a.index >= start {
+			inner(a)
 		}
 	}
 }
 
-func onRoute(route int, course courseOf) courseOf {
-	return func(p *play) {
-		if p.route == route {
-			course(p)
+// onRoute injects the faults on one route.
+func onRoute(route int, inner scenario) scenario {
+	return func(a *drawnAnswer) {
+		if a.route == route {
+			inner(a)
 		}
 	}
 }
 
-// inBursts strikes in every second burst, as where only a full replica does it.
-func inBursts(course courseOf) courseOf {
-	return func(p *play) {
-		if p.count/80%2 == 0 {
-			course(p)
+// inBursts injects the faults during every second burst, as for faults under load.
+func inBursts(inner scenario) scenario {
+	return func(a *drawnAnswer) {
+		if a.index/80%2 == 0 {
+			inner(a)
 		}
 	}
 }
 
-func atReplica(replica int, course courseOf) courseOf {
-	return func(p *play) {
-		if p.replica == replica {
-			course(p)
+// atReplica injects the faults at one replica.
+func atReplica(replica int, inner scenario) scenario {
+	return func(a *drawnAnswer) {
+		if a.replica == replica {
+			inner(a)
 		}
 	}
 }
 
-// everywhere strikes all versions alike between two answers.
-func everywhere(start, end int, share float64, how func(p *play)) courseOf {
-	return func(p *play) {
-		if p.count >= start && p.count < end && p.random.Float64() < share {
-			how(p)
+// everywhere applies a fault to the given share of answers of all versions, from answer start to end.
+func everywhere(start, end int, share float64, apply func(a *drawnAnswer)) scenario {
+	return func(a *drawnAnswer) {
+		if a.index >= start && a.index < end && a.random.Float64() < share {
+			apply(a)
 		}
 	}
 }
 
-func fails(p *play)   { p.failed = true }
-func lingers(p *play) { p.slowed = true }
+func fails(a *drawnAnswer)  { a.failed = true }
+func delays(a *drawnAnswer) { a.slowed = true }
 
-var goodCourses = map[string]courseOf{
-	"nothing":                              func(*play) {},
+var goodScenarios = map[string]scenario{
+	"nothing":                              func(*drawnAnswer) {},
 	"one of the target's replicas fails":   atReplica(1, failing(0.4)),
 	"one of the target's replicas is slow": atReplica(2, slow(0.8)),
-	"one crashes with what it ran": func(p *play) {
-		p.failed = p.failed || p.target && p.replica == 0 && p.count >= 2000 && p.count < 2120
+	"one crashes with what it ran": func(a *drawnAnswer) {
+		a.failed = a.failed || a.isTarget && a.replica == 0 && a.index >= 2000 && a.index < 2120
 	},
-	"a cut between zones fails half":   everywhere(1500, 2000, 0.5, fails),
-	"a slow node delays a fifth":       everywhere(500, 2500, 0.2, lingers),
-	"replicas of all versions crash":   everywhere(1000, 1100, 0.8, fails),
-	"one route fails often everywhere": onRoute(3, everywhere(0, playAnswers, 0.14, fails)),
+	"a partition between zones fails half": everywhere(1500, 2000, 0.5, fails),
+	"a slow node delays a fifth":           everywhere(500, 2500, 0.2, delays),
+	"replicas of all versions crash":       everywhere(1000, 1100, 0.8, fails),
+	"one route fails often everywhere":     onRoute(3, everywhere(0, answersPerRun, 0.14, fails)),
 }
 
-var badCourses = map[string]courseOf{
+var badScenarios = map[string]scenario{
 	"fails three in ten":           failing(0.3),
 	"fails three in ten, later":    from(2000, failing(0.3)),
 	"fails half on one route":      onRoute(2, failing(0.5)),
@@ -169,129 +176,130 @@
 	"fails half under load":        inBursts(failing(0.5)),
 }
 
-// speeds of replicas differ by 2.8 times within one service.
-func drawSpeeds(random *rand.Rand) []float64 {
-	speeds := make([]float64, playReplicas)
-	for i := range speeds {
-		speeds[i] = 1.7
-		if random.IntN(speedKinds) == 0 {
-			speeds[i] = 0.6
+// drawTimeFactors draws one factor for each replica; they differ by up to 2.8 times within one service.
+func drawTimeFactors(random *rand.Rand) []float64 {
+	timeFactors := make([]float64, replicasPerVersion)
+	for i := range timeFactors {
+		timeFactors[i] = 1.7
+		if random.IntN(replicasPerFastOne) == 0 {
+			timeFactors[i] = 0.6
 		}
 	}
-	return speeds
+	return timeFactors
 }
 
-// outcome tells how one play ended: the answers of the target until it was found bad, or
-// zero, and those of them that were bad.
-type outcome struct{ answers, bad int }
+// result is the result of one run: the number of the target's answers until the rollback, and of the bad
+// ones among them. Both are zero if there was no rollback.
+type result struct{ answers, bad int }
 
-func course(seed uint64, way verdict, usual float64, strike courseOf) outcome {
+// simulate runs one rollout. The failureShare of all answers fails in addition to the injected
+// faults.
+func simulate(seed uint64, d detector, failureShare float64, inject scenario) result {
 	random := rand.New(rand.NewPCG(seed, 7))
-	speeds := map[bool][]float64{false: drawSpeeds(random), true: drawSpeeds(random)}
-	var seen outcome
-	for i := range playAnswers {
-		p := &play{random: random, count: i, route: random.IntN(playRoutes), target: random.IntN(10) == 0, replica: random.IntN(playReplicas)}
-		p.failed = random.Float64() < usual
-		strike(p)
-		took := 20 * math.Exp(0.4*random.NormFloat64()) * speeds[p.target][p.replica]
-		if p.slowed {
-			took *= 6
+	timeFactors := map[bool][]float64{false: drawTimeFactors(random), true: drawTimeFactors(random)}
+	var counts result
+	for i := range answersPerRun {
+		a := &drawnAnswer{random: random, index: i, route: random.IntN(routesPerRun), isTarget: random.IntN(10) == 0, replica: random.IntN(replicasPerVersion)}
+		a.failed = random.Float64() < failureShare
+		inject(a)
+		elapsed := 20 * math.Exp(0.4*random.NormFloat64()) * timeFactors[a.isTarget][a.replica]
+		if a.slowed {
+			elapsed *= 6
 		}
-		answer := Sample{Route: fmt.Sprint("r", p.route), Replica: fmt.Sprint(p.target, p.replica), Target: p.target, Failed: p.failed, Step: time.Duration(took * float64(time.Millisecond))}
-		way.Observe(answer)
-		if !p.target {
+		sample := Sample{Route: fmt.Sprint("r", a.route), Replica: fmt.Sprint(a.isTarget, a.replica), Target: a.isTarget, Failed: a.failed, Step: time.Duration(elapsed * float64(time.Millisecond))}
+		d.Observe(sample)
+		if !a.isTarget {
 			continue
 		}
-		seen.answers++
-		if p.failed || p.slowed {
-			seen.bad++
+		counts.answers++
+		if a.failed || a.slowed {
+			counts.bad++
 		}
-		if doubt, _ := way.Doubt(); doubt >= 1 {
-			return seen
+		if score, _ := d.RegressionScore(); score >= 1 {
+			return counts
 		}
 	}
-	if doubt, _ := way.Doubt(); doubt > acceptedDoubt {
-		return seen
+	if score, _ := d.RegressionScore(); score > maxAcceptedScore {
+		return counts
 	}
-	return outcome{}
+	return result{}
 }
 
-// seeds is how many plays of a course there are, and otherSeeds of the other way.
+// seeds is the number of runs of the Analyzer in each scenario, rankSeeds that of the rankDetector.
 const (
-	seeds      = 200
-	otherSeeds = 40
+	seeds     = 200
+	rankSeeds = 40
 )
 
-// told runs a course with many seeds and returns how many were rolled back, and the median
-// of the target's answers, and of the bad ones, until then.
-func told(way func() verdict, plays int, usual float64, strike courseOf) (rolledBack, answers, bad int) {
-	var all, wrong []int
-	ends := make([]outcome, plays)
+// runScenario returns the number of runs with a rollback and, over these, the medians of the target's
+// answers and of the bad ones until the rollback.
+func runScenario(newDetector func() detector, runs int, failureShare float64, inject scenario) (rolledBack, answers, bad int) {
+	var answerCounts, badCounts []int
+	results := make([]result, runs)
 	var group sync.WaitGroup
-	for seed := range ends {
-		group.Go(func() { ends[seed] = course(uint64(seed), way(), usual, strike) })
+	for seed := range results {
+		group.Go(func() { results[seed] = simulate(uint64(seed), newDetector(), failureShare, inject) })
 	}
 	group.Wait()
-	for _, seen := range ends {
-		if seen.answers == 0 {
+	for _, counts := range results {
+		if counts.answers == 0 {
 			continue
 		}
 		rolledBack++
-		all, wrong = append(all, seen.answers), append(wrong, seen.bad)
+		answerCounts, badCounts = append(answerCounts, counts.answers), append(badCounts, counts.bad)
 	}
 	if rolledBack > 0 {
-		slices.Sort(all)
-		slices.Sort(wrong)
-		answers, bad = all[len(all)/2], wrong[len(wrong)/2]
+		slices.Sort(answerCounts)
+		slices.Sort(badCounts)
+		answers, bad = answerCounts[len(answerCounts)/2], badCounts[len(badCounts)/2]
 	}
 	return rolledBack, answers, bad
 }
 
-func names(courses map[string]courseOf) []string {
+func sortedNames(scenarios map[string]scenario) []string {
 	var sorted []string
-	for name := range courses {
+	for name := range scenarios {
 		sorted = append(sorted, name)
 	}
 	slices.Sort(sorted)
 	return sorted
 }
 
-// slowUnderLoad is the course that is missed most: of the answers of a version that is slow
-// while it is full, those of fast replicas are as fast as those of slow ones before.
+// slowUnderLoad is the scenario that is missed most often: fast replicas that are slow under load are
+// about as fast as slow replicas of the other versions.
 const slowUnderLoad = "slow half under load"
 
-// A good version is rolled back in few of 200 plays of each course, and a bad one is missed
-// in few, and found before it gave 50 bad answers. The other way of judging is told beside
-// it.
-func TestVersionsAreToldApart(t *testing.T) {
+// In each scenario few runs may roll a good version back or miss a bad one, and a bad one must be found
+// within 50 bad answers. The log compares the Analyzer with the rankDetector.
+func TestAnalyzerSeparatesGoodAndBadVersions(t *testing.T) {
 	const (
-		allowedFalse               = 4
-		allowedMissed              = 0
-		allowedMissedSlowUnderLoad = 12
-		mostBad                    = 50
+		maxFalseRollbacks      = 4
+		maxMissed              = 0
+		maxMissedSlowUnderLoad = 12
+		maxBadAnswers          = 50
 	)
 	g := gomega.NewGomega(func(message string, _ ...int) { t.Error(message) })
-	cusum := func() verdict { return NewJudge() }
-	ranks := func() verdict { return newRankJudge() }
+	newCUSUM := func() detector { return NewAnalyzer() }
+	newRanks := func() detector { return newRankDetector() }
 	var lines []string
-	for _, name := range names(goodCourses) {
-		for _, usual := range []float64{0.005, 0.05} {
-			wrong, _, _ := told(cusum, seeds, usual, goodCourses[name])
-			byRank, _, _ := told(ranks, otherSeeds, usual, goodCourses[name])
-			lines = append(lines, fmt.Sprintf("good, %s, usually %.3f: rolled back %d of %d (ranks %d of %d)", name, usual, wrong, seeds, byRank, otherSeeds))
-			g.Expect(wrong).To(gomega.BeNumerically("<=", allowedFalse), name)
+	for _, name := range sortedNames(goodScenarios) {
+		for _, failureShare := range []float64{0.005, 0.05} {
+			falseRollbacks, _, _ := runScenario(newCUSUM, seeds, failureShare, goodScenarios[name])
+			rankRollbacks, _, _ := runScenario(newRanks, rankSeeds, failureShare, goodScenarios[name])
+			lines = append(lines, fmt.Sprintf("good, %s, failure share %.3f: rolled back %d of %d (ranks %d of %d)", name, failureShare, falseRollbacks, seeds, rankRollbacks, rankSeeds))
+			g.Expect(falseRollbacks).To(gomega.BeNumerically("<=", maxFalseRollbacks), name)
 		}
 	}
-	for _, name := range names(badCourses) {
-		found, answers, bad := told(cusum, seeds, 0.005, badCourses[name])
-		byRank, rankAnswers, _ := told(ranks, otherSeeds, 0.005, badCourses[name])
-		lines = append(lines, fmt.Sprintf("bad, %s: found %d of %d after %d answers, %d of them bad (ranks %d of %d, after %d)", name, found, seeds, answers, bad, byRank, otherSeeds, rankAnswers))
-		allowed := allowedMissed
+	for _, name := range sortedNames(badScenarios) {
+		found, answers, bad := runScenario(newCUSUM, seeds, 0.005, badScenarios[name])
+		rankFound, rankAnswers, _ := runScenario(newRanks, rankSeeds, 0.005, badScenarios[name])
+		lines = append(lines, fmt.Sprintf("bad, %s: found %d of %d after %d answers, %d of them bad (ranks %d of %d, after %d)", name, found, seeds, answers, bad, rankFound, rankSeeds, rankAnswers))
+		allowed := maxMissed
 		if name == slowUnderLoad {
-			allowed = allowedMissedSlowUnderLoad
+			allowed = maxMissedSlowUnderLoad
 		}
 		g.Expect(seeds-found).To(gomega.BeNumerically("<=", allowed), name)
-		g.Expect(bad).To(gomega.BeNumerically("<", mostBad), name)
+		g.Expect(bad).To(gomega.BeNumerically("<", maxBadAnswers), name)
 	}
 	t.Log("\n" + strings.Join(lines, "\n"))
 }
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -6,18 +6,19 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// CanaryBudget is what this scheduler may still send to a target that is not judged yet. All of
-// it was acknowledged by the store as taken. It is not safe for concurrent use.
+// CanaryBudget is the number of requests that this scheduler may still send to a target in the canary
+// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but Fair and Spend need
+// one. It is not safe for concurrent use.
 type CanaryBudget struct {
-	left int
-	// until is when what is left is void: whoever could not reach the store for so long may
+	remaining int
+	// expiresAt is when the remaining budget is void: a scheduler without contact to the store may
 	// not know that the target was found bad.
-	until structs.Instant
-	// open is true while a burst goes on, and turn counts the bursts.
-	open bool
-	turn int
-	// asked and given count the requests by route that might go to the target, and that do.
-	asked, given routeCounts
+	expiresAt structs.Instant
+	// inBurst is true during a burst; burst is the number of bursts so far.
+	inBurst bool
+	burst   int
+	// eligible counts the requests that could go to the target, consumed those that did.
+	eligible, consumed routeCounts
 }
 
 // routeCounts counts requests by route.
@@ -35,75 +36,74 @@
 }
 
 const (
-	// exposureLifetime is how long requests may be sent out of one write of the record. A
-	// scheduler writes it every half second while the store answers.
-	exposureLifetime = 1500 * time.Millisecond
-	// burstSize is how many requests are sent to the target in a row. A version that is bad
-	// only under load shows it when its replica is as full as the others are: in a pool of
-	// three with 15 ms of work a tenth of 250 requests a second, sent evenly, never meet.
+	// budgetTTL is how long the budget of one write may be used. It covers several of the writes
+	// that renew it.
+	budgetTTL = 1500 * time.Millisecond
+	// burstSize is the number of requests sent to the target in a row: evenly spread requests would
+	// not load its replicas, so that faults under load would stay undetected.
 	burstSize = 8
 )
 
-// take adds what the store acknowledged.
-func (e *CanaryBudget) take(now structs.Instant, count int) {
-	if now >= e.until {
-		e.left = 0
+// add adds budget that the store acknowledged.
+func (b *CanaryBudget) add(now structs.Instant, count int) {
+	if now >= b.expiresAt {
+		b.remaining = 0
 	}
-	e.left += count
-	e.until = now + exposureLifetime
+	b.remaining += count
+	b.expiresAt = now + budgetTTL
 }
 
-// void drops what is left.
-func (e *CanaryBudget) void() { e.left, e.open = 0, false }
+// void drops the remaining budget.
+func (b *CanaryBudget) void() { b.remaining, b.inBurst = 0, false }
 
-// Left returns how many requests may be sent to the target now.
-func (e *CanaryBudget) Left(now structs.Instant) int {
-	if e == nil || now >= e.until {
+// Remaining returns how many requests may be sent to the target now.
+func (b *CanaryBudget) Remaining(now structs.Instant) int {
+	if b == nil || now >= b.expiresAt {
 		return 0
 	}
-	return e.left
+	return b.remaining
 }
 
-// Open returns whether the next request may go to the target.
-func (e *CanaryBudget) Open(now structs.Instant) bool {
-	if e == nil {
+// Open reports whether the next request may go to the target. A burst begins once the budget suffices
+// for burstSize requests and ends when it is used up.
+func (b *CanaryBudget) Open(now structs.Instant) bool {
+	if b == nil {
 		return false
 	}
-	left := e.Left(now)
-	if !e.open && left >= burstSize {
-		e.turn++
+	remaining := b.Remaining(now)
+	if !b.inBurst && remaining >= burstSize {
+		b.burst++
 	}
-	e.open = left >= burstSize || e.open && left > 0
-	return e.open
+	b.inBurst = remaining >= burstSize || b.inBurst && remaining > 0
+	return b.inBurst
 }
 
-// Spent returns whether nothing is left.
-func (e *CanaryBudget) Spent() bool { return e == nil || e.left <= 0 }
+// Spent reports whether the budget is used up, regardless of its expiry.
+func (b *CanaryBudget) Spent() bool { return b == nil || b.remaining <= 0 }
 
-// Ask counts a request of the route that might go to the target.
-func (e *CanaryBudget) Ask(route string) {
-	if e != nil {
-		e.asked.add(route)
+// Ask counts a request of the route that could go to the target.
+func (b *CanaryBudget) Ask(route string) {
+	if b != nil {
+		b.eligible.add(route)
 	}
 }
 
-// Fair returns whether the route has not had more than its share of what goes to the
-// target: under load the most urgent would else have all of it, and a version that is bad
-// on another route only would not be found.
-func (e *CanaryBudget) Fair(route string) bool {
-	return e.given.byRoute[route]*e.asked.total <= e.asked.byRoute[route]*(e.given.total+burstSize)
+// Fair reports whether the route has not used more than its share of the budget. Otherwise the most
+// urgent route could use all of it under load, and faults on other routes would stay undetected.
+func (b *CanaryBudget) Fair(route string) bool {
+	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
 
-// Spend counts one request of the route that is sent to the target.
-func (e *CanaryBudget) Spend(route string) {
-	e.left--
-	e.given.add(route)
+// Spend counts a request of the route that is sent to the target.
+func (b *CanaryBudget) Spend(route string) {
+	b.remaining--
+	b.consumed.add(route)
 }
 
-// Turn counts the bursts: each goes to another replica first.
-func (e *CanaryBudget) Turn() int {
-	if e == nil {
+// Turn returns the number of bursts so far. Callers use it to start each burst at another replica.
+func (b *CanaryBudget) Turn() int {
+	if b == nil {
 		return 0
 	}
-	return e.turn
+	return b.burst
 }
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -9,99 +9,98 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Policy bounds what a target gets until it is judged.
+// Policy limits the requests that a target gets until it is judged.
 type Policy struct {
-	// Share is the part of the service's requests, and Slack the requests on top.
+	// Share is the share of the service's requests, and Slack the number of requests in addition.
 	Share, Slack float64
 }
 
-// Reasons why a roll-out went the way it did.
+// Reasons for the result of a rollout, as stored in its record. Those that end in "route " are followed
+// by the name of a route.
 const (
-	ReasonGood       = "as good as before"
-	ReasonBad        = "worse than before on route "
-	ReasonDoubtful   = "doubtful at the end on route "
-	ReasonNoEvidence = "too few answers to judge by"
-	ReasonNoCapacity = "too few replicas to carry the load"
-	ReasonInService  = "in service before the order"
+	ReasonGood         = "as good as before"
+	ReasonBad          = "worse than before on route "
+	ReasonInconclusive = "doubtful at the end on route "
+	ReasonNoEvidence   = "too few answers to judge by"
+	ReasonNoCapacity   = "too few replicas to carry the load"
+	ReasonInService    = "in service before the order"
 )
 
 const (
-	// exposureMargin is the part of the allowed exposure that is used. The rest is for
-	// requests whose end was reported and that reached no replica.
-	exposureMargin = 0.85
-	// writePause is the least time between two writes of a record whose phase stays: each
-	// is a priced call.
-	writePause = 500 * time.Millisecond
-	// neededAnswers of the target, on all routes together, are the least to complete by,
-	// and neededOnRoute those on a route that has usualShare of the others' answers.
-	neededAnswers = 40
-	neededOnRoute = 5
-	usualShare    = 0.1
-	// acceptedDoubt is the evidence up to which a target is completed.
-	acceptedDoubt = 0.6
-	// leastSwitch is the time before the deadline at which the switch begins at the latest
-	// when answers are short: two rounds of heartbeats among 80 nodes and two writes.
-	// mostSwitch is the part of the roll-out's time that it takes when they are long.
-	leastSwitch = 3 * time.Second
-	mostSwitch  = 0.5
-	// carryShare is the part of the others' slots that the target needs to carry the load.
-	carryShare = 0.9
-	// maximumRoutes bounds the routes whose evidence lies in the record.
-	maximumRoutes = 32
+	// budgetFraction is the fraction of the allowed requests that is used. The rest covers requests
+	// that were reported but reached no replica.
+	budgetFraction = 0.85
+	// minWriteInterval is the minimum time between two writes of a record in the same phase.
+	minWriteInterval = 500 * time.Millisecond
+	// minAnswers is the minimum number of answers of the target, on all routes together, for
+	// switching to it. Routes with at least minRouteShare of the baseline's answers need
+	// minRouteAnswers each.
+	minAnswers      = 40
+	minRouteAnswers = 5
+	minRouteShare   = 0.1
+	// maxAcceptedScore is the maximum regression score for switching to the target.
+	maxAcceptedScore = 0.6
+	// minSwitchTime is the time before the deadline at which the switch begins if answers are
+	// short; it suffices for the nodes' confirmations and two writes.
+	minSwitchTime = 3 * time.Second
+	// maxSwitchFraction is the fraction of the rollout's duration that the switch takes at most.
+	maxSwitchFraction = 0.5
+	// minSlotFraction is the fraction of the other versions' slots that the target needs.
+	minSlotFraction = 0.9
+	// maxRoutes bounds the routes in the record.
+	maxRoutes = 32
 )
 
-// Inputs is what a step goes by beside the record.
+// Inputs is the state of the system that a step depends on in addition to the record.
 type Inputs struct {
 	Order rollouts.Order
-	// Elapsed is the time since the order, at least.
+	// Elapsed is a lower bound of the time since the order.
 	Elapsed time.Duration
-	// TargetSlots and OtherSlots count the slots of the listed replicas that do not leave.
+	// TargetSlots and OtherSlots count the slots of the listed replicas that are not leaving.
 	TargetSlots, OtherSlots int
-	// InService is true if the target had replicas before the order and nothing else is left.
+	// InService is true if the target had replicas before the order and there is no other version.
 	InService bool
-	// Longest is how long an answer of the service takes, of the long ones.
+	// Longest is the duration of long answers of the service.
 	Longest time.Duration
-	// Confirmed is true if every node that may live said that it knows the record's phase,
-	// and Busy counts the requests that run at replicas which get no new ones.
+	// Confirmed is true if every node that may be alive confirmed the record's phase. Busy counts
+	// the requests running at replicas that get no new ones.
 	Confirmed bool
 	Busy      int
 }
 
-// Controller steps the roll-outs of one service. It is not safe for concurrent use.
+// Controller advances the rollouts of one service. It is not safe for concurrent use.
 type Controller struct {
-	policy Policy
-	record rollouts.Record
-	judge  *Analyzer
-	// exposure is what may be sent to the target now.
-	exposure CanaryBudget
-	// fresh was reported since the last write began, and sent is what that write holds
-	// while its outcome is not known.
-	fresh, sent report
-	wroteAt     structs.Instant
-	// countsFrom is when the earliest request was placed that counts: one that ran when the
-	// order came did not reach the service after it.
+	policy   Policy
+	record   rollouts.Record
+	analyzer *Analyzer
+	budget   CanaryBudget
+	// pending is the evidence since the last write began, written the evidence in a write whose
+	// result is not known yet.
+	pending, written evidenceReport
+	lastWriteAt      structs.Instant
+	// countsFrom is the assignment time from which on requests count: earlier ones reached the
+	// service before the order.
 	countsFrom structs.Instant
 }
 
-// report is what nodes reported of ended requests: those that reached the service, and
-// the evidence by route.
-type report struct {
+// evidenceReport is the number of requests that reached the service, and the evidence by route.
+type evidenceReport struct {
 	requests int
 	routes   map[string]rollouts.Evidence
 }
 
-// add enters the other report.
-func (r *report) add(other report) {
+// merge adds the other report.
+func (r *evidenceReport) merge(other evidenceReport) {
 	r.requests += other.requests
 	for route, evidence := range other.routes {
-		r.count(route, evidence)
+		r.add(route, evidence)
 	}
 }
 
-// count enters evidence on a route, unless there are too many routes.
-func (r *report) count(route string, evidence rollouts.Evidence) {
+// add adds evidence on a route. A new route beyond maxRoutes is ignored.
+func (r *evidenceReport) add(route string, evidence rollouts.Evidence) {
 	before, known := r.routes[route]
-	if !known && len(r.routes) >= maximumRoutes {
+	if !known && len(r.routes) >= maxRoutes {
 		return
 	}
 	if r.routes == nil {
@@ -110,84 +109,87 @@
 	r.routes[route] = before.Add(evidence)
 }
 
-// NewController returns a controller that goes on from the record, which may be empty.
+// NewController returns a controller that continues from the record, which may be empty.
 func NewController(policy Policy, now structs.Instant, record rollouts.Record) *Controller {
-	c := &Controller{policy: policy, wroteAt: now - writePause, countsFrom: now}
-	c.adopt(record)
+	c := &Controller{policy: policy, lastWriteAt: now - minWriteInterval, countsFrom: now}
+	c.applyRecord(record)
 	return c
 }
 
-// CanaryBudget returns what may be sent to the target now.
-func (c *Controller) CanaryBudget() *CanaryBudget { return &c.exposure }
+// CanaryBudget returns the budget of requests to the target, the same one at each call.
+func (c *Controller) CanaryBudget() *CanaryBudget { return &c.budget }
 
-// Record returns the record that the controller goes by.
+// Record returns the current record.
 func (c *Controller) Record() rollouts.Record { return c.record }
 
-// RegressionScore returns how far the evidence against the target is; from 1 on it is bad.
-func (c *Controller) RegressionScore() (float64, string) { return c.judge.Doubt() }
+// RegressionScore returns the score of the evidence against the target and the route that shows it.
+// The target is bad from a score of 1 on.
+func (c *Controller) RegressionScore() (float64, string) { return c.analyzer.RegressionScore() }
 
-// Adopt takes over the record if it is another one than the known.
+// Adopt replaces the current record if the store position differs.
 func (c *Controller) Adopt(record rollouts.Record) {
 	if record.Position != c.record.Position {
-		c.adopt(record)
+		c.applyRecord(record)
 	}
 }
 
-func (c *Controller) adopt(record rollouts.Record) {
-	if record.OrderPosition != c.record.OrderPosition || c.judge == nil {
-		c.judge, c.fresh, c.sent = NewJudge(), report{}, report{}
-		c.exposure.void()
+// applyRecord replaces the record. A new order drops the evidence, and any phase but the canary phase
+// voids the budget.
+func (c *Controller) applyRecord(record rollouts.Record) {
+	if record.OrderPosition != c.record.OrderPosition || c.analyzer == nil {
+		c.analyzer, c.pending, c.written = NewAnalyzer(), evidenceReport{}, evidenceReport{}
+		c.budget.void()
 	}
 	if record.Phase != rollouts.PhaseCanary {
-		c.exposure.void()
+		c.budget.void()
 	}
 	c.record = record
 }
 
-// RecordResult enters the end of a request that reached the service. Told is false if its end
-// says nothing of the replica, as when the caller left.
-func (c *Controller) RecordResult(answer Sample, told bool) {
-	if answer.Begun < c.countsFrom {
+// RecordResult records the result of a request that reached the service. If isConclusive is false, as
+// when the caller disconnected, the request is counted but is no evidence about its replica.
+func (c *Controller) RecordResult(sample Sample, isConclusive bool) {
+	if sample.Begun < c.countsFrom {
 		return
 	}
-	c.fresh.requests++
-	if !told || c.record.Phase != rollouts.PhaseCanary {
+	c.pending.requests++
+	if !isConclusive || c.record.Phase != rollouts.PhaseCanary {
 		return
 	}
-	bad := c.judge.Observe(answer)
-	var seen rollouts.Evidence
+	isBad := c.analyzer.Observe(sample)
+	var evidence rollouts.Evidence
 	switch {
-	case answer.Target && bad:
-		seen.Bad = 1
-	case answer.Target:
-		seen.Good = 1
-	case bad:
-		seen.BaselineBad = 1
+	case sample.Target && isBad:
+		evidence.Bad = 1
+	case sample.Target:
+		evidence.Good = 1
+	case isBad:
+		evidence.BaselineBad = 1
 	default:
-		seen.BaselineGood = 1
+		evidence.BaselineGood = 1
 	}
-	c.fresh.count(answer.Route, seen)
+	c.pending.add(sample.Route, evidence)
 }
 
-// Propose returns the record that is to be written now, and false if there is none. After
-// true WriteCommitted, WriteRejected or WriteUnknown has to be called with what became of the write.
-func (c *Controller) Propose(now structs.Instant, seen Inputs) (rollouts.Record, bool) {
-	next, due := c.propose(now, seen)
+// Propose returns the record to write now, or false if there is nothing to write. After true, the
+// caller must call WriteCommitted, WriteRejected or WriteUnknown with the result of the write.
+func (c *Controller) Propose(now structs.Instant, inputs Inputs) (rollouts.Record, bool) {
+	next, due := c.propose(now, inputs)
 	if !due {
 		return next, false
 	}
-	c.sent, c.fresh = c.fresh, report{}
+	c.written, c.pending = c.pending, evidenceReport{}
 	return next, true
 }
 
-func (c *Controller) propose(now structs.Instant, seen Inputs) (rollouts.Record, bool) {
+func (c *Controller) propose(now structs.Instant, inputs Inputs) (rollouts.Record, bool) {
 	next := c.record
-	if seen.Order.Position > next.OrderPosition {
-		if seen.TargetSlots == 0 || seen.Elapsed >= seen.Order.Duration {
-			return next, false // nothing moves while nobody has the version, or too late
+	if inputs.Order.Position > next.OrderPosition {
+		if inputs.TargetSlots == 0 || inputs.Elapsed >= inputs.Order.Duration {
+			return next, false // no replica has the version, or the deadline has passed
 		}
-		next = rollouts.NewRecord(seen.Order, c.record, seen.InService)
-		next.Position, next.Elapsed = c.record.Position, seen.Elapsed
+		next = rollouts.NewRecord(inputs.Order, c.record, inputs.InService)
+		next.Position, next.Elapsed = c.record.Position, inputs.Elapsed
 		if next.Phase == rollouts.PhaseSwitching {
 			next.Reason = ReasonInService
 		}
@@ -196,119 +198,120 @@
 	if next.OrderPosition == 0 || next.Phase.IsTerminal() {
 		return next, false
 	}
-	next.Elapsed = seen.Elapsed
+	next.Elapsed = inputs.Elapsed
 	switch next.Phase {
 	case rollouts.PhaseCanary:
-		return c.proposeJudging(now, next, seen)
+		return c.proposeCanary(now, next, inputs)
 	case rollouts.PhaseSwitching:
 		next.Phase = rollouts.PhaseCompleted
-		return next, seen.Confirmed && seen.Busy == 0 && c.carries(seen)
+		return next, inputs.Confirmed && inputs.Busy == 0 && c.hasCapacity(inputs)
 	}
 	next.Phase = rollouts.PhaseRolledBack
-	return next, seen.Confirmed
+	return next, inputs.Confirmed
 }
 
-// carries returns whether the target's replicas can serve all requests.
-func (c *Controller) carries(seen Inputs) bool {
-	return seen.TargetSlots > 0 && float64(seen.TargetSlots) >= carryShare*float64(seen.OtherSlots)
+// hasCapacity reports whether the target's replicas can serve all requests.
+func (c *Controller) hasCapacity(inputs Inputs) bool {
+	return inputs.TargetSlots > 0 && float64(inputs.TargetSlots) >= minSlotFraction*float64(inputs.OtherSlots)
 }
 
-// proposeJudging ends the judgement if it is time, or takes more exposure.
-func (c *Controller) proposeJudging(now structs.Instant, next rollouts.Record, seen Inputs) (rollouts.Record, bool) {
-	c.sum(&next)
-	doubt, route := c.judge.Doubt()
-	if doubt >= 1 {
+// proposeCanary ends the canary phase if the result is due, or raises the budget.
+func (c *Controller) proposeCanary(now structs.Instant, next rollouts.Record, inputs Inputs) (rollouts.Record, bool) {
+	c.accumulate(&next)
+	score, route := c.analyzer.RegressionScore()
+	if score >= 1 {
 		next.Phase, next.Reason = rollouts.PhaseRollingBack, ReasonBad+route
 		return next, true
 	}
-	if seen.Elapsed >= c.switchAt(seen) {
-		if reason := c.objection(next, seen); reason == "" {
+	if inputs.Elapsed >= c.switchAfter(inputs) {
+		if reason := c.switchObstacle(next, inputs); reason == "" {
 			next.Phase, next.Reason = rollouts.PhaseSwitching, ReasonGood
 			return next, true
-		} else if seen.Elapsed >= seen.Order.Duration {
+		} else if inputs.Elapsed >= inputs.Order.Duration {
 			next.Phase, next.Reason = rollouts.PhaseRollingBack, reason
 			return next, true
 		}
 	}
-	if now-c.wroteAt < writePause || seen.Elapsed >= seen.Order.Duration || seen.TargetSlots == 0 {
+	if now-c.lastWriteAt < minWriteInterval || inputs.Elapsed >= inputs.Order.Duration || inputs.TargetSlots == 0 {
 		return next, false
 	}
-	allowed := int(exposureMargin * (c.policy.Slack + c.policy.Share*float64(next.Requests)))
+	allowed := int(budgetFraction * (c.policy.Slack + c.policy.Share*float64(next.Requests)))
 	next.Exposed = max(next.Exposed, allowed)
 	return next, next.Exposed > c.record.Exposed
 }
 
-// sum adds what was reported since the last write.
-func (c *Controller) sum(next *rollouts.Record) {
-	total := report{requests: next.Requests, routes: maps.Clone(next.EvidenceByRoute)}
-	total.add(c.fresh)
+// accumulate adds the pending evidence to the record.
+func (c *Controller) accumulate(next *rollouts.Record) {
+	total := evidenceReport{requests: next.Requests, routes: maps.Clone(next.EvidenceByRoute)}
+	total.merge(c.pending)
 	next.Requests, next.EvidenceByRoute = total.requests, total.routes
 }
 
-// switchAt is the time since the order at which the target gets every request: late, as a
-// version may turn bad later, but early enough for the longest answers of the others.
-func (c *Controller) switchAt(seen Inputs) time.Duration {
-	longest := time.Duration(mostSwitch * float64(seen.Order.Duration))
-	return seen.Order.Duration - min(leastSwitch+seen.Longest, longest)
+// switchAfter returns the time since the order from which on the target may get every request: late,
+// as a version may turn bad later, but early enough for the other versions' longest answers to end.
+func (c *Controller) switchAfter(inputs Inputs) time.Duration {
+	maxSwitchTime := time.Duration(maxSwitchFraction * float64(inputs.Order.Duration))
+	return inputs.Order.Duration - min(minSwitchTime+inputs.Longest, maxSwitchTime)
 }
 
-// objection returns what speaks against completing the roll-out, or nothing.
-func (c *Controller) objection(next rollouts.Record, seen Inputs) string {
-	if !c.carries(seen) {
+// switchObstacle returns the reason not to switch to the target, or the empty string.
+func (c *Controller) switchObstacle(next rollouts.Record, inputs Inputs) string {
+	if !c.hasCapacity(inputs) {
 		return ReasonNoCapacity
 	}
-	if doubt, route := c.judge.Doubt(); doubt > acceptedDoubt {
-		return ReasonDoubtful + route
+	if score, route := c.analyzer.RegressionScore(); score > maxAcceptedScore {
+		return ReasonInconclusive + route
 	}
-	answers, others := 0, 0
+	targetAnswers, baselineAnswers := 0, 0
 	for _, evidence := range next.EvidenceByRoute {
-		answers += evidence.Good + evidence.Bad
-		others += evidence.BaselineGood + evidence.BaselineBad
+		targetAnswers += evidence.Good + evidence.Bad
+		baselineAnswers += evidence.BaselineGood + evidence.BaselineBad
 	}
-	if answers < neededAnswers {
+	if targetAnswers < minAnswers {
 		return ReasonNoEvidence
 	}
-	if seen.OtherSlots == 0 {
-		return "" // nothing is left to compare the routes with
+	if inputs.OtherSlots == 0 {
+		return "" // no other version is left to compare the routes with
 	}
 	for _, evidence := range next.EvidenceByRoute {
-		if float64(evidence.BaselineGood+evidence.BaselineBad) >= usualShare*float64(others) && evidence.Good+evidence.Bad < neededOnRoute {
+		if float64(evidence.BaselineGood+evidence.BaselineBad) >= minRouteShare*float64(baselineAnswers) && evidence.Good+evidence.Bad < minRouteAnswers {
 			return ReasonNoEvidence
 		}
 	}
 	return ""
 }
 
-// WriteCommitted enters that the store acknowledged the proposed record at the revision.
-func (c *Controller) WriteCommitted(now structs.Instant, written rollouts.Record, revision structs.StorePosition) {
-	if written.OrderPosition != c.record.OrderPosition {
+// WriteCommitted records that the store acknowledged the proposed record at the position, which makes
+// its additional budget available.
+func (c *Controller) WriteCommitted(now structs.Instant, committed rollouts.Record, position structs.StorePosition) {
+	if committed.OrderPosition != c.record.OrderPosition {
 		c.countsFrom = now
 	}
-	taken := 0
-	if written.OrderPosition == c.record.OrderPosition && written.Phase == rollouts.PhaseCanary {
-		taken = written.Exposed - c.record.Exposed
+	added := 0
+	if committed.OrderPosition == c.record.OrderPosition && committed.Phase == rollouts.PhaseCanary {
+		added = committed.Exposed - c.record.Exposed
 	}
-	c.sent, c.wroteAt = report{}, now
-	written.Position = revision
-	c.adopt(written)
-	if taken > 0 {
-		c.exposure.take(now, taken)
+	c.written, c.lastWriteAt = evidenceReport{}, now
+	committed.Position = position
+	c.applyRecord(committed)
+	if added > 0 {
+		c.budget.add(now, added)
 	}
 }
 
-// WriteRejected enters that the write surely took no effect: what it held is reported again.
+// WriteRejected records that the write had no effect. Its evidence becomes pending again.
 func (c *Controller) WriteRejected(now structs.Instant) {
-	c.fresh.add(c.sent)
-	c.sent, c.wroteAt = report{}, now
+	c.pending.merge(c.written)
+	c.written, c.lastWriteAt = evidenceReport{}, now
 }
 
-// WriteUnknown enters that the write may have taken effect, now or later. What it held is not
-// reported again, as requests that count twice would allow too much exposure.
+// WriteUnknown records that the write may have taken effect or may still do so. Its evidence is
+// dropped: requests that count twice would raise the budget beyond its bound.
 func (c *Controller) WriteUnknown(now structs.Instant) {
-	c.sent, c.wroteAt = report{}, now
+	c.written, c.lastWriteAt = evidenceReport{}, now
 }
 
-// Describe tells the evidence on one route to operators.
+// Describe formats the evidence on one route for operators.
 func Describe(route string, evidence rollouts.Evidence) string {
 	return fmt.Sprintf("%s: %d of %d bad, %d of %d before", route, evidence.Bad, evidence.Good+evidence.Bad, evidence.BaselineBad, evidence.BaselineGood+evidence.BaselineBad)
 }
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -14,310 +14,323 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Every course of a small deployment is played up to a depth: two scheduling nodes, as on
-// two sides of a cut, over one store that loses answers and acts late; either crashes at
-// any step. What the package guarantees is checked after each step.
+// The model check runs every trace of a small deployment up to a depth: two schedulers, as on both
+// sides of a partition, and a store that loses acknowledgements and applies writes late. Either node may
+// crash at any step. The package's guarantees are checked after each step.
 
-// act is one step of a course.
-type act int
+// action is one step of a trace.
+type action int
 
 const (
-	actNews    act = iota // the node hears what the store holds
-	actWrite              // it writes what is due
-	actLose               // the same, but the answer is lost
-	actLinger             // the same, but the store acts later
-	actLand               // the store acts on a lingering write
-	actRequest            // a request is placed
-	actEnd                // a request at an old replica ends
-	actPraise             // the target answers well
-	actBlame              // the target answers badly
-	actCrash              // the process ends and starts again
-	actAdvance            // the time of the switch comes, and then the deadline
+	actionRead        action = iota // the node reads the record from the store
+	actionWrite                     // the node writes the proposed record
+	actionWriteNoAck                // the same, but the acknowledgement is lost
+	actionWriteDelay                // the same, but the store has not applied the write yet
+	actionApplyWrite                // the store applies the delayed write
+	actionRequest                   // the node assigns a request
+	actionEnd                       // the node's request at a replica of the old version ends
+	actionGoodAnswers               // the target answers well
+	actionBadAnswers                // the target answers badly
+	actionCrash                     // the process crashes and restarts
+	actionAdvance                   // time advances to the switch, and then to the deadline
 )
 
-// faults are ways to break the package that the check has to find.
-type faults struct {
-	// spendUnacknowledged uses exposure that the store did not acknowledge, skipConfirmed
-	// does not wait for the other node, and skipBusy not for what runs.
+// defects are faults of the package or its caller that the model check must find.
+type defects struct {
+	// spendUnacknowledged uses budget that the store did not acknowledge, skipConfirmed does not
+	// wait for the other node, and skipBusy does not wait for running requests.
 	spendUnacknowledged, skipConfirmed, skipBusy bool
 }
 
-// exploredPolicy lets three requests through: 0.85 of four.
-var exploredPolicy = Policy{Share: 0, Slack: 4}
+// modelPolicy permits three requests to the target: 0.85 of four, rounded down.
+var modelPolicy = Policy{Share: 0, Slack: 4}
 
-const exploredSlack = 4
+const modelSlack = 4
 
-type exploredNode struct {
+type modelNode struct {
 	controller *Controller
 	policy     rollouts.VersionPolicy
 	table      *rollouts.Table
-	busy       int
-	lingering  *rollouts.Record
-	answers    int
+	// running is the number of requests at replicas of the old version.
+	running int
+	// delayedWrite is a write that the store has not applied yet.
+	delayedWrite *rollouts.Record
+	// answerSets counts the actions that recorded answers since the process started.
+	answerSets int
 }
 
-type exploration struct {
-	faults   faults
-	nodes    [2]*exploredNode
+// model is the state of the deployment after a trace.
+type model struct {
+	defects defects
+	nodes   [2]*modelNode
+	// record and position are the state of the store.
 	record   rollouts.Record
-	revision structs.StorePosition
+	position structs.StorePosition
 	now      structs.Instant
-	exposed  int
-	problem  error
+	// targetRequests counts the requests sent to the target in the canary phase.
+	targetRequests int
+	// violation is the last guarantee found broken.
+	violation error
 }
 
-func newExploration(faults faults) *exploration {
-	e := &exploration{faults: faults, revision: testOrder().Position}
-	for i := range e.nodes {
-		e.start(i)
+func newModel(defects defects) *model {
+	m := &model{defects: defects, position: testOrder().Position}
+	for i := range m.nodes {
+		m.start(i)
 	}
-	return e
+	return m
 }
 
-func (e *exploration) start(i int) {
+// start starts the node's process.
+func (m *model) start(i int) {
 	table := rollouts.NewTable()
 	table.PutOrder(0, testOrder())
-	e.nodes[i] = &exploredNode{controller: NewController(exploredPolicy, e.now, e.record), table: table}
-	e.news(i)
+	m.nodes[i] = &modelNode{controller: NewController(modelPolicy, m.now, m.record), table: table}
+	m.read(i)
 }
 
-func (e *exploration) news(i int) {
-	node := e.nodes[i]
-	node.table.PutRecord(e.now, e.record)
+// read applies the store's record to the node.
+func (m *model) read(i int) {
+	node := m.nodes[i]
+	node.table.PutRecord(m.now, m.record)
 	known, _ := node.table.Record("s")
 	node.controller.Adopt(known)
 	node.policy = node.table.Policy("s", false)
 }
 
-func (e *exploration) situation(i int) Inputs {
-	own, other := e.nodes[i], e.nodes[1-i]
+// inputs returns the node's inputs to a step.
+func (m *model) inputs(i int) Inputs {
+	own, other := m.nodes[i], m.nodes[1-i]
 	record := own.controller.Record()
-	seen := Inputs{Order: testOrder(), Elapsed: e.now, TargetSlots: 4, OtherSlots: 4, Busy: e.busy(own)}
-	seen.Confirmed = e.faults.skipConfirmed || other.policy.OrderPosition == record.OrderPosition && other.policy.Phase == record.Phase
-	if seen.Confirmed && !e.faults.skipConfirmed {
-		seen.Busy += e.busy(other)
+	inputs := Inputs{Order: testOrder(), Elapsed: m.now, TargetSlots: 4, OtherSlots: 4, Busy: m.busy(own)}
+	inputs.Confirmed = m.defects.skipConfirmed || other.policy.OrderPosition == record.OrderPosition && other.policy.Phase == record.Phase
+	if inputs.Confirmed && !m.defects.skipConfirmed {
+		inputs.Busy += m.busy(other)
 	}
-	if e.faults.skipBusy {
-		seen.Busy = 0
+	if m.defects.skipBusy {
+		inputs.Busy = 0
 	}
-	return seen
+	return inputs
 }
 
-// busy is what the node tells of its requests at replicas that get no new ones.
-func (e *exploration) busy(node *exploredNode) int {
+// busy returns the number of the node's requests running at replicas that get no new ones.
+func (m *model) busy(node *modelNode) int {
 	if node.policy.AccessFor("v1") == rollouts.AccessDenied {
-		return node.busy
+		return node.running
 	}
 	return 0
 }
 
-// swap writes the record if nobody wrote since, and returns whether it did.
-func (e *exploration) swap(record rollouts.Record) bool {
-	if record.Position != e.record.Position {
+// compareAndSwap writes the record if the store's has not changed since, and reports whether it did.
+func (m *model) compareAndSwap(record rollouts.Record) bool {
+	if record.Position != m.record.Position {
 		return false
 	}
-	e.revision++
-	record.Position = e.revision
-	e.record = record
+	m.position++
+	record.Position = m.position
+	m.record = record
 	return true
 }
 
-func (e *exploration) write(i int, how act) bool {
-	node := e.nodes[i]
-	next, due := node.controller.Propose(e.now, e.situation(i))
+// write performs a write action and returns false if there is nothing to write.
+func (m *model) write(i int, kind action) bool {
+	node := m.nodes[i]
+	next, due := node.controller.Propose(m.now, m.inputs(i))
 	if !due {
 		return false
 	}
-	if e.faults.spendUnacknowledged && next.Exposed > node.controller.Record().Exposed {
-		node.controller.exposure.take(e.now, next.Exposed-node.controller.Record().Exposed)
+	if m.defects.spendUnacknowledged && next.Exposed > node.controller.Record().Exposed {
+		node.controller.budget.add(m.now, next.Exposed-node.controller.Record().Exposed)
 	}
-	switch how {
-	case actLose:
-		e.swap(next)
-		node.controller.WriteUnknown(e.now)
-	case actLinger:
-		if node.lingering != nil {
+	switch kind {
+	case actionWriteNoAck:
+		m.compareAndSwap(next)
+		node.controller.WriteUnknown(m.now)
+	case actionWriteDelay:
+		if node.delayedWrite != nil {
 			return false
 		}
-		node.lingering = &next
-		node.controller.WriteUnknown(e.now)
+		node.delayedWrite = &next
+		node.controller.WriteUnknown(m.now)
 	default:
-		if !e.swap(next) {
-			node.controller.WriteRejected(e.now)
-			e.news(i)
+		if !m.compareAndSwap(next) {
+			node.controller.WriteRejected(m.now)
+			m.read(i)
 			break
 		}
-		node.controller.WriteCommitted(e.now, next, e.record.Position)
-		e.news(i)
+		node.controller.WriteCommitted(m.now, next, m.record.Position)
+		m.read(i)
 	}
 	return true
 }
 
-func (e *exploration) request(i int) bool {
-	node := e.nodes[i]
+// request assigns a request of the node, and returns false if none may be sent.
+func (m *model) request(i int) bool {
+	node := m.nodes[i]
 	phase := node.policy.Phase
-	if phase == rollouts.PhaseCanary && node.controller.CanaryBudget().Left(e.now) > 0 {
+	if phase == rollouts.PhaseCanary && node.controller.CanaryBudget().Remaining(m.now) > 0 {
 		node.controller.CanaryBudget().Spend("r")
-		e.exposed++
-		if e.record.Phase == rollouts.PhaseRolledBack {
-			e.problem = errors.New("a request at the target after the roll-back")
+		m.targetRequests++
+		if m.record.Phase == rollouts.PhaseRolledBack {
+			m.violation = errors.New("a request was sent to the target after the rollback")
 		}
 		return true
 	}
-	if node.policy.AccessFor("v1") == rollouts.AccessUnrestricted && node.busy == 0 {
-		node.busy++
-		if e.record.Phase == rollouts.PhaseCompleted {
-			e.problem = errors.New("a request at a replica that stopped")
+	if node.policy.AccessFor("v1") == rollouts.AccessUnrestricted && node.running == 0 {
+		node.running++
+		if m.record.Phase == rollouts.PhaseCompleted {
+			m.violation = errors.New("a request was sent to a replica that was stopped")
 		}
 		return true
 	}
 	return false
 }
 
-// answer enters enough answers on both sides to judge by.
-func (e *exploration) answer(i int, failed bool) bool {
-	node := e.nodes[i]
-	if node.answers > 0 || node.controller.Record().Phase != rollouts.PhaseCanary {
+// recordAnswers records enough answers of both versions for a decision.
+func (m *model) recordAnswers(i int, targetFails bool) bool {
+	node := m.nodes[i]
+	if node.answerSets > 0 || node.controller.Record().Phase != rollouts.PhaseCanary {
 		return false
 	}
-	node.answers++
-	for n := range 2 * neededAnswers {
-		node.controller.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, Begun: e.now, Failed: failed && n%2 == 0, Step: time.Millisecond}, true)
+	node.answerSets++
+	for n := range 2 * minAnswers {
+		node.controller.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, Begun: m.now, Failed: targetFails && n%2 == 0, Step: time.Millisecond}, true)
 	}
 	return true
 }
 
-// step plays one act and returns false if it changes nothing.
-func (e *exploration) step(i int, how act) bool {
-	node := e.nodes[i]
-	before := e.record.Phase
+// step performs the action of the node and returns false if it changes nothing.
+func (m *model) step(i int, kind action) bool {
+	node := m.nodes[i]
+	before := m.record.Phase
 	changed := true
-	switch how {
-	case actNews:
-		changed = node.controller.Record().Position != e.record.Position
-		e.news(i)
-	case actWrite, actLose, actLinger:
-		changed = e.write(i, how)
-	case actLand:
-		if changed = node.lingering != nil; changed {
-			e.swap(*node.lingering)
-			node.lingering = nil
+	switch kind {
+	case actionRead:
+		changed = node.controller.Record().Position != m.record.Position
+		m.read(i)
+	case actionWrite, actionWriteNoAck, actionWriteDelay:
+		changed = m.write(i, kind)
+	case actionApplyWrite:
+		if changed = node.delayedWrite != nil; changed {
+			m.compareAndSwap(*node.delayedWrite)
+			node.delayedWrite = nil
 		}
-	case actRequest:
-		changed = e.request(i)
-	case actEnd:
-		changed = node.busy > 0
-		node.busy = 0
-	case actPraise, actBlame:
-		changed = e.answer(i, how == actBlame)
-	case actCrash:
-		lingering := node.lingering
-		e.start(i)
-		e.nodes[i].lingering = lingering
-	case actAdvance:
-		changed = e.now < testOrder().Duration
-		e.now += testOrder().Duration/2 - time.Second
+	case actionRequest:
+		changed = m.request(i)
+	case actionEnd:
+		changed = node.running > 0
+		node.running = 0
+	case actionGoodAnswers, actionBadAnswers:
+		changed = m.recordAnswers(i, kind == actionBadAnswers)
+	case actionCrash:
+		delayedWrite := node.delayedWrite
+		m.start(i)
+		m.nodes[i].delayedWrite = delayedWrite
+	case actionAdvance:
+		changed = m.now < testOrder().Duration
+		m.now += testOrder().Duration/2 - time.Second
 	}
-	e.check(before)
+	m.check(before)
 	return changed
 }
 
-func (e *exploration) check(before rollouts.Phase) {
-	if e.exposed > exploredSlack {
-		e.problem = fmt.Errorf("%d requests at a target that is not judged", e.exposed)
+// check records a broken guarantee; before is the phase in the store before the step.
+func (m *model) check(before rollouts.Phase) {
+	if m.targetRequests > modelSlack {
+		m.violation = fmt.Errorf("%d requests were sent to a target that was not judged yet", m.targetRequests)
 	}
-	if before != rollouts.PhaseCompleted && e.record.Phase == rollouts.PhaseCompleted && e.nodes[0].busy+e.nodes[1].busy > 0 {
-		e.problem = errors.New("completed while a request runs at a replica that stops")
+	if before != rollouts.PhaseCompleted && m.record.Phase == rollouts.PhaseCompleted && m.nodes[0].running+m.nodes[1].running > 0 {
+		m.violation = errors.New("the rollout completed while a request was running at a replica of the old version")
 	}
 }
 
-// key names the state, for states that are reached in several ways.
-func (e *exploration) key() string {
+// key identifies the state, so that states reached by several traces are expanded once.
+func (m *model) key() string {
 	var text strings.Builder
-	fmt.Fprint(&text, e.record, e.now, e.exposed)
-	for _, node := range e.nodes {
-		doubt, _ := node.controller.RegressionScore()
-		fmt.Fprint(&text, node.controller.record, node.controller.exposure.left, node.controller.exposure.until, node.controller.fresh, node.controller.wroteAt,
-			node.policy, node.busy, node.answers, doubt)
-		if node.lingering != nil {
-			fmt.Fprint(&text, *node.lingering)
+	fmt.Fprint(&text, m.record, m.now, m.targetRequests)
+	for _, node := range m.nodes {
+		score, _ := node.controller.RegressionScore()
+		fmt.Fprint(&text, node.controller.record, node.controller.budget.remaining, node.controller.budget.expiresAt, node.controller.pending, node.controller.lastWriteAt,
+			node.policy, node.running, node.answerSets, score)
+		if node.delayedWrite != nil {
+			fmt.Fprint(&text, *node.delayedWrite)
 		}
 	}
 	return text.String()
 }
 
-// move is an act of one of the nodes.
-type move struct {
-	node int
-	act  act
+// step is an action of one of the nodes.
+type step struct {
+	node   int
+	action action
 }
 
-// beginnings are the courses that all others go on from: nothing, a roll-out that both know,
-// one with exposure taken, and ones that go over to the target or back from it.
-func beginnings() [][]move {
-	begun := []move{{0, actWrite}, {1, actNews}}
-	exposing := append(slices.Clone(begun), move{0, actAdvance}, move{0, actWrite}, move{1, actNews})
-	judged := append(slices.Clone(exposing), move{0, actPraise}, move{1, actRequest}, move{0, actAdvance})
-	blamed := append(slices.Clone(exposing), move{0, actBlame}, move{0, actWrite})
-	return [][]move{nil, begun, exposing, judged, append(slices.Clone(judged), move{0, actWrite}), blamed}
+// prefixes returns the traces that are extended: the empty one, a rollout known to both nodes, one with
+// budget, ones before and after the switch to the target, and one that is rolling back.
+func prefixes() [][]step {
+	started := []step{{0, actionWrite}, {1, actionRead}}
+	budgeted := append(slices.Clone(started), step{0, actionAdvance}, step{0, actionWrite}, step{1, actionRead})
+	beforeSwitch := append(slices.Clone(budgeted), step{0, actionGoodAnswers}, step{1, actionRequest}, step{0, actionAdvance})
+	rollingBack := append(slices.Clone(budgeted), step{0, actionBadAnswers}, step{0, actionWrite})
+	return [][]step{nil, started, budgeted, beforeSwitch, append(slices.Clone(beforeSwitch), step{0, actionWrite}), rollingBack}
 }
 
-// explore plays all courses up to the depth beyond each beginning and returns the first
-// that breaks a promise, and how many states there were.
-func explore(faults faults, depth int) ([]move, int, error) {
-	known := map[string]bool{}
-	level := beginnings()
+// explore extends each prefix by all traces up to the depth. It returns the first trace that breaks a
+// guarantee, the number of states reached, and the violation.
+func explore(defects defects, depth int) ([]step, int, error) {
+	visited := map[string]bool{}
+	level := prefixes()
 	for range depth {
-		var next [][]move
-		for _, course := range level {
+		var next [][]step
+		for _, trace := range level {
 			for i := range 2 {
-				for how := actNews; how <= actAdvance; how++ {
-					if how == actAdvance && i == 1 {
-						continue // time is the same for both
+				for kind := actionRead; kind <= actionAdvance; kind++ {
+					if kind == actionAdvance && i == 1 {
+						continue // both nodes share the clock
 					}
-					longer := append(append([]move{}, course...), move{i, how})
-					e := newExploration(faults)
+					extended := append(append([]step{}, trace...), step{i, kind})
+					m := newModel(defects)
 					changed := true
-					for _, step := range longer {
-						changed = e.step(step.node, step.act)
+					for _, step := range extended {
+						changed = m.step(step.node, step.action)
 					}
-					if e.problem != nil {
-						return longer, len(known), e.problem
+					if m.violation != nil {
+						return extended, len(visited), m.violation
 					}
-					if key := e.key(); changed && !known[key] {
-						known[key] = true
-						next = append(next, longer)
+					if key := m.key(); changed && !visited[key] {
+						visited[key] = true
+						next = append(next, extended)
 					}
 				}
 			}
 		}
 		level = next
 	}
-	return nil, len(known), nil
+	return nil, len(visited), nil
 }
 
-func TestNoCourseOfASmallDeploymentBreaksAPromise(t *testing.T) {
+// No trace of a small deployment may break a guarantee of the package.
+func TestNoTraceBreaksAGuarantee(t *testing.T) {
 	const depth = 5
 	g := gomega.NewWithT(t)
-	course, states, problem := explore(faults{}, depth)
+	trace, states, violation := explore(defects{}, depth)
 	t.Logf("%d states up to depth %d", states, depth)
-	g.Expect(problem).NotTo(gomega.HaveOccurred(), fmt.Sprint(course))
+	g.Expect(violation).NotTo(gomega.HaveOccurred(), fmt.Sprint(trace))
 }
 
-// Each promise is broken by a variant that leaves out what keeps it, so that the check is
-// known to look.
-func TestTheExplorationFindsWhatIsBroken(t *testing.T) {
-	for name, broken := range map[string]faults{
-		"exposure that was not acknowledged": {spendUnacknowledged: true},
-		"nodes that have not confirmed":      {skipConfirmed: true},
-		"requests that still run":            {skipBusy: true},
+// Guards the model check itself: it must find a violation for each defect.
+func TestModelCheckFindsDefects(t *testing.T) {
+	for name, defect := range map[string]defects{
+		"unacknowledged budget is used": {spendUnacknowledged: true},
+		"unconfirmed nodes are ignored": {skipConfirmed: true},
+		"running requests are ignored":  {skipBusy: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const depth = 6
 			g := gomega.NewWithT(t)
-			course, states, problem := explore(broken, depth)
-			t.Logf("after %d states: %v by %v", states, problem, course)
-			g.Expect(problem).To(gomega.HaveOccurred())
+			trace, states, violation := explore(defect, depth)
+			t.Logf("after %d states: %v, trace %v", states, violation, trace)
+			g.Expect(violation).To(gomega.HaveOccurred())
 		})
 	}
 }
