--- a/coordination/poison/tracker_test.go
+++ b/coordination/poison/tracker_test.go
@@ -225,7 +225,7 @@
 	g.Expect(tracker.Persistent(0)).To(gomega.HaveLen(maxPersistentRecords), "the records must fit into one value of the store")
 }
 
-// Requests without a fingerprint can't be told apart and must not share a record.
+// Requests without a fingerprint can't be distinguished and must not share a record.
 func TestRequestWithoutFingerprintIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := newTestTracker()
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -18,7 +18,7 @@
 	Rate  float64
 	Burst float64
 	Debt  float64
-	// Share is this limit's share of the tenant's whole limit; zero means all of it.
+	// Share is this limit's share of the tenant's limit; zero means all of it.
 	Share float64
 }
 
--- a/coordination/quota/remote_test.go
+++ b/coordination/quota/remote_test.go
@@ -29,20 +29,20 @@
 	g := gomega.NewWithT(t)
 	limit := Limit{Rate: 100, Burst: 100}
 	buckets := NewBuckets(1)
-	taken, cycles := 0.0, 20
+	granted, cycles := 0.0, 20
 	for cycle := range cycles {
 		startedAt := structs.Instant(cycle) * time.Second
-		taken += takeAll(buckets, startedAt, startedAt+500*time.Millisecond, limit)
+		granted += takeAll(buckets, startedAt, startedAt+500*time.Millisecond, limit)
 		partitionedAt := startedAt + 500*time.Millisecond
 		other := NewBuckets(0)
 		other.Restore(partitionedAt, buckets.Levels(partitionedAt, 10))
 		endedAt := startedAt + time.Second
-		taken += takeAll(buckets, partitionedAt, endedAt, limit) + takeAll(other, partitionedAt, endedAt, limit)
+		granted += takeAll(buckets, partitionedAt, endedAt, limit) + takeAll(other, partitionedAt, endedAt, limit)
 		buckets.ChargeRemote(RemoteUsage{Since: partitionedAt, Amounts: other.Taken(endedAt, 10), Levels: other.Levels(endedAt, 10)})
 	}
 	allowed := limit.Rate*float64(cycles) + limit.Burst + limit.Rate
-	g.Expect(taken).To(gomega.BeNumerically("<=", allowed))
-	g.Expect(taken).To(gomega.BeNumerically(">=", limit.Rate*float64(cycles)*0.95))
+	g.Expect(granted).To(gomega.BeNumerically("<=", allowed))
+	g.Expect(granted).To(gomega.BeNumerically(">=", limit.Rate*float64(cycles)*0.95))
 }
 
 // In a detected partition each side grants only its share, so that neither must be charged for the
