--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -23,7 +23,7 @@
 const (
 	// partsBudget is the length of the parts in one reply, in bytes: 26 ms of a link of
 	// 10 Mbit/s, which is how long smaller messages may have to wait behind it.
-	partsBudget = 32 << 10
+	maxReplyPartsBytes = 32 << 10
 	// partsTimeout bounds one call: the wait for the peer's turn, and the time that a
 	// reply takes on the slowest link while three others share it.
 	partsTimeout = 500 * time.Millisecond
@@ -31,23 +31,23 @@
 	fetchTimeout = 3 * time.Second
 	// busyPause and busyJitter are the time until a node is asked again that was busy:
 	// about what it needs to serve one round of others.
-	busyPause  = 20 * time.Millisecond
-	busyJitter = 40 * time.Millisecond
+	busyBackoff       = 20 * time.Millisecond
+	busyBackoffJitter = 40 * time.Millisecond
 	// failuresBorne is how many other nodes are asked in one fetch after one failed.
-	failuresBorne = 3
+	maxFetchRetries = 3
 )
 
 // errNobodyElse means that no other node is known to have the version.
-var errNobodyElse = errors.New("no other node is known to have the version")
+var errNoOtherSource = errors.New("no other node is known to have the version")
 
 // errInvalid means that this node can't take the version into force; others have no
 // other one.
-var errInvalid = errors.New("the version is not valid at this node")
+var errVersionInvalid = errors.New("the version is not valid at this node")
 
 // offerCatalog takes a configuration into force if it is valid and newer.
-func (n *Node) offerCatalog(document *catalog.Document, source string) {
-	n.offers.Lock()
-	defer n.offers.Unlock()
+func (n *Node) applyCatalog(document *catalog.Document, source string) {
+	n.catalogMutex.Lock()
+	defer n.catalogMutex.Unlock()
 	if current := n.catalog.Load(); current != nil && document.Version <= current.Version {
 		if document.Version < current.Version {
 			n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "kept-out", Reason: "older", Version: document.Version, Detail: source})
@@ -56,12 +56,12 @@
 	}
 	compiled, err := catalog.Compile(document)
 	if err != nil {
-		n.newer.Reject(document.Version)
+		n.newerVersions.Reject(document.Version)
 		n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "kept-out", Reason: "invalid", Version: document.Version, Detail: err.Error()})
 		return
 	}
 	n.publish(document)
-	n.scheduling.setWarmings(n.settings.Load().warmings(document.Services))
+	n.scheduling.setWarmings(n.settings.Load().slowStarts(document.Services))
 	n.catalog.Store(compiled)
 	n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "in-force", Version: document.Version, Count: len(document.Routes), Detail: source})
 }
@@ -69,11 +69,11 @@
 // publish makes the version available to others. One that was fetched from a peer is in
 // the library already.
 func (n *Node) publish(document *catalog.Document) {
-	n.library.Activate(document.Version)
-	if n.library.Version() >= document.Version {
+	n.parts.Activate(document.Version)
+	if n.parts.Version() >= document.Version {
 		return
 	}
-	if err := n.library.Publish(document); err != nil {
+	if err := n.parts.Publish(document); err != nil {
 		n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "not-published", Version: document.Version, Detail: err.Error()})
 	}
 }
@@ -89,49 +89,49 @@
 // configurationPullDue returns whether the peer has a newer version and is to be asked
 // for it now. The caller holds the mutex.
 func (n *Node) configurationPullDue(beat liveness.Heartbeat) bool {
-	own, patience := n.version(), n.pullPatienceWith(beat)
+	own, patience := n.version(), n.pullDelay(beat)
 	if own == 0 && !n.isNonDelegate {
 		patience = 0
 	}
-	if !n.newer.Observe(n.now(), own, beat.Version) {
+	if !n.newerVersions.Observe(n.now(), own, beat.Version) {
 		return false
 	}
-	return n.versionLag.ShouldPull(n.now(), own, beat.Version, patience)
+	return n.versionPull.ShouldPull(n.now(), own, beat.Version, patience)
 }
 
 // partsReply gives the turn at this node's link back once it was sent.
 type partsReply struct {
 	dissemination.Reply `msgpack:",inline"`
-	sent                func()
+	onSent              func()
 }
 
 // Sent implements peer.Tracked.
 func (r *partsReply) Sent() {
-	if r.sent != nil {
-		r.sent()
+	if r.onSent != nil {
+		r.onSent()
 	}
 }
 
 // serveParts sends a peer what it lacks of the version in force.
 func (n *Node) serveParts(ctx context.Context, request *dissemination.Request) (*partsReply, error) {
-	if n.library.Version() <= request.Version {
+	if n.parts.Version() <= request.Version {
 		return &partsReply{}, nil
 	}
-	if !n.senders.Acquire(ctx) {
+	if !n.sendLimiter.Acquire(ctx) {
 		n.counter("configuration.busy").Inc(1)
-		return &partsReply{Reply: dissemination.Reply{Busy: true, Sources: n.holders.Suggest(request)}}, nil
+		return &partsReply{Reply: dissemination.Reply{Busy: true, Sources: n.sources.Suggest(request)}}, nil
 	}
-	reply, whole := n.library.Respond(request, partsBudget)
+	reply, whole := n.parts.Respond(request, maxReplyPartsBytes)
 	for _, content := range reply.Content {
 		n.counter("configuration.bytes_sent").Inc(int64(len(content)))
 	}
 	// A peer that does not read keeps its turn no longer than it waits for the reply.
-	leave := sync.OnceFunc(n.senders.Release)
+	leave := sync.OnceFunc(n.sendLimiter.Release)
 	time.AfterFunc(partsTimeout, leave)
-	return &partsReply{Reply: *reply, sent: func() {
+	return &partsReply{Reply: *reply, onSent: func() {
 		leave()
 		if whole {
-			n.holders.Add(reply.Manifest.Version, request)
+			n.sources.Add(reply.Manifest.Version, request)
 		}
 	}}, nil
 }
@@ -141,10 +141,10 @@
 	begun, held := n.now(), n.version()
 	progress, err := n.fetch(address)
 	if err != nil {
-		n.library.CancelFetch()
+		n.parts.CancelFetch()
 	}
 	n.mutex.Lock()
-	n.versionLag.PullDone(n.now(), err == nil || progress)
+	n.versionPull.PullDone(n.now(), err == nil || progress)
 	n.mutex.Unlock()
 	took := n.now() - begun
 	if err != nil {
@@ -154,7 +154,7 @@
 		}
 		return
 	}
-	n.observe("configuration_fetch_ms", took)
+	n.recordDuration("configuration_fetch_ms", took)
 }
 
 // fetch asks the peer, and others if it is busy or fails, until nothing of a newer
@@ -162,16 +162,16 @@
 func (n *Node) fetch(address string) (progress bool, err error) {
 	ctx, cancel := context.WithTimeout(n.ctx, fetchTimeout)
 	defer cancel()
-	for failures := 0; failures <= failuresBorne; {
+	for failures := 0; failures <= maxFetchRetries; {
 		var reply *partsReply
-		if reply, err = n.askForParts(ctx, address); err == nil && reply.Busy {
-			address = n.nextHolder(reply.Sources, address)
-			n.sleep(busyPause + rand.N(busyJitter))
+		if reply, err = n.requestParts(ctx, address); err == nil && reply.Busy {
+			address = n.nextSource(reply.Sources, address)
+			n.sleep(busyBackoff + rand.N(busyBackoffJitter))
 			continue // once the time is over the next call fails
 		}
 		came, whole := false, false
 		if err == nil {
-			came, whole, err = n.takeParts(&reply.Reply, address)
+			came, whole, err = n.mergeParts(&reply.Reply, address)
 		}
 		progress = progress || came
 		if whole {
@@ -181,10 +181,10 @@
 			continue
 		}
 		if err == nil {
-			err = errNobodyElse
+			err = errNoOtherSource
 		}
-		next := n.nextHolder(nil, address)
-		if next == address || ctx.Err() != nil || errors.Is(err, errInvalid) {
+		next := n.nextSource(nil, address)
+		if next == address || ctx.Err() != nil || errors.Is(err, errVersionInvalid) {
 			return progress, err
 		}
 		address = next
@@ -194,10 +194,10 @@
 }
 
 // askForParts makes one call.
-func (n *Node) askForParts(ctx context.Context, address string) (*partsReply, error) {
+func (n *Node) requestParts(ctx context.Context, address string) (*partsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, partsTimeout)
 	defer cancel()
-	request := &dissemination.Request{Version: n.version(), HeldParts: n.library.HeldParts(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
+	request := &dissemination.Request{Version: n.version(), HeldParts: n.parts.HeldParts(), Address: n.selfAddress(), Zone: n.settings.Load().Zone}
 	reply := &partsReply{}
 	if err := n.peers.Call(ctx, address, peerwire.KindConfigurationParts, request, reply); err != nil {
 		return nil, err
@@ -207,16 +207,16 @@
 
 // takeParts enters a reply, and the version that it completes. Whole is true if this
 // node then has a version as new as the peer's.
-func (n *Node) takeParts(reply *dissemination.Reply, address string) (progress, whole bool, err error) {
-	document, progress, err := n.library.Merge(reply)
+func (n *Node) mergeParts(reply *dissemination.Reply, address string) (progress, whole bool, err error) {
+	document, progress, err := n.parts.Merge(reply)
 	if err != nil {
 		n.counter("configuration.parts_bad").Inc(1)
 		return progress, false, err
 	}
 	if document != nil {
-		n.offerCatalog(document, "peer "+address)
+		n.applyCatalog(document, "peer "+address)
 		if n.version() < document.Version {
-			return progress, false, errInvalid
+			return progress, false, errVersionInvalid
 		}
 	}
 	return progress, reply.Manifest.Version > 0 && n.version() >= reply.Manifest.Version, nil
@@ -225,8 +225,8 @@
 // nextHolder returns a node to ask after the one at the address: a live one of those
 // named, or that tells the version that is being fetched or any newer than this node's,
 // of this zone if there is one; if there is none, the same again.
-func (n *Node) nextHolder(named []string, address string) string {
-	least, zone := max(n.version()+1, n.library.Fetching()), n.settings.Load().Zone
+func (n *Node) nextSource(named []string, address string) string {
+	least, zone := max(n.version()+1, n.parts.Fetching()), n.settings.Load().Zone
 	var told, near, far []string
 	n.mutex.Lock()
 	for _, member := range n.members.Live(n.now()) {
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -12,12 +12,12 @@
 )
 
 // severalReplies is a number of routes that do not fit one reply.
-const severalReplies = 5600
+const routesForSeveralReplies = 5600
 
 // fetchedDocument is a configuration that takes several replies.
-func fetchedDocument() *catalog.Document {
+func largeDocument() *catalog.Document {
 	document := &catalog.Document{Version: 7, Services: []catalog.Service{{Name: "s"}}}
-	for i := range severalReplies {
+	for i := range routesForSeveralReplies {
 		document.Routes = append(document.Routes, catalog.Route{
 			Name: fmt.Sprintf("tenant-%08x-export", uint32(i)*2654435761), Host: fmt.Sprintf("api-%08x.example", uint32(i)*2246822519), PathPrefix: fmt.Sprintf("/%d/", i),
 			Kind: catalog.KindSafe, Backends: []catalog.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
@@ -29,17 +29,17 @@
 // A node may read a version from the store while it fetches the same from a peer: so do
 // nodes whose watch is late, and all that start. What it then has in force is whole, and
 // it can send all of it on.
-func TestVersionFromTheStoreDuringItsFetchCanBeSentOn(t *testing.T) {
+func TestVersionReadFromStoreDuringFetchCanBeServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	peer := dissemination.NewPartStore()
-	g.Expect(peer.Publish(fetchedDocument())).To(gomega.Succeed())
-	n := freshnessNode(0)
-	reply, whole := peer.Respond(&dissemination.Request{}, partsBudget)
+	g.Expect(peer.Publish(largeDocument())).To(gomega.Succeed())
+	n := newFreshnessNode(0)
+	reply, whole := peer.Respond(&dissemination.Request{}, maxReplyPartsBytes)
 	g.Expect(whole).To(gomega.BeFalse(), "the version takes several replies")
-	document, _, err := n.library.Merge(reply)
+	document, _, err := n.parts.Merge(reply)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(document).To(gomega.BeNil())
-	n.offerCatalog(fetchedDocument(), "store")
+	n.applyCatalog(largeDocument(), "store")
 	g.Expect(n.version()).To(gomega.Equal(int64(7)))
 	g.Expect(func() {
 		asker := dissemination.NewPartStore()
--- a/entry/era.go
+++ b/entry/era.go
@@ -19,35 +19,35 @@
 // restoredTime is how long what the store lists may be of the copy: the entry of a replica that
 // left runs out 3.6 s after the store is back, three heartbeats, and a watch or pull may bring that
 // 0.4 s later. What is still listed then lives.
-const restoredTime = 4 * time.Second
+const restoreWindowDuration = 4 * time.Second
 
 // era is what a node knows of the store's eras.
 type era struct {
 	// known is true once any answer of the store, or a peer, told an era; present is the newest.
-	known   bool
+	isKnown bool
 	present int64
 	// restored is of a store that came back from a copy at the instant since.
-	restored structs.RestoreWindow
-	since    structs.Instant
+	restoreWindow structs.RestoreWindow
+	restoredAt    structs.Instant
 	// lacksPast is true at a process that knows the copy only, until a peer that knows what was
 	// before has told it; isAsking is true while one is asked.
-	lacksPast, isAsking bool
+	lacksEarlierState, isPullingAll bool
 	// isOldTold is true if it was told that answers of an earlier era come.
-	isOldTold bool
+	isOldEraLogged bool
 }
 
 // isRestored returns whether what the store lists may be of a copy.
-func (e *era) isRestored(now structs.Instant) bool {
-	return e.restored.Era > e.restored.Base && now-e.since < restoredTime
+func (e *era) isInRestoreWindow(now structs.Instant) bool {
+	return e.restoreWindow.Era > e.restoreWindow.Base && now-e.restoredAt < restoreWindowDuration
 }
 
 // restoredFor returns for how long the store has been back from a copy, or zero if its writers
 // have had their time.
-func (e *era) restoredFor(now structs.Instant) time.Duration {
-	if !e.isRestored(now) {
+func (e *era) restoreWindowAge(now structs.Instant) time.Duration {
+	if !e.isInRestoreWindow(now) {
 		return 0
 	}
-	return max(now-e.since, time.Millisecond)
+	return max(now-e.restoredAt, time.Millisecond)
 }
 
 // checkEra takes account of the era of an answer of the store. It returns false if the answer
@@ -55,14 +55,14 @@
 // mutex.
 func (n *Node) checkEra(place structs.StorePosition) bool {
 	switch {
-	case !n.era.known:
-		n.era.known, n.era.present = true, place.Era()
+	case !n.era.isKnown:
+		n.era.isKnown, n.era.present = true, place.Era()
 	case place.Era() > n.era.present:
 		n.enterEra(structs.RestoreWindow{Base: n.baseEra(), Era: place.Era(), Listed: place.Revision()}, n.now(), "store")
 	case place.Era() < n.era.present:
 		n.counter("store.old_eras").Inc(1)
-		if !n.era.isOldTold {
-			n.era.isOldTold = true
+		if !n.era.isOldEraLogged {
+			n.era.isOldEraLogged = true
 			n.log.Write(eventlog.Event{Kind: "store.era", Outcome: "kept-out", Reason: "older", Era: place.Era(), Detail: fmt.Sprintf("era %d is known: what the store says now is not used", n.era.present)})
 		}
 		return false
@@ -73,8 +73,8 @@
 // baseEra returns the era of before, if a copy is restored now: that before the first of several
 // in a row. The caller holds the mutex.
 func (n *Node) baseEra() int64 {
-	if n.era.isRestored(n.now()) {
-		return n.era.restored.Base
+	if n.era.isInRestoreWindow(n.now()) {
+		return n.era.restoreWindow.Base
 	}
 	return n.era.present
 }
@@ -86,32 +86,32 @@
 		return false
 	}
 	told, since := *beat.RestoreWindow, n.now()-time.Duration(beat.RestoreAgeMS)*time.Millisecond
-	if n.now()-since >= restoredTime || n.era.known && told.Era < n.era.present {
+	if n.now()-since >= restoreWindowDuration || n.era.isKnown && told.Era < n.era.present {
 		return false
 	}
 	switch {
-	case !n.era.known:
+	case !n.era.isKnown:
 		n.enterEra(told, since, beat.Name)
-		n.era.lacksPast = true
+		n.era.lacksEarlierState = true
 	case told.Era > n.era.present:
 		told.Base = min(told.Base, n.baseEra())
 		n.enterEra(told, since, beat.Name)
-	case n.era.restored.Era < told.Era: // this process started after the copy
-		n.era.lacksPast = true
-		n.setRestored(told, since)
-	case n.era.restored.Base > told.Base || n.era.restored.Listed > told.Listed: // it saw the store later
-		told.Base, told.Listed = min(told.Base, n.era.restored.Base), min(told.Listed, n.era.restored.Listed)
-		n.setRestored(told, min(since, n.era.since))
+	case n.era.restoreWindow.Era < told.Era: // this process started after the copy
+		n.era.lacksEarlierState = true
+		n.setRestoreWindow(told, since)
+	case n.era.restoreWindow.Base > told.Base || n.era.restoreWindow.Listed > told.Listed: // it saw the store later
+		told.Base, told.Listed = min(told.Base, n.era.restoreWindow.Base), min(told.Listed, n.era.restoreWindow.Listed)
+		n.setRestoreWindow(told, min(since, n.era.restoredAt))
 	}
-	asks := n.era.lacksPast && !n.era.isAsking
-	n.era.isAsking = n.era.isAsking || asks
+	asks := n.era.lacksEarlierState && !n.era.isPullingAll
+	n.era.isPullingAll = n.era.isPullingAll || asks
 	return asks
 }
 
 // setRestored has everything that is known be ordered for a store that came back from a copy. The
 // caller holds the mutex.
-func (n *Node) setRestored(restored structs.RestoreWindow, since structs.Instant) {
-	n.era.restored, n.era.since = restored, since
+func (n *Node) setRestoreWindow(restored structs.RestoreWindow, since structs.Instant) {
+	n.era.restoreWindow, n.era.restoredAt = restored, since
 	n.table.SetRestoreWindow(restored)
 	n.evacuations.SetRestoreWindow(restored)
 	n.rollouts.SetRestoreWindow(restored)
@@ -119,8 +119,8 @@
 
 // enterEra begins a new era. The caller holds the mutex.
 func (n *Node) enterEra(restored structs.RestoreWindow, since structs.Instant, source string) {
-	n.era = era{known: true, present: restored.Era}
-	n.setRestored(restored, since)
+	n.era = era{isKnown: true, present: restored.Era}
+	n.setRestoreWindow(restored, since)
 	n.storeFailedAt, n.watchHealthy = n.now(), false // entries are missing until they are written again
 	n.poisonStored = storedPoisonRecords{}
 	n.counter("store.eras").Inc(1)
@@ -128,17 +128,17 @@
 		Kind: "store.era", Outcome: "restored", Era: restored.Era, Revision: restored.Listed, Peer: source,
 		Detail: fmt.Sprintf("%d after %d: changes after revision %d may be lost", restored.Era, restored.Base, restored.Listed),
 	})
-	n.readAnew() // the watch waits for revisions of another history
+	n.requestReread() // the watch waits for revisions of another history
 }
 
 // settleEra ends the time in which the store may list what is of the copy. What is listed then is
 // read once more, and counts.
-func (n *Node) settleEra() {
+func (n *Node) endRestoreWindow() {
 	n.mutex.Lock()
-	due := n.era.restored.Era > n.era.restored.Base && !n.era.isRestored(n.now())
+	due := n.era.restoreWindow.Era > n.era.restoreWindow.Base && !n.era.isInRestoreWindow(n.now())
 	if due {
-		n.setRestored(structs.RestoreWindow{}, n.era.since)
-		n.readAnew()
+		n.setRestoreWindow(structs.RestoreWindow{}, n.era.restoredAt)
+		n.requestReread()
 	}
 	n.mutex.Unlock()
 	if due {
@@ -150,15 +150,15 @@
 // before does: what it calls its latest news can't be compared, and how fresh they are says nothing
 // of this node's. A node then reads the store by itself within staleAfter. The caller holds the
 // mutex.
-func (n *Node) isOfEarlierEra(beat liveness.Heartbeat) bool { return beat.Era < n.era.present }
+func (n *Node) isFromEarlierEra(beat liveness.Heartbeat) bool { return beat.Era < n.era.present }
 
 // addEra has the heartbeat tell what this node knows of the eras. Of a copy only those tell that
 // know what was before: two processes that start at once would ask each other and learn nothing.
 // The caller holds the mutex.
 func (n *Node) addEra(now structs.Instant, beat *liveness.Heartbeat) {
 	beat.Era = n.era.present
-	if n.era.isRestored(now) && !n.era.lacksPast {
-		restored := n.era.restored
-		beat.RestoreWindow, beat.RestoreAgeMS = &restored, (now - n.era.since).Milliseconds()
+	if n.era.isInRestoreWindow(now) && !n.era.lacksEarlierState {
+		restored := n.era.restoreWindow
+		beat.RestoreWindow, beat.RestoreAgeMS = &restored, (now - n.era.restoredAt).Milliseconds()
 	}
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -31,15 +31,15 @@
 	// fingerprint is known once the body is read.
 	fingerprint fingerprint.Fingerprint
 	// broke is how the last send broke.
-	broke breakCause
+	lastFailure failureCause
 	// refusedConnects counts the replicas at whose addresses nobody listened.
 	refusedConnects int
 	// prompt and output are the tokens of the request; both are zero for
 	// requests without a token count.
-	prompt, output int
+	promptTokens, outputTokens int
 	// hint is the caller's guess at the tokens of the answer.
-	hint    int
-	arrived structs.Instant
+	lengthHint int
+	arrived    structs.Instant
 	// deadline is when the caller or the route gives up, whichever is first.
 	deadline structs.Instant
 	// headSent is true once the caller has the head of an answer.
@@ -49,28 +49,28 @@
 	waited   time.Duration
 	// lastEvent is the number of the last event that the caller has, and resumed
 	// is true once the stream went on at another replica.
-	lastEvent string
-	resumed   bool
+	lastEventID string
+	resumed     bool
 	// firstEvent is the time from the last send to the first event, and
 	// longestPause the longest time between two events.
-	firstEvent, longestPause time.Duration
+	firstEventDelay, maxEventGap time.Duration
 	// answeredStatus and answeredBy are the status that the caller got and the replica
 	// that gave it, once the whole answer is out.
 	answeredStatus int
 	answeredBy     string
 	// kept is true if the request's lines are written in any case; if not, lines
 	// holds them until its end is known.
-	kept  bool
-	lines []eventlog.Event
+	alwaysLogged   bool
+	bufferedEvents []eventlog.Event
 }
 
 // defaultDeadline holds for requests that name none.
-const defaultDeadline = 30 * time.Second
+const defaultTimeout = 30 * time.Second
 
 // Times after which refused callers should come back.
 const (
-	retryNoConfiguration = 500 * time.Millisecond
-	retryStopping        = 100 * time.Millisecond
+	retryAfterNoConfiguration = 500 * time.Millisecond
+	retryAfterStopping        = 100 * time.Millisecond
 )
 
 // ServeHTTP serves one request of a caller.
@@ -78,24 +78,24 @@
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	c := &call{node: n, writer: w, request: r, arrived: n.now(), id: r.Header.Get(n.deps.Headers.RequestID)}
-	c.kept = n.log.Keep(c.id)
+	c.alwaysLogged = n.log.Keep(c.id)
 	if n.stopping.Load() != 0 {
 		w.Header().Set("Connection", "close")
 	}
 	current := n.catalog.Load()
 	if current == nil {
-		c.refuse(http.StatusServiceUnavailable, "no-configuration", retryNoConfiguration)
+		c.endNotRun(http.StatusServiceUnavailable, "no-configuration", retryAfterNoConfiguration)
 		return
 	}
-	if n.behindTooLong() {
-		c.refuse(http.StatusServiceUnavailable, reasonConfigurationStale, retryBehind)
+	if n.isConfigurationStale() {
+		c.endNotRun(http.StatusServiceUnavailable, reasonConfigurationStale, retryAfterStaleConfiguration)
 		return
 	}
 	if !c.admit(current) {
 		return
 	}
-	c.noteReceived(current.Version)
-	defer c.noteLeft()
+	c.logReceived(current.Version)
+	defer c.logCallerLeft()
 	ctx, cancel := context.WithTimeout(r.Context(), c.remaining())
 	defer cancel()
 	c.ctx = ctx
@@ -103,29 +103,29 @@
 	if !c.readBody(current) {
 		return
 	}
-	c.identify()
-	if !c.fitsBeforeStop() {
-		c.refuse(http.StatusServiceUnavailable, reasonStopping, retryStopping)
+	c.computeFingerprint()
+	if !c.canFinishBeforeStop() {
+		c.endNotRun(http.StatusServiceUnavailable, reasonStopping, retryAfterStopping)
 		return
 	}
 	c.serve()
 }
 
 // stopPlainTime is the longest that a plain answer is expected to take.
-const stopPlainTime = time.Second
+const maxPlainResponseTime = time.Second
 
 // fitsBeforeStop returns whether the answer will surely end before this process
 // does. Early in a stop every request is taken, as the balancer still sends them;
 // later no stream is, since its length is only guessed.
-func (c *call) fitsBeforeStop() bool {
-	stopped := c.node.stopped()
-	if stopped < refuseAfter {
+func (c *call) canFinishBeforeStop() bool {
+	stopped := c.node.stoppingFor()
+	if stopped < rejectAfter {
 		return true
 	}
-	if c.route.Kind == catalogStreaming {
+	if c.route.Kind == kindStreaming {
 		return false
 	}
-	return stopped+stopPlainTime < c.node.settings.Load().stopGrace()-stopMargin
+	return stopped+maxPlainResponseTime < c.node.settings.Load().stopGrace()-stopMargin
 }
 
 // admit finds route, tenant and deadline, or answers the request.
@@ -133,18 +133,18 @@
 	names := &c.node.deps.Headers
 	c.route = current.Match(c.request.Host, c.request.URL.EscapedPath())
 	if c.route == nil {
-		c.refuseUnknown(current, http.StatusNotFound, "no-route")
+		c.endNotConfigured(current, http.StatusNotFound, "no-route")
 		return false
 	}
 	if current.RequiresKey(c.route) {
 		key, _ := strings.CutPrefix(c.request.Header.Get("Authorization"), "Bearer ")
 		if c.tenant = current.TenantOfKey(strings.TrimSpace(key)); c.tenant == nil {
-			c.refuseUnknown(current, http.StatusUnauthorized, "unknown-key")
+			c.endNotConfigured(current, http.StatusUnauthorized, "unknown-key")
 			return false
 		}
 	}
 	c.service = c.route.PickService(rand.Float64())
-	allowed := defaultDeadline
+	allowed := defaultTimeout
 	if given, err := strconv.ParseFloat(c.request.Header.Get(names.Deadline), 64); err == nil && given > 0 {
 		allowed = time.Duration(given * float64(time.Millisecond))
 	}
@@ -153,23 +153,23 @@
 	}
 	c.deadline = c.arrived + allowed
 	prompt, output, _ := strings.Cut(c.request.Header.Get(names.TokenUsage), ",")
-	c.prompt = max(number(prompt), 0)
-	c.output = max(number(output), 0)
-	c.hint = max(number(c.request.Header.Get(names.LengthHint)), 0)
+	c.promptTokens = max(parseIntOrZero(prompt), 0)
+	c.outputTokens = max(parseIntOrZero(output), 0)
+	c.lengthHint = max(parseIntOrZero(c.request.Header.Get(names.LengthHint)), 0)
 	return true
 }
 
 // refuseUnknown refuses what the configuration in force does not know. If a newer version
 // is known to exist, that one may know it, and the caller is told to come back.
-func (c *call) refuseUnknown(current *catalog.Catalog, status int, reason string) {
-	if c.node.newer.HasNewer(current.Version) {
-		c.refuse(http.StatusServiceUnavailable, reasonConfigurationStale, retryBehind)
+func (c *call) endNotConfigured(current *catalog.Catalog, status int, reason string) {
+	if c.node.newerVersions.HasNewer(current.Version) {
+		c.endNotRun(http.StatusServiceUnavailable, reasonConfigurationStale, retryAfterStaleConfiguration)
 		return
 	}
-	c.refuse(status, reason, 0)
+	c.endNotRun(status, reason, 0)
 }
 
-func number(text string) int {
+func parseIntOrZero(text string) int {
 	value, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil {
 		return 0
@@ -181,10 +181,10 @@
 func (c *call) readBody(current *catalog.Catalog) bool {
 	limit := current.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyLimit
+		limit = defaultMaxBodyBytes
 	}
 	if c.request.ContentLength > limit {
-		c.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
+		c.endNotRun(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 		return false
 	}
 	control := http.NewResponseController(c.writer)
@@ -197,23 +197,23 @@
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.writer.Header().Set("Connection", "close")
-		c.refuse(http.StatusRequestTimeout, "body-too-slow", 0)
+		c.endNotRun(http.StatusRequestTimeout, "body-too-slow", 0)
 		return false
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		c.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
+		c.endNotRun(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 	} else {
-		c.refuse(http.StatusBadRequest, "body-unreadable", 0)
+		c.endNotRun(http.StatusBadRequest, "body-unreadable", 0)
 	}
 	return false
 }
 
 // defaultBodyLimit holds for configurations that name none.
-const defaultBodyLimit = 4 << 20
+const defaultMaxBodyBytes = 4 << 20
 
 // refuse answers that the request did not run.
-func (c *call) refuse(status int, reason string, retryAfter time.Duration) {
+func (c *call) endNotRun(status int, reason string, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		c.writer.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
@@ -221,7 +221,7 @@
 }
 
 // fail answers that the request may have run.
-func (c *call) fail(status int, reason string) { c.end(status, outcomeUnknown, reason) }
+func (c *call) endOutcomeUnknown(status int, reason string) { c.end(status, outcomeUnknown, reason) }
 
 // end gives the caller its final answer. If the caller has a part of an answer
 // already, the connection is broken so that it can't be taken for whole.
@@ -229,9 +229,9 @@
 	if c.ended {
 		return
 	}
-	event := c.event("request.ended")
+	event := c.newEvent("request.ended")
 	event.Outcome, event.Reason, event.Status = outcome, reason, status
-	c.noteEnd(event)
+	c.recordEnd(event)
 	c.node.counter("ended." + reason).Inc(1)
 	if c.headSent {
 		panic(http.ErrAbortHandler)
@@ -243,13 +243,13 @@
 
 // answered records that the caller has the whole answer. Its line follows that of
 // the send.
-func (c *call) answered(status int, replica string) {
+func (c *call) recordAnswer(status int, replica string) {
 	c.answeredStatus, c.answeredBy = status, replica
 }
 
 // endAnswered writes the last line of an answered request.
 func (c *call) endAnswered() {
-	event := c.event("request.ended")
+	event := c.newEvent("request.ended")
 	event.Outcome, event.Status, event.Replica = outcomeAnswered, c.answeredStatus, c.answeredBy
-	c.noteEnd(event)
+	c.recordEnd(event)
 }
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -11,23 +11,23 @@
 // particular. The first two are not passed on; the rest are, unchanged.
 
 // connectionHeaders concern one connection only.
-var connectionHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
 // keyHeader carries the caller's key, which is not the replica's business.
-const keyHeader = "Authorization"
+const authorizationHeader = "Authorization"
 
 // passed returns the headers without those of one connection.
-func passed(given http.Header) http.Header {
+func withoutHopByHop(given http.Header) http.Header {
 	header := given.Clone()
 	for _, value := range given["Connection"] {
 		for _, name := range splitList(value) {
 			header.Del(name)
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 	return header
@@ -35,9 +35,9 @@
 
 // forReplica returns what of a caller's headers a replica gets, and how many were
 // left out because only the daemon sets them.
-func forReplica(given http.Header, names *outside.HeaderNames) (http.Header, int) {
-	header := passed(given)
-	header.Del(keyHeader)
+func replicaHeaders(given http.Header, names *outside.HeaderNames) (http.Header, int) {
+	header := withoutHopByHop(given)
+	header.Del(authorizationHeader)
 	for _, name := range names.CallerOwned() {
 		name = http.CanonicalHeaderKey(name)
 		if values, found := given[name]; found {
--- a/entry/node.go
+++ b/entry/node.go
@@ -79,26 +79,26 @@
 	peers         *peer.Client
 	scheduling    *schedulingService
 	heartbeatConn network.DatagramSocket
-	inbound       net.Listener
+	peerListener  net.Listener
 	ctx           context.Context
 	cancel        context.CancelFunc
 	group         sync.WaitGroup
 	servers       []*http.Server
 	// callers is the one of the servers that callers come to.
-	callers  *http.Server
-	sequence atomic.Uint64
+	callerServer *http.Server
+	sequence     atomic.Uint64
 	// newsSending returns the bytes of news that are being sent.
-	newsSending func() int64
+	sendingBytes func() int64
 
 	catalog atomic.Pointer[catalog.Catalog]
 	// offers is held while a version is taken into force.
-	offers sync.Mutex
+	catalogMutex sync.Mutex
 	// library has the parts of the version in force, which others are sent through
 	// senders, and holders who was sent all of them.
-	library *dissemination.PartStore
-	senders dissemination.SendLimiter
-	holders dissemination.Sources
-	newer   staleness.NewerVersions
+	parts         *dissemination.PartStore
+	sendLimiter   dissemination.SendLimiter
+	sources       dissemination.Sources
+	newerVersions staleness.NewerVersions
 	// isConfigurationLarge is true once the store's configuration was found to take long on this link.
 	isConfigurationLarge atomic.Bool
 
@@ -137,22 +137,22 @@
 	readCalls int
 	// triedAt is when this node last called the store, and peersRequestedAt when it last asked for names
 	// of others.
-	triedAt, peersRequestedAt structs.Instant
+	storeCalledAt, peersRequestedAt structs.Instant
 	// lastContactAt is when any other node was heard of.
 	lastContactAt structs.Instant
 	storeFailedAt structs.Instant
 	// watchHealthy is true while this node follows the store without trouble, which it
 	// has done since steadyAt.
-	watchHealthy bool
-	steadyAt     structs.Instant
-	storeDown    bool
+	watchHealthy      bool
+	watchHealthySince structs.Instant
+	storeDown         bool
 	// readLimit bounds the next complete read of the store, and endWatch ends the watch
 	// that waits now.
-	readLimit time.Duration
-	endWatch  context.CancelFunc
+	nextReadTimeout time.Duration
+	cancelWatch     context.CancelFunc
 	// isWatchOver is true if the watch was ended for a complete read.
-	isWatchOver bool
-	newsAt      structs.Instant
+	isRereadRequested bool
+	updatedAt         structs.Instant
 	// catalogRevision is the place of the configuration that was decoded last.
 	catalogRevision structs.StorePosition
 	// era is what is known of the store's present era.
@@ -160,11 +160,11 @@
 	// fresh is of the replicas, and freshConfiguration of the configuration.
 	fresh, freshConfiguration staleness.Freshness
 	unackedFinishes           []unackedFinish
-	replicaLag                staleness.PullTracker[structs.StorePosition]
-	versionLag, poisonPull    staleness.PullTracker[int64]
+	replicaPull               staleness.PullTracker[structs.StorePosition]
+	versionPull, poisonPull   staleness.PullTracker[int64]
 	// problems are the entries of the store and the parts of answers that did not parse and were
 	// told of.
-	problems map[string]bool
+	loggedProblems map[string]bool
 	// disconnects are requests that replicas broke off which may have ended under them.
 	disconnects []unresolvedDisconnect
 	// resumedAt is when a pause of the process was last noticed.
@@ -186,8 +186,8 @@
 		deps: depend, log: depend.Log, metrics: metrics.NewRegistry(),
 		pool: replicahttp.NewPool(depend.Network), peers: peer.NewClient(depend.Network, nil),
 		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewTracker(), pushback: pushback.NewTracker(), zones: zones.NewTracker(),
-		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, problems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
-		library: dissemination.NewPartStore(), senders: dissemination.NewSendLimiter(settings.LinkMbps),
+		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, loggedProblems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
+		parts: dissemination.NewPartStore(), sendLimiter: dissemination.NewSendLimiter(settings.LinkMbps),
 	}
 	if n.deps.Now == nil {
 		started := time.Now()
@@ -199,7 +199,7 @@
 	n.scheduling = newSchedulingService(n.now, settings.retryPolicy(1), settings.FirstStart)
 	n.scheduling.rolloutPolicy = settings.rolloutPolicy()
 	n.scheduling.setRegions(settings.Regions)
-	n.scheduling.setContentPolicy(settings.contentPolicy())
+	n.scheduling.setContentPolicy(settings.poisonPolicy())
 	n.scheduling.onPoisonTransition = n.logPoisonTransition
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
@@ -217,13 +217,13 @@
 }
 
 // memoryShare is the part of the memory limit at which the collector works harder.
-const memoryShare = 0.6
+const memoryLimitShare = 0.6
 
 // Start listens and runs the node.
 func (n *Node) Start() error {
 	settings := n.settings.Load()
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Memory) * memoryShare * (1 << 20)))
+	if settings.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(float64(settings.MemoryLimitMB) * memoryLimitShare * (1 << 20)))
 	}
 	peerAddress := net.JoinHostPort(settings.Host, strconv.Itoa(settings.PeerPort))
 	if err := n.listenPeers(peerAddress); err != nil {
@@ -232,13 +232,13 @@
 	listeners := []struct {
 		address string
 		handler http.Handler
-	}{{settings.Callers, n}, {settings.Readiness, n.readiness()}, {settings.Operators, n.operators()}}
+	}{{settings.Callers, n}, {settings.Readiness, n.readinessHandler()}, {settings.Operators, n.operatorsHandler()}}
 	for _, listener := range listeners {
 		if err := n.listenHTTP(listener.address, listener.handler); err != nil {
 			return err
 		}
 	}
-	n.callers = n.servers[0]
+	n.callerServer = n.servers[0]
 	for _, loop := range []func(){n.watchLoop, n.readLoop, n.heartbeatLoop, n.receiveHeartbeats, n.zoneLoop, n.housekeeping, n.rolloutLoop, n.poisonSyncLoop, n.slowNodeLoop} {
 		n.group.Go(loop)
 	}
@@ -270,8 +270,8 @@
 	peer.Handle(server, peerwire.KindNews, n.serveUpdates)
 	peer.Handle(server, peerwire.KindContents, n.servePoisonRecords)
 	peer.Handle(server, peerwire.KindConfigurationParts, n.serveParts)
-	n.registerMemory(server)
-	n.inbound = listener
+	n.registerMemoryMetrics(server)
+	n.peerListener = listener
 	go server.Serve(n.ctx, listener)
 	return nil
 }
@@ -281,7 +281,7 @@
 const (
 	headerTimeout  = 4 * time.Second
 	idleTimeout    = 40 * time.Second
-	maximumHeaders = 16 << 10
+	maxHeaderBytes = 16 << 10
 )
 
 func (n *Node) listenHTTP(address string, handler http.Handler) error {
@@ -289,7 +289,7 @@
 	if err != nil {
 		return fmt.Errorf("listen at %s: %w", address, err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maximumHeaders}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	n.servers = append(n.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return nil
@@ -298,14 +298,14 @@
 // Reload takes changed settings into force; addresses stay until a restart.
 func (n *Node) Reload(settings *Settings) {
 	n.settings.Store(settings)
-	n.scheduling.setContentPolicy(settings.contentPolicy())
+	n.scheduling.setContentPolicy(settings.poisonPolicy())
 	n.scheduling.setRegions(settings.Regions)
 	n.log.Write(eventlog.Event{Kind: "process.reload", Outcome: "in-force"})
 }
 
 // Ready returns whether the balancer should send requests.
 func (n *Node) Ready() bool {
-	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.behindTooLong() {
+	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.isConfigurationStale() {
 		return false
 	}
 	n.mutex.Lock()
@@ -316,7 +316,7 @@
 // readinessDelay is how long a new process listens to heartbeats before it is ready.
 const readinessDelay = 400 * time.Millisecond
 
-func (n *Node) readiness() http.Handler {
+func (n *Node) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.deps.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.Ready() {
@@ -333,14 +333,14 @@
 // sampleSize is the number of observations that a histogram keeps, and
 // sampleDecay how strongly it prefers the latest.
 const (
-	sampleSize  = 256
-	sampleDecay = 0.015
+	histogramSampleSize = 256
+	histogramDecay      = 0.015
 )
 
 // observe enters a duration into the histogram with the name, in milliseconds.
-func (n *Node) observe(name string, duration time.Duration) {
+func (n *Node) recordDuration(name string, duration time.Duration) {
 	histogram := n.metrics.GetOrRegister(name, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleDecay))
+		return metrics.NewHistogram(metrics.NewExpDecaySample(histogramSampleSize, histogramDecay))
 	}).(metrics.Histogram)
 	histogram.Update(duration.Milliseconds())
 }
@@ -355,13 +355,13 @@
 	for n.sleep(housekeepingInterval) {
 		last = n.detectSuspension(last, housekeepingInterval)
 		n.pool.Sweep()
-		n.settleEra()
-		n.expireReplicas()
-		n.forgetVersionsOfDeadPeers()
+		n.endRestoreWindow()
+		n.removeUnconfirmed()
+		n.dropVersionsOfDeadPeers()
 		n.resendFinishes()
 		n.releaseDeadNodes()
 		n.scheduling.expirePoison()
-		n.tellMemory()
+		n.logSendingMemory()
 	}
 }
 
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -59,8 +59,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
-	status.Revision, status.Era, status.Restored = n.table.CompleteTo().Revision(), n.era.present, n.era.restoredFor(now).Milliseconds()
-	status.UpdatesAge, status.StoreDown = (now - n.newsAt).Milliseconds(), n.storeDown
+	status.Revision, status.Era, status.Restored = n.table.CompleteTo().Revision(), n.era.present, n.era.restoreWindowAge(now).Milliseconds()
+	status.UpdatesAge, status.StoreDown = (now - n.updatedAt).Milliseconds(), n.storeDown
 	status.Scheduler, status.Failing, status.Replicas = n.scheduler, n.health.Failing(now), n.table.All()
 	status.NonDelegate, status.Fleet = n.isNonDelegate, n.fleet
 	status.Pushback = n.pushbackStatus(now)
@@ -83,7 +83,7 @@
 	PathUnblock = "/barred/lift/"
 )
 
-func (n *Node) operators() http.Handler {
+func (n *Node) operatorsHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/entry/request_log.go
+++ b/entry/request_log.go
@@ -9,10 +9,10 @@
 // All other lines are written at once, so that they outlive the process.
 
 // maximumLines bounds the lines that are held for one request.
-const maximumLines = 24
+const maxBufferedEvents = 24
 
 // event returns a line with what names the request.
-func (c *call) event(kind string) eventlog.Event {
+func (c *call) newEvent(kind string) eventlog.Event {
 	event := eventlog.Event{
 		Kind: kind, Request: c.id, Service: c.service,
 		Took: c.age().Milliseconds(), Waited: c.waited.Milliseconds(),
@@ -30,26 +30,26 @@
 }
 
 // note writes a line, or holds it.
-func (c *call) note(event eventlog.Event) {
+func (c *call) logEvent(event eventlog.Event) {
 	switch {
-	case c.kept:
+	case c.alwaysLogged:
 		c.node.log.Write(event)
-	case len(c.lines) < maximumLines:
-		c.lines = append(c.lines, c.node.log.Stamp(event))
+	case len(c.bufferedEvents) < maxBufferedEvents:
+		c.bufferedEvents = append(c.bufferedEvents, c.node.log.Stamp(event))
 	}
 }
 
 // noteReceived tells what the request is and by which configuration it is served.
-func (c *call) noteReceived(version int64) {
-	event := c.event("request.received")
-	event.Version, event.Prompt, event.Answer = version, c.prompt, c.expectedTokens()
+func (c *call) logReceived(version int64) {
+	event := c.newEvent("request.received")
+	event.Version, event.Prompt, event.Answer = version, c.promptTokens, c.expectedOutputTokens()
 	event.Remaining = c.remaining().Milliseconds()
-	c.note(event)
+	c.logEvent(event)
 }
 
 // notePlace tells the scheduling node's decision and what it went by.
-func (c *call) notePlace(given *grant) {
-	event := c.event("request.placed")
+func (c *call) logAssignment(given *grant) {
+	event := c.newEvent("request.placed")
 	event.Peer, event.Priority, event.Repeat = given.scheduler, c.priority(), c.sends > 0
 	if given.asked > 1 {
 		event.Asked = given.asked
@@ -61,33 +61,33 @@
 		event.Outcome, event.Replica = "granted", given.Replica.ID
 		event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
 	}
-	c.note(event)
+	c.logEvent(event)
 }
 
 // noteSend tells what became of one send.
-func (c *call) noteSend(given *grant, outcome result) {
-	event := c.event("request.sent")
+func (c *call) logSend(given *grant, outcome result) {
+	event := c.newEvent("request.sent")
 	event.Replica, event.Outcome, event.Peer = given.Replica.ID, outcome.String(), given.scheduler
 	event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
-	event.Count, event.Reason = c.sends, string(c.broke)
-	event.First, event.Pause = c.firstEvent.Milliseconds(), c.longestPause.Milliseconds()
-	c.note(event)
+	event.Count, event.Reason = c.sends, string(c.lastFailure)
+	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
+	c.logEvent(event)
 	c.node.counter("sends." + outcome.String()).Inc(1)
 }
 
 // noteEnd writes the last line of the request and those before it.
-func (c *call) noteEnd(event eventlog.Event) {
+func (c *call) recordEnd(event eventlog.Event) {
 	c.ended = true
-	event.First, event.Pause = c.firstEvent.Milliseconds(), c.longestPause.Milliseconds()
-	event.Prompt, event.Answer = c.prompt, c.expectedTokens()
-	c.note(event)
+	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
+	event.Prompt, event.Answer = c.promptTokens, c.expectedOutputTokens()
+	c.logEvent(event)
 	c.node.counter("requests." + event.Outcome).Inc(1)
-	c.node.observe("request_ms."+event.Outcome, c.age())
+	c.node.recordDuration("request_ms."+event.Outcome, c.age())
 	if event.Outcome == outcomeAnswered {
-		c.node.log.LeftOut(len(c.lines))
+		c.node.log.LeftOut(len(c.bufferedEvents))
 		return
 	}
-	for _, line := range c.lines {
+	for _, line := range c.bufferedEvents {
 		c.node.log.Write(line)
 	}
 }
@@ -100,11 +100,11 @@
 )
 
 // noteLeft ends the lines of a request whose caller left in the middle of it.
-func (c *call) noteLeft() {
+func (c *call) logCallerLeft() {
 	if c.ended {
 		return
 	}
-	event := c.event("request.ended")
+	event := c.newEvent("request.ended")
 	event.Outcome, event.Reason = outcomeUnknown, "caller-left"
-	c.noteEnd(event)
+	c.recordEnd(event)
 }
--- a/entry/response.go
+++ b/entry/response.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	catalogStreaming = catalog.KindStreaming
-	catalogSafe      = catalog.KindSafe
+	kindStreaming = catalog.KindStreaming
+	kindSafe      = catalog.KindSafe
 )
 
 // maximumAnswer bounds the answer of a plain service that is held in memory.
-const maximumAnswer = 8 << 20
+const maxPlainResponseBytes = 8 << 20
 
 // relay passes the replica's answer on to the caller.
 func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
@@ -28,62 +28,62 @@
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	switch {
 	case proven:
-		return c.rejected(answer, replica)
+		return c.handleRejection(answer, replica)
 	case answer.Header.Get(names.Signature) == "" || success && answer.Header.Get("Content-Encoding") != "":
-		return c.broken(replica.ID, nil), admission.Observation{}
-	case success && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream):
+		return c.recordIncomplete(replica.ID, nil), admission.Observation{}
+	case success && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStreamType):
 		return c.relayStream(answer, replica, sent)
 	}
-	return c.relayWhole(answer, replica, success)
+	return c.relayBuffered(answer, replica, success)
 }
 
 // eventStream is the content type of series of events.
-const eventStream = "text/event-stream"
+const eventStreamType = "text/event-stream"
 
 // rejected handles the proof that the replica did not run the request.
-func (c *call) rejected(answer *replicahttp.Answer, replica replicas.Replica) (result, admission.Observation) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maximumStray))
+func (c *call) handleRejection(answer *replicahttp.Answer, replica replicas.Replica) (result, admission.Observation) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRejectionBytes))
 	if answer.StatusCode == http.StatusMisdirectedRequest {
-		c.node.noteUnreachable(replica.ID)
+		c.node.recordUnreachable(replica.ID)
 	}
 	return resultRejected, admission.Observation{}
 }
 
 // maximumStray bounds what is read of a rejection.
-const maximumStray = 64 << 10
+const maxRejectionBytes = 64 << 10
 
 // relayWhole reads the whole answer before the caller gets any of it, so that
 // one that is cut short is never passed on.
-func (c *call) relayWhole(answer *replicahttp.Answer, replica replicas.Replica, success bool) (result, admission.Observation) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maximumAnswer))
-	if err != nil || len(body) == maximumAnswer {
-		return c.broken(replica.ID, err), admission.Observation{}
+func (c *call) relayBuffered(answer *replicahttp.Answer, replica replicas.Replica, success bool) (result, admission.Observation) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlainResponseBytes))
+	if err != nil || len(body) == maxPlainResponseBytes {
+		return c.recordIncomplete(replica.ID, err), admission.Observation{}
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
-	c.node.noteAnswered(replica.ID)
+	c.node.recordSuccess(replica.ID)
 	if failed && !c.headSent && c.route.Repeatable() && c.sends+1 < c.route.MaxAttempts && c.ctx.Err() == nil {
-		return resultFailed, admission.Observation{}
+		return resultServerError, admission.Observation{}
 	}
 	if c.headSent {
-		return resultBroken, admission.Observation{}
+		return resultIncomplete, admission.Observation{}
 	}
-	c.copyHead(answer)
+	c.copyHeader(answer)
 	if len(body) > 0 || c.request.Method != http.MethodHead {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	c.headSent = true
 	c.writer.WriteHeader(answer.StatusCode)
 	if _, err := c.writer.Write(body); err != nil {
-		return resultLeft, admission.Observation{}
+		return resultCallerLeft, admission.Observation{}
 	}
-	c.answered(answer.StatusCode, replica.ID)
+	c.recordAnswer(answer.StatusCode, replica.ID)
 	return resultAnswered, admission.Observation{Failed: failed}
 }
 
 // copyHead sets the headers of the replica's answer.
-func (c *call) copyHead(answer *replicahttp.Answer) {
+func (c *call) copyHeader(answer *replicahttp.Answer) {
 	header := c.writer.Header()
-	for name, values := range passed(answer.Header) {
+	for name, values := range withoutHopByHop(answer.Header) {
 		header[name] = values
 	}
 	if _, given := answer.Header["Content-Type"]; !given {
--- a/entry/send_failure.go
+++ b/entry/send_failure.go
@@ -10,42 +10,42 @@
 )
 
 // breakCause says how a send to a replica broke.
-type breakCause string
+type failureCause string
 
 // The causes.
 const (
 	// breakNone is the cause of a send that did not break.
-	breakNone breakCause = ""
+	causeNone failureCause = ""
 	// breakClosed means that the replica's side closed or reset the connection.
-	breakClosed breakCause = "closed-by-replica"
+	causeClosed failureCause = "closed-by-replica"
 	// breakSilent means that this node gave up waiting.
-	breakSilent breakCause = "silent"
+	causeTimeout failureCause = "silent"
 	// breakRefused means that nobody listened at the replica's address, and breakUnreachable
 	// that no connection came up for another reason. Nothing was sent.
-	breakRefused     breakCause = "connection-refused"
-	breakUnreachable breakCause = "unreachable"
+	causeRefused     failureCause = "connection-refused"
+	causeUnreachable failureCause = "unreachable"
 	// breakSpoiled means that what came is not this request's answer.
-	breakSpoiled breakCause = "spoiled"
+	causeInvalidResponse failureCause = "spoiled"
 )
 
 // closes are what a connection returns that the other side ended.
-var closes = []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE}
+var connectionClosedErrors = []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE}
 
 // causeOf tells why an exchange with a replica ended with the error.
-func causeOf(err error) breakCause {
+func failureCauseOf(err error) failureCause {
 	var timeout net.Error
 	switch {
 	case err == nil:
-		return breakSpoiled
+		return causeInvalidResponse
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded), errors.Is(err, net.ErrClosed):
-		return breakSilent
+		return causeTimeout
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return breakSilent
+		return causeTimeout
 	}
-	for _, closed := range closes {
+	for _, closed := range connectionClosedErrors {
 		if errors.Is(err, closed) {
-			return breakClosed
+			return causeClosed
 		}
 	}
-	return breakSpoiled
+	return causeInvalidResponse
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -18,19 +18,19 @@
 	var tried []string
 	runs := 0
 	for {
-		given := c.node.requestAssignment(c.ctx, c.placeRequest(tried, c.sends > 0))
+		given := c.node.requestAssignment(c.ctx, c.newAssignRequest(tried, c.sends > 0))
 		c.waited += given.Waited
-		c.node.observe("place_wait_ms", given.Waited)
-		c.notePlace(given)
+		c.node.recordDuration("place_wait_ms", given.Waited)
+		c.logAssignment(given)
 		if given.Reason != "" {
-			c.unplaced(given, runs)
+			c.endUnassigned(given, runs)
 			return
 		}
 		if !c.node.maySend(given) {
 			c.node.finish(given, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
 			tried = append(tried, given.Replica.ID)
-			if len(tried) >= maximumSends {
-				c.giveUp(resultNotSent, runs)
+			if len(tried) >= maxSends {
+				c.endUnanswered(resultNotSent, runs)
 				return
 			}
 			continue
@@ -40,21 +40,21 @@
 			c.sends++
 		}
 		c.finish(given, outcome, seen)
-		c.noteSend(given, outcome)
-		if outcome == resultBroken || outcome == resultFailed {
+		c.logSend(given, outcome)
+		if outcome == resultIncomplete || outcome == resultServerError {
 			runs++
 		}
 		if outcome == resultAnswered {
 			c.endAnswered()
 			return
 		}
-		if outcome == resultLeft {
+		if outcome == resultCallerLeft {
 			return
 		}
 		c.resumed = c.resumed || c.headSent
 		tried = append(tried, given.Replica.ID)
-		if !c.mayRepeat(outcome, runs, len(tried)-c.refusedConnects) {
-			c.giveUp(outcome, runs)
+		if !c.mayRetry(outcome, runs, len(tried)-c.refusedConnects) {
+			c.endUnanswered(outcome, runs)
 			return
 		}
 	}
@@ -64,25 +64,25 @@
 // send ended.
 func (c *call) finish(given *grant, outcome result, seen admission.Observation) {
 	finished := &finishRequest{ID: given.id, Seen: seen, NotRun: outcome == resultNotSent || outcome == resultRejected, Content: c.fingerprint}
-	finished.Seen.Whole = outcome == resultAnswered || outcome == resultFailed
-	if outcome == resultBroken {
-		c.noteLife(given, finished)
+	finished.Seen.Whole = outcome == resultAnswered || outcome == resultServerError
+	if outcome == resultIncomplete {
+		c.checkReplicaCrash(given, finished)
 	}
 	if given.address != "" {
-		c.node.scheduling.observe(c.service, c.prompt, finished, given.Replica.ID)
+		c.node.scheduling.observe(c.service, c.promptTokens, finished, given.Replica.ID)
 	}
 	c.node.finish(given, finished)
 }
 
 // noteLife finds out whether the replica that broke the request off ended under it. Where that
 // can't be told yet, it is remembered.
-func (c *call) noteLife(given *grant, finished *finishRequest) {
+func (c *call) checkReplicaCrash(given *grant, finished *finishRequest) {
 	ended := &crashedIncarnation{Life: poisonrecords.IncarnationOf(given.Replica.ID, given.Replica.StartedAt), Service: c.service, Route: c.route.Name}
 	state := incarnationUnknown // of one that fell silent
-	switch c.broke {
-	case breakClosed:
+	switch c.lastFailure {
+	case causeClosed:
 		state = c.node.probeIncarnation(given.Replica)
-	case breakSpoiled:
+	case causeInvalidResponse:
 		return
 	}
 	switch state {
@@ -100,14 +100,14 @@
 func (n *Node) maySend(given *grant) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.isOpen(given)
+	return n.maySendLocked(given)
 }
 
 // beginSend is maySend just before the request is written, and enters that it is.
 func (n *Node) beginSend(given *grant) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.isOpen(given) {
+	if !n.maySendLocked(given) {
 		return false
 	}
 	n.pushback.Sent(n.now(), pushback.IncarnationOf(given.Replica))
@@ -115,7 +115,7 @@
 }
 
 // isOpen is maySend for who holds the mutex.
-func (n *Node) isOpen(given *grant) bool {
+func (n *Node) maySendLocked(given *grant) bool {
 	life := pushback.IncarnationOf(given.Replica)
 	if n.evacuations.IsEvacuated(given.Replica.Zone) || n.pushback.IsLeaving(life) || n.pushback.PauseLeft(n.now(), life) > 0 {
 		return false
@@ -128,7 +128,7 @@
 }
 
 // placeRequest describes the request to the scheduling node.
-func (c *call) placeRequest(tried []string, repeat bool) *assignRequest {
+func (c *call) newAssignRequest(tried []string, repeat bool) *assignRequest {
 	node := c.node
 	node.mutex.Lock()
 	doubted := append(node.health.Failing(node.now()), node.unreachableZoneReplicas()...)
@@ -137,10 +137,10 @@
 		Request: admission.Request{
 			ID:   node.process() + "." + strconv.FormatUint(node.sequence.Add(1), 36),
 			Node: node.process(), Zone: node.settings.Load().Zone, Service: c.service, Route: c.route.Name, Priority: c.priority(),
-			Content: c.fingerprint, Prompt: c.prompt, Answer: c.expectedTokens(), Tried: tried, Doubted: doubted,
-			Stride: c.stride(), Pause: c.route.TargetEventGap, Yields: c.route.Priority >= yieldFrom,
+			Content: c.fingerprint, Prompt: c.promptTokens, Answer: c.expectedOutputTokens(), Tried: tried, Doubted: doubted,
+			Stride: c.tokensPerEvent(), Pause: c.route.TargetEventGap, Yields: c.route.Priority >= minYieldPriority,
 			Deadline: c.remaining(),
-			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.patience(),
+			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.maxQueueWait(),
 		},
 		First: len(tried) == 0, Repeat: repeat, Heard: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
 	}
@@ -149,13 +149,13 @@
 		if c.tenant.Rate > 0 {
 			request.Limit = node.settings.Load().quotaLimit(c.tenant.Rate, c.tenant.Burst)
 		}
-		request.Cost = c.cost()
+		request.Cost = c.quotaCost()
 	}
 	return request
 }
 
 // identify takes the request's fingerprint, once its body is read.
-func (c *call) identify() {
+func (c *call) computeFingerprint() {
 	caller := ""
 	if c.tenant != nil {
 		caller = c.tenant.Name
@@ -165,53 +165,53 @@
 
 // routePriorities is more than any route's priority, so that the tenant's goes
 // ahead of it.
-const routePriorities = 64
+const routePriorityRange = 64
 
 // priority orders requests by the tenant's priority and then the route's.
 func (c *call) priority() int {
 	if c.tenant != nil && c.tenant.HasPriority {
-		return c.tenant.Priority*routePriorities + c.route.Priority
+		return c.tenant.Priority*routePriorityRange + c.route.Priority
 	}
 	return c.route.Priority
 }
 
 // yieldFrom is the first priority of routes whose requests leave some places
 // free for more urgent ones.
-const yieldFrom = 2
+const minYieldPriority = 2
 
 // expectedTokens is the likely length of the answer.
-func (c *call) expectedTokens() int {
-	if c.hint > 0 && c.output > 0 {
-		return min(c.hint, c.output)
+func (c *call) expectedOutputTokens() int {
+	if c.lengthHint > 0 && c.outputTokens > 0 {
+		return min(c.lengthHint, c.outputTokens)
 	}
-	return c.hint
+	return c.lengthHint
 }
 
 // cost is what the request takes of its tenant's quota.
-func (c *call) cost() float64 {
+func (c *call) quotaCost() float64 {
 	switch {
 	case !c.tenant.CountTokens:
 		return 1
-	case c.prompt+c.output > 0:
-		return float64(c.prompt + c.output)
+	case c.promptTokens+c.outputTokens > 0:
+		return float64(c.promptTokens + c.outputTokens)
 	default:
 		return float64(c.tenant.DefaultTokens)
 	}
 }
 
 // patience is how long the request may wait for a place.
-func (c *call) patience() time.Duration {
+func (c *call) maxQueueWait() time.Duration {
 	left := c.remaining()
-	if c.route.Kind == catalogStreaming {
-		silence := max(minimumSilence, silenceTargets*c.route.TargetLatency, silenceGaps*c.route.TargetEventGap)
+	if c.route.Kind == kindStreaming {
+		silence := max(minSilence, silenceTargetLatencies*c.route.TargetLatency, silenceEventGaps*c.route.TargetEventGap)
 		left = min(left, silence-c.age())
 	}
-	return max(time.Duration(float64(left)*patienceShare), 0)
+	return max(time.Duration(float64(left)*queueWaitShare), 0)
 }
 
 // mayRepeat returns whether the request may be sent to another replica.
-func (c *call) mayRepeat(outcome result, runs, tried int) bool {
-	if c.ctx.Err() != nil || tried >= maximumSends || c.refusedConnects >= maximumRefusedConnects {
+func (c *call) mayRetry(outcome result, runs, tried int) bool {
+	if c.ctx.Err() != nil || tried >= maxSends || c.refusedConnects >= maxRefusedConnects {
 		return false
 	}
 	switch outcome {
@@ -223,22 +223,22 @@
 }
 
 // giveUp answers a request that is not sent again.
-func (c *call) giveUp(outcome result, runs int) {
+func (c *call) endUnanswered(outcome result, runs int) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.end(http.StatusServiceUnavailable, outcomeOf(runs), "caller-left")
+		c.end(http.StatusServiceUnavailable, outcomeForRuns(runs), "caller-left")
 	case runs > 0 && c.ctx.Err() != nil:
-		c.fail(http.StatusGatewayTimeout, "deadline")
+		c.endOutcomeUnknown(http.StatusGatewayTimeout, "deadline")
 	case runs > 0:
-		c.fail(http.StatusBadGateway, "replica-broke-off")
+		c.endOutcomeUnknown(http.StatusBadGateway, "replica-broke-off")
 	case outcome == resultRejected:
-		c.refuse(http.StatusServiceUnavailable, "replicas-full", retryRejected)
+		c.endNotRun(http.StatusServiceUnavailable, "replicas-full", retryAfterRejected)
 	default:
-		c.refuse(http.StatusServiceUnavailable, "replicas-unreachable", retryRejected)
+		c.endNotRun(http.StatusServiceUnavailable, "replicas-unreachable", retryAfterRejected)
 	}
 }
 
-func outcomeOf(runs int) string {
+func outcomeForRuns(runs int) string {
 	if runs > 0 {
 		return outcomeUnknown
 	}
@@ -246,18 +246,18 @@
 }
 
 // retryRejected is when a caller should come back whom several replicas rejected.
-const retryRejected = 400 * time.Millisecond
+const retryAfterRejected = 400 * time.Millisecond
 
 // unplaced answers a request for which there is no place.
-func (c *call) unplaced(given *grant, runs int) {
+func (c *call) endUnassigned(given *grant, runs int) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.end(http.StatusServiceUnavailable, outcomeOf(runs), "caller-left")
+		c.end(http.StatusServiceUnavailable, outcomeForRuns(runs), "caller-left")
 	case runs > 0:
-		c.fail(http.StatusBadGateway, "replica-broke-off")
+		c.endOutcomeUnknown(http.StatusBadGateway, "replica-broke-off")
 	case given.Reason == reasonQuota:
-		c.refuse(http.StatusTooManyRequests, reasonQuota, given.RetryAfter)
+		c.endNotRun(http.StatusTooManyRequests, reasonQuota, given.RetryAfter)
 	default:
-		c.refuse(http.StatusServiceUnavailable, given.Reason, max(given.RetryAfter, retryRejected))
+		c.endNotRun(http.StatusServiceUnavailable, given.Reason, max(given.RetryAfter, retryAfterRejected))
 	}
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -43,7 +43,7 @@
 	// everywhere, in milliseconds.
 	ConfigurationBound int `yaml:"configuration_bound_ms"`
 	// Memory is the limit of the process in megabytes; zero means none.
-	Memory int `yaml:"memory_mb"`
+	MemoryLimitMB int `yaml:"memory_mb"`
 	// Cores is the share of processors that the process may use; stronger nodes
 	// are preferred for scheduling.
 	Cores float64 `yaml:"cores"`
@@ -96,8 +96,8 @@
 }
 
 const (
-	highestPort   = 65535
-	minimumMemory = 32
+	maxPort     = 65535
+	minMemoryMB = 32
 )
 
 func (s *Settings) check() error {
@@ -119,7 +119,7 @@
 		path             string
 		value, low, high float64
 	}{
-		{"peer_port", float64(s.PeerPort), 1, highestPort},
+		{"peer_port", float64(s.PeerPort), 1, maxPort},
 		{"stop_grace_ms", float64(s.StopGrace), 100, 600_000},
 		{"contact_ms", float64(s.StoreRecoveryWindow), 1, 600_000},
 		{"configuration_bound_ms", float64(s.ConfigurationBound), 100, 600_000},
@@ -142,8 +142,8 @@
 			return errkind.New(errkind.InvalidSettings, "%s: %v is not in %v to %v", field.path, field.value, field.low, field.high)
 		}
 	}
-	if s.Memory != 0 && s.Memory < minimumMemory {
-		return errkind.New(errkind.InvalidSettings, "memory_mb: %d is less than %d; leave it out for no limit", s.Memory, minimumMemory)
+	if s.MemoryLimitMB != 0 && s.MemoryLimitMB < minMemoryMB {
+		return errkind.New(errkind.InvalidSettings, "memory_mb: %d is less than %d; leave it out for no limit", s.MemoryLimitMB, minMemoryMB)
 	}
 	return nil
 }
@@ -151,11 +151,11 @@
 // ratioPart is the part of the allowed ratio that is used. The rest covers repeats that were given
 // shortly before a window begins and arrive in it: a connect takes 300 ms at most, which is 3 in
 // 100 of a window of ten seconds.
-const ratioPart = 0.9
+const retryRatioShare = 0.9
 
 func (s *Settings) retryPolicy(share float64) retrybudget.Policy {
 	return retrybudget.Policy{
-		Ratio: s.RetryRatio * ratioPart, Slack: s.RetrySlack * share,
+		Ratio: s.RetryRatio * retryRatioShare, Slack: s.RetrySlack * share,
 		Window: time.Duration(s.RetryWindow * float64(time.Second)),
 	}
 }
@@ -165,8 +165,8 @@
 // rest is for scheduling nodes that take over from each other and for requests larger
 // than the burst.
 const (
-	usedTolerance = 0.9
-	debtTolerance = 0.05
+	quotaBucketShare = 0.9
+	quotaDebtShare   = 0.05
 )
 
 // quotaLimit returns what is handed out for a quota. The users allow some more
@@ -176,9 +176,9 @@
 func (s *Settings) quotaLimit(rate, burst float64) quota.Limit {
 	allowed := (rate*s.QuotaWindow+burst)*(1+s.QuotaOverage) + s.QuotaSlack
 	return quota.Limit{
-		Rate:  max((allowed*usedTolerance-burst)/s.QuotaWindow, rate),
+		Rate:  max((allowed*quotaBucketShare-burst)/s.QuotaWindow, rate),
 		Burst: burst,
-		Debt:  allowed * debtTolerance,
+		Debt:  allowed * quotaDebtShare,
 	}
 }
 
@@ -188,7 +188,7 @@
 
 // warmings returns what cold replicas get of each service. Where the settings bound nothing, or a
 // service's replicas are never cold, that is not bounded.
-func (s *Settings) warmings(services []catalog.Service) map[string]admission.SlowStart {
+func (s *Settings) slowStarts(services []catalog.Service) map[string]admission.SlowStart {
 	warmings := make(map[string]admission.SlowStart, len(services))
 	for _, service := range services {
 		allowed := service.SlowStartRate*s.SlowStartOverage + s.SlowStartSlack
@@ -200,7 +200,7 @@
 	return warmings
 }
 
-func (s *Settings) contentPolicy() poison.Policy {
+func (s *Settings) poisonPolicy() poison.Policy {
 	policy := poison.DefaultPolicy()
 	policy.CrashThreshold = s.BlockedAfter
 	return policy
@@ -210,10 +210,10 @@
 
 // behindLimit is how long a node goes on serving by its configuration after it heard of
 // a newer one.
-func (s *Settings) behindLimit() time.Duration {
-	return time.Duration(behindShare * float64(s.ConfigurationBound) * float64(time.Millisecond))
+func (s *Settings) maxBehindTime() time.Duration {
+	return time.Duration(maxBehindShare * float64(s.ConfigurationBound) * float64(time.Millisecond))
 }
 
-func (s *Settings) contact() time.Duration {
+func (s *Settings) storeRecoveryWindow() time.Duration {
 	return time.Duration(s.StoreRecoveryWindow) * time.Millisecond
 }
--- a/entry/settings_test.go
+++ b/entry/settings_test.go
@@ -10,7 +10,7 @@
 )
 
 // rendered fills the deployment's template by the few forms that it uses.
-func rendered(t testing.TB, values map[string]string) string {
+func renderTemplate(t testing.TB, values map[string]string) string {
 	template, err := os.ReadFile("../deploy/settings.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	})
 }
 
-func sample() map[string]string {
+func templateValues() map[string]string {
 	return map[string]string{
 		"node_name": "edge-1", "zone": "z", "zones": `"z": "r", "y": "r"`, "listen.front": "10.0.0.1:80", "listen.readiness": "10.0.0.1:81", "listen.control": "10.0.0.1:82",
 		"ip": "10.0.0.1", "internal_ports.0": "7600", "seeds": `"10.0.0.1:82","10.0.0.2:82"`, "platform.address": "10.9.9.9:83",
@@ -39,7 +39,7 @@
 
 func TestTemplateRendersValidSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
-	settings, err := ParseSettings([]byte(rendered(t, sample())))
+	settings, err := ParseSettings([]byte(renderTemplate(t, templateValues())))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(settings.Seeds).To(gomega.Equal([]string{"10.0.0.1:82", "10.0.0.2:82"}))
 	g.Expect(settings.Regions).To(gomega.Equal(map[string]string{"z": "r", "y": "r"}))
@@ -48,13 +48,13 @@
 	g.Expect(settings.FirstStart).To(gomega.BeTrue())
 }
 
-func TestUnknownFieldsPass(t *testing.T) {
+func TestUnknownSettingsAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := ParseSettings([]byte(rendered(t, sample()) + "new_field: [1, 2]\n"))
+	_, err := ParseSettings([]byte(renderTemplate(t, templateValues()) + "new_field: [1, 2]\n"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestWrongSettingsNamePathValueAndRemedy(t *testing.T) {
+func TestInvalidSettingsErrorNamesFieldValueAndRemedy(t *testing.T) {
 	for _, wrong := range []struct{ field, value, message string }{
 		{"node_name", "", `name: "" is empty: give each node a name of its own`},
 		{"platform.address", "", `store: "" is empty`},
@@ -64,9 +64,9 @@
 		{"bounds.contact_ms", "soon", "contact_ms"},
 	} {
 		t.Run(wrong.field, func(t *testing.T) {
-			values := sample()
+			values := templateValues()
 			values[wrong.field] = wrong.value
-			_, err := ParseSettings([]byte(rendered(t, values)))
+			_, err := ParseSettings([]byte(renderTemplate(t, values)))
 			gomega.NewWithT(t).Expect(err).To(gomega.MatchError(gomega.ContainSubstring(wrong.message)))
 		})
 	}
@@ -79,9 +79,9 @@
 	f.Add("{", "-1", "9e99")
 	f.Add("\": x", "[", "*a")
 	f.Fuzz(func(t *testing.T, name, port, grace string) {
-		values := sample()
+		values := templateValues()
 		values["node_name"], values["internal_ports.0"], values["bounds.grace_s"] = name, port, grace
-		settings, err := ParseSettings([]byte(rendered(t, values)))
+		settings, err := ParseSettings([]byte(renderTemplate(t, values)))
 		if err == nil && (settings.Name == "" || settings.PeerPort < 1) {
 			t.Fatalf("accepted %+v", settings)
 		}
@@ -99,8 +99,8 @@
 		var passed, pending []byte
 		for _, piece := range []string{text[:cut], text[cut:]} {
 			pending = append(pending, piece...)
-			whole := lastEventEnd(pending)
-			passed = append(passed, c.newEvents(pending[:whole], &count)...)
+			whole := completeEventsLength(pending)
+			passed = append(passed, c.unsentEvents(pending[:whole], &count)...)
 			pending = append([]byte(nil), pending[whole:]...)
 		}
 		if string(passed)+string(pending) != text {
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -12,12 +12,12 @@
 	// lookAway is the time in which the balancer learns that the node leaves.
 	// Connections that rest are closed then: the callers' next requests come by new
 	// ones, which lead to other nodes.
-	lookAway = 2500 * time.Millisecond
+	balancerUpdateTime = 2500 * time.Millisecond
 	// refuseAfter is when requests that still come are refused.
-	refuseAfter = 2900 * time.Millisecond
+	rejectAfter = 2900 * time.Millisecond
 	// stopMargin is kept before the process would be killed.
-	stopMargin = 700 * time.Millisecond
-	stopPoll   = 50 * time.Millisecond
+	stopMargin       = 700 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Stop is a planned stop: not ready at once, then serving until the balancer
@@ -30,14 +30,14 @@
 	limit := n.settings.Load().stopGrace() - stopMargin
 	closed := false
 	for n.now()-begun < limit {
-		if n.now()-begun > lookAway && !closed {
-			n.callers.SetKeepAlivesEnabled(false)
+		if n.now()-begun > balancerUpdateTime && !closed {
+			n.callerServer.SetKeepAlivesEnabled(false)
 			closed = true
 		}
 		if closed && n.inFlight.Load() == 0 {
 			break
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
@@ -54,14 +54,14 @@
 	for _, server := range n.servers {
 		_ = server.Close()
 	}
-	_ = n.inbound.Close()
+	_ = n.peerListener.Close()
 	_ = n.heartbeatConn.Close()
 	n.peers.Close()
 	n.group.Wait()
 }
 
 // stopped returns for how long the node has been stopping, or zero.
-func (n *Node) stopped() time.Duration {
+func (n *Node) stoppingFor() time.Duration {
 	begun := n.stopping.Load()
 	if begun == 0 {
 		return 0
--- a/entry/store.go
+++ b/entry/store.go
@@ -18,83 +18,83 @@
 const (
 	// readTimeout bounds a complete read. Each one that takes longer doubles it, up to
 	// longestRead, since a store that is slow answers in the end.
-	readTimeout = 800 * time.Millisecond
-	longestRead = 3200 * time.Millisecond
+	readTimeout    = 800 * time.Millisecond
+	maxReadTimeout = 3200 * time.Millisecond
 	// slowMargin is how many times longer than the last read the next one may take.
-	slowMargin = 2
+	readTimeFactor = 2
 	// watchWait is how long a watch without news is held; each is a priced call.
-	watchWait = 10 * time.Second
+	watchDuration = 10 * time.Second
 	// watchMargin is added for the answer to arrive.
 	watchMargin = 2 * time.Second
 	// watchDelay is how much later than a call's answer the watch may bring what came before it:
 	// it gathers news for watchGather.
-	watchDelay   = watchGather + 40*time.Millisecond
-	firstPause   = 150 * time.Millisecond
-	longestPause = time.Second
+	maxWatchDelay = watchBatchTime + 40*time.Millisecond
+	minBackoff    = 150 * time.Millisecond
+	maxBackoff    = time.Second
 	// rereadAfter bounds the time between two complete reads.
-	rereadAfter = 60 * time.Second
+	fullReadInterval = 60 * time.Second
 	// transferMargin is how many times longer a read may take than the configuration
 	// alone would take on this node's link if nothing else used it.
-	transferMargin = 3
+	transferTimeFactor = 3
 	// narrowLink is the bandwidth below which a node first waits for its peers, in
 	// megabits a second: a configuration of 5,600 routes, 2.4 MB from the store, takes
 	// 0.4 s of it.
-	narrowLink = 50
+	narrowLinkMbps = 50
 	// quickRead is how long an answer of the store may occupy a narrow link at the start of
 	// a process. What is longer is left to peers; a configuration of some hundred routes is
 	// not, since after a loss of power peers have it no sooner: then half of 295 nodes
 	// waited for it for a second.
-	quickRead = 100 * time.Millisecond
+	maxNarrowLinkReadTime = 100 * time.Millisecond
 	// startPatience is how long it does so, which is less than readinessDelay, if it then
 	// follows the store for others, and followerPatience if others do: as long as one of
 	// these with a narrow link takes. startPoll is the time between looks.
-	startPatience    = 300 * time.Millisecond
-	followerPatience = 2500 * time.Millisecond
-	startPoll        = 20 * time.Millisecond
+	watchingNodePeerWait = 300 * time.Millisecond
+	followerPeerWait     = 2500 * time.Millisecond
+	startPollInterval    = 20 * time.Millisecond
 )
 
 // watchLoop follows the directory: a complete read, then watches from there,
 // and a complete read again whenever a watch fails.
 func (n *Node) watchLoop() {
-	pause := firstPause
+	pause := minBackoff
 	known := false
 	n.awaitPeers()
 	for n.ctx.Err() == nil {
-		if (known || n.isInformed() || n.awaitsDelegates()) && !n.callsStore() {
-			n.setSteady(false)
+		if (known || n.hasConfigurationAndReplicas() || n.waitsForDelegates()) && !n.shouldCallStore() {
+			n.setWatchHealthy(false)
 			n.sleep(heartbeatInterval)
 			continue
 		}
-		scope := n.scope()
+		scope := n.readScope()
 		revision, err := n.read(scope)
 		if errors.Is(err, errkind.TooLarge) {
 			n.isConfigurationLarge.Store(true)
 			continue
 		}
 		if errors.Is(err, errkind.OtherEra) {
-			n.sleep(firstPause)
+			n.sleep(minBackoff)
 			continue
 		}
 		if err != nil {
-			n.storeFailed(err)
+			n.recordStoreFailure(err)
 			if !n.sleep(pause) {
 				return
 			}
-			pause = min(pause*2, longestPause)
+			pause = min(pause*2, maxBackoff)
 			continue
 		}
-		n.storeAnswered()
-		n.setSteady(true)
-		pause = firstPause
+		n.recordStoreSuccess()
+		n.setWatchHealthy(true)
+		pause = minBackoff
 		if scope == outside.ScopeReplicas && !n.awaitConfiguration() {
 			continue
 		}
 		known = true
 		if scope == outside.ScopeAll {
-			n.follow(revision)
+			n.watch(revision)
 			continue
 		}
-		n.sleep(firstPause)
+		n.sleep(minBackoff)
 	}
 }
 
@@ -102,14 +102,14 @@
 // nodes that follow the store for others, and at the start of a process by those with
 // wide links. All others have it from these, sooner than over their own links, and only
 // look whether the store answers.
-func (n *Node) scope() outside.Scope {
+func (n *Node) readScope() outside.Scope {
 	n.mutex.Lock()
-	follows := n.followsStore(n.now())
+	follows := n.watchesStore(n.now())
 	n.mutex.Unlock()
 	if n.catalog.Load() != nil && !follows {
 		return outside.ScopeReplicas
 	}
-	if n.leavesConfigurationToPeers() && n.isConfigurationLarge.Load() {
+	if n.prefersPeersForConfiguration() && n.isConfigurationLarge.Load() {
 		return outside.ScopeReplicas
 	}
 	return outside.ScopeAll
@@ -117,40 +117,40 @@
 
 // leavesConfigurationToPeers returns whether this node starts and has a narrow link, so
 // that a large configuration comes sooner from peers than from the store.
-func (n *Node) leavesConfigurationToPeers() bool {
-	return n.catalog.Load() == nil && n.hasNarrowLink() && n.now() < n.peersPatience()
+func (n *Node) prefersPeersForConfiguration() bool {
+	return n.catalog.Load() == nil && n.hasNarrowLink() && n.now() < n.peerWait()
 }
 
 // longestAnswer bounds the bytes of the store's answer; zero means no bound.
-func (n *Node) longestAnswer(scope outside.Scope) int64 {
-	if scope != outside.ScopeAll || !n.leavesConfigurationToPeers() {
+func (n *Node) maxReadBytes(scope outside.Scope) int64 {
+	if scope != outside.ScopeAll || !n.prefersPeersForConfiguration() {
 		return 0
 	}
-	return int64(n.settings.Load().LinkMbps * 1e6 / bitsPerByte * quickRead.Seconds())
+	return int64(n.settings.Load().LinkMbps * 1e6 / bitsPerByte * maxNarrowLinkReadTime.Seconds())
 }
 
 // hasNarrowLink returns whether a large configuration takes long on this node's link.
 func (n *Node) hasNarrowLink() bool {
 	link := n.settings.Load().LinkMbps
-	return link > 0 && link < narrowLink
+	return link > 0 && link < narrowLinkMbps
 }
 
 // peersPatience is the age of the process until which it waits for its peers to send
 // the configuration.
-func (n *Node) peersPatience() time.Duration {
+func (n *Node) peerWait() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.watchRank < watchers {
-		return startPatience
+	if n.watchRank < watchingNodes {
+		return watchingNodePeerWait
 	}
-	return followerPatience
+	return followerPeerWait
 }
 
 // awaitConfiguration waits at the start of a process until a peer has sent the
 // configuration, and returns false if none did in time.
 func (n *Node) awaitConfiguration() bool {
 	for n.catalog.Load() == nil {
-		if n.now() >= n.peersPatience() || !n.sleep(startPoll) {
+		if n.now() >= n.peerWait() || !n.sleep(startPollInterval) {
 			return false
 		}
 	}
@@ -159,40 +159,40 @@
 
 // read reads the store and takes what it holds into force.
 func (n *Node) read(scope outside.Scope) (structs.StorePosition, error) {
-	limit := n.readTime(scope)
+	limit := n.scopeReadTimeout(scope)
 	ctx, cancel := context.WithTimeout(n.ctx, limit)
 	defer cancel()
 	begun := n.now()
 	n.mutex.Lock()
 	decoded := n.catalogRevision
-	n.triedAt = begun
+	n.storeCalledAt = begun
 	n.mutex.Unlock()
-	update, err := n.deps.Directory.Read(ctx, scope, decoded, n.longestAnswer(scope))
+	update, err := n.deps.Directory.Read(ctx, scope, decoded, n.maxReadBytes(scope))
 	n.mutex.Lock()
 	// On a link that the answer filled no heartbeat came through.
 	n.lastContactAt = n.now()
 	n.mutex.Unlock()
 	if err != nil {
 		if ctx.Err() != nil {
-			n.setReadLimit(min(2*limit, longestRead))
+			n.setNextReadTimeout(min(2*limit, maxReadTimeout))
 		}
 		return 0, err
 	}
 	took := n.now() - begun
-	n.setReadLimit(min(slowMargin*took, longestRead))
-	n.observe("store_read_ms", took)
+	n.setNextReadTimeout(min(readTimeFactor*took, maxReadTimeout))
+	n.recordDuration("store_read_ms", took)
 	if !n.apply(update) {
 		return 0, errkind.New(errkind.StoreUnavailable, "the store answers in era %d, which is over", update.Revision.Era())
 	}
 	n.mutex.Lock()
 	n.readCalls = update.Calls
-	n.noteRead(begun, scope)
+	n.recordRead(begun, scope)
 	n.mutex.Unlock()
 	return update.Revision, nil
 }
 
 // noteRead records that all of the scope is known as of the instant. The caller holds the mutex.
-func (n *Node) noteRead(begun structs.Instant, scope outside.Scope) {
+func (n *Node) recordRead(begun structs.Instant, scope outside.Scope) {
 	n.fresh.Observe(begun)
 	if scope == outside.ScopeAll {
 		n.freshConfiguration.Observe(begun)
@@ -202,7 +202,7 @@
 // watchMisses returns whether this node's watch may have missed a change, and so all has to be read
 // anew. Where a complete read takes many calls, one call tells: the watch brings every change of the
 // store, so that nothing was missed up to the revision that it has reached.
-func (n *Node) watchMisses() bool {
+func (n *Node) mayHaveMissedChanges() bool {
 	n.mutex.Lock()
 	isWorth := n.readCalls > 1 && n.watchHealthy && n.deps.Revisions != nil
 	begun := n.now()
@@ -213,7 +213,7 @@
 	ctx, cancel := context.WithTimeout(n.ctx, readTimeout)
 	defer cancel()
 	latest, err := n.deps.Revisions.Revision(ctx)
-	if err != nil || !n.sleep(watchDelay) {
+	if err != nil || !n.sleep(maxWatchDelay) {
 		return true
 	}
 	n.mutex.Lock()
@@ -221,39 +221,39 @@
 	if n.table.CompleteTo() < latest || latest.Era() != n.era.present {
 		return true
 	}
-	n.noteRead(begun, outside.ScopeAll) // the watch is of all keys
+	n.recordRead(begun, outside.ScopeAll) // the watch is of all keys
 	return false
 }
 
 // readTime is how long a read may take.
-func (n *Node) readTime(scope outside.Scope) time.Duration {
+func (n *Node) scopeReadTimeout(scope outside.Scope) time.Duration {
 	transfer := time.Duration(0)
 	if scope == outside.ScopeAll {
-		transfer = n.configurationTransfer()
+		transfer = n.configurationTransferTime()
 		if n.catalog.Load() == nil && n.hasNarrowLink() {
-			transfer = longestRead // nothing is known of its length
+			transfer = maxReadTimeout // nothing is known of its length
 		}
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return max(n.readLimit, readTimeout, min(transferMargin*transfer, longestRead))
+	return max(n.nextReadTimeout, readTimeout, min(transferTimeFactor*transfer, maxReadTimeout))
 }
 
-func (n *Node) setReadLimit(limit time.Duration) {
+func (n *Node) setNextReadTimeout(limit time.Duration) {
 	n.mutex.Lock()
-	n.readLimit = limit
+	n.nextReadTimeout = limit
 	n.mutex.Unlock()
 }
 
 // follow watches from the revision until a watch fails or is due for a read.
-func (n *Node) follow(revision structs.StorePosition) {
+func (n *Node) watch(revision structs.StorePosition) {
 	begun := n.now()
-	for n.ctx.Err() == nil && n.callsStore() && n.now()-begun < rereadAfter {
+	for n.ctx.Err() == nil && n.shouldCallStore() && n.now()-begun < fullReadInterval {
 		// The configuration comes whole with each change.
-		margin := max(watchMargin, transferMargin*n.configurationTransfer())
-		ctx, cancel := context.WithTimeout(n.ctx, watchWait+margin)
-		n.setWatch(cancel)
-		update, err := n.deps.Directory.Watch(ctx, revision, watchWait)
+		margin := max(watchMargin, transferTimeFactor*n.configurationTransferTime())
+		ctx, cancel := context.WithTimeout(n.ctx, watchDuration+margin)
+		n.setCancelWatch(cancel)
+		update, err := n.deps.Directory.Watch(ctx, revision, watchDuration)
 		cancel()
 		switch {
 		case errors.Is(err, errkind.StaleFence), errors.Is(err, errkind.OtherEra):
@@ -261,53 +261,53 @@
 			// in which entries run out. A new era is found by the read that follows.
 			n.log.Write(eventlog.Event{Kind: "store.history", Outcome: "gone", Revision: revision.Revision(), Era: revision.Era()})
 			return
-		case err != nil && n.isReadDue():
+		case err != nil && n.rereadRequested():
 			return
 		case err != nil:
-			n.storeFailed(err)
-			n.sleep(firstPause)
+			n.recordStoreFailure(err)
+			n.sleep(minBackoff)
 			return
 		}
-		n.storeAnswered()
+		n.recordStoreSuccess()
 		if !n.apply(update) {
 			return
 		}
 		if update.Revision > revision {
 			revision = update.Revision
-			n.sleep(watchGather)
+			n.sleep(watchBatchTime)
 		}
 	}
 }
 
 // setWatch records how the watch that waits now can be ended.
-func (n *Node) setWatch(cancel context.CancelFunc) {
+func (n *Node) setCancelWatch(cancel context.CancelFunc) {
 	n.mutex.Lock()
-	n.endWatch, n.isWatchOver = cancel, false
+	n.cancelWatch, n.isRereadRequested = cancel, false
 	n.mutex.Unlock()
 }
 
 // readAnew ends the watch that waits, so that a complete read follows. The caller holds the
 // mutex.
-func (n *Node) readAnew() {
-	n.isWatchOver = true
-	if n.endWatch != nil {
-		n.endWatch()
+func (n *Node) requestReread() {
+	n.isRereadRequested = true
+	if n.cancelWatch != nil {
+		n.cancelWatch()
 	}
 }
 
 // isReadDue returns whether the watch was ended for a complete read.
-func (n *Node) isReadDue() bool {
+func (n *Node) rereadRequested() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.isWatchOver
+	return n.isRereadRequested
 }
 
 // setSteady records whether the node follows the store without trouble.
-func (n *Node) setSteady(steady bool) {
+func (n *Node) setWatchHealthy(steady bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if steady && !n.watchHealthy {
-		n.steadyAt = n.now()
+		n.watchHealthySince = n.now()
 	}
 	n.watchHealthy = steady
 }
@@ -318,15 +318,15 @@
 	if !n.watchHealthy {
 		return 0
 	}
-	return now - n.steadyAt
+	return now - n.watchHealthySince
 }
 
-func (n *Node) storeFailed(err error) {
+func (n *Node) recordStoreFailure(err error) {
 	n.mutex.Lock()
 	n.storeFailedAt, n.watchHealthy = n.now(), false
 	first := !n.storeDown
 	n.storeDown = true
-	endWatch := n.endWatch
+	endWatch := n.cancelWatch
 	n.mutex.Unlock()
 	if first && endWatch != nil {
 		// The watch may hang for as long as it may wait, and only its loop tries again.
@@ -340,7 +340,7 @@
 	}
 }
 
-func (n *Node) storeAnswered() {
+func (n *Node) recordStoreSuccess() {
 	n.mutex.Lock()
 	back, tells := n.storeDown, n.isCandidate
 	n.storeDown = false
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -14,13 +14,13 @@
 
 // Bounds of a stream.
 const (
-	streamBuffer = 4096
+	streamBufferBytes = 4096
 	// maximumEvent bounds the bytes of one event.
-	maximumEvent = 1 << 20
+	maxEventBytes = 1 << 20
 	// stallFirst and stallNext are the silences after which a resumable stream
 	// is continued at another replica.
-	stallFirst = 1500 * time.Millisecond
-	stallNext  = 1200 * time.Millisecond
+	firstEventTimeout = 1500 * time.Millisecond
+	nextEventTimeout  = 1200 * time.Millisecond
 )
 
 // relayStream passes whole events on as they come. The head goes out with the
@@ -28,55 +28,55 @@
 func (c *call) relayStream(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
 	var seen admission.Observation
 	var pending []byte
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(c.writer)
 	last := sent
 	for {
-		c.limitSilence(answer, seen.Events)
+		c.setEventTimeout(answer, seen.Events)
 		count, err := answer.Body.Read(buffer)
 		pending = append(pending, buffer[:count]...)
-		whole := lastEventEnd(pending)
+		whole := completeEventsLength(pending)
 		if whole > 0 {
 			if seen.Events == 0 {
 				seen.FirstEvent = time.Since(sent)
-				c.firstEvent = seen.FirstEvent
+				c.firstEventDelay = seen.FirstEvent
 			} else {
-				c.longestPause = max(c.longestPause, time.Since(last))
+				c.maxEventGap = max(c.maxEventGap, time.Since(last))
 			}
 			last = time.Now()
-			ready := c.newEvents(pending[:whole], &seen.Events)
+			ready := c.unsentEvents(pending[:whole], &seen.Events)
 			pending = append(pending[:0], pending[whole:]...)
 			if !c.sendEvents(answer, ready, flusher) {
-				return resultLeft, seen
+				return resultCallerLeft, seen
 			}
 		}
-		if len(pending) > maximumEvent {
-			return c.broken(replica.ID, err), seen
+		if len(pending) > maxEventBytes {
+			return c.recordIncomplete(replica.ID, err), seen
 		}
 		if err == nil {
 			continue
 		}
 		if !answer.Ended(err) || len(pending) > 0 {
-			return c.broken(replica.ID, err), seen
+			return c.recordIncomplete(replica.ID, err), seen
 		}
 		break
 	}
-	c.node.noteAnswered(replica.ID)
+	c.node.recordSuccess(replica.ID)
 	c.sendHead(answer)
-	c.node.observe("pause_ms", c.longestPause)
-	c.answered(answer.StatusCode, replica.ID)
+	c.node.recordDuration("pause_ms", c.maxEventGap)
+	c.recordAnswer(answer.StatusCode, replica.ID)
 	return resultAnswered, seen
 }
 
 // limitSilence bounds the wait for the next bytes where the stream can go on
 // at another replica.
-func (c *call) limitSilence(answer *replicahttp.Answer, events int) {
+func (c *call) setEventTimeout(answer *replicahttp.Answer, events int) {
 	if !c.route.Resumable || c.sends+1 >= c.route.MaxAttempts {
 		return
 	}
-	limit := stallNext
+	limit := nextEventTimeout
 	if events == 0 {
-		limit = stallFirst
+		limit = firstEventTimeout
 	}
 	answer.SetReadDeadline(time.Now().Add(limit))
 }
@@ -86,7 +86,7 @@
 	if c.headSent {
 		return
 	}
-	c.copyHead(answer)
+	c.copyHeader(answer)
 	c.headSent = true
 	c.writer.WriteHeader(answer.StatusCode)
 }
@@ -104,51 +104,51 @@
 }
 
 var (
-	eventEnd      = []byte("\n\n")
-	eventEndLines = []byte("\r\n\r\n")
-	idField       = "id:"
+	eventEndLF   = []byte("\n\n")
+	eventEndCRLF = []byte("\r\n\r\n")
+	idField      = "id:"
 )
 
 // lastEventEnd returns the length of the whole events at the front of the text.
-func lastEventEnd(text []byte) int {
+func completeEventsLength(text []byte) int {
 	end := 0
-	if at := bytes.LastIndex(text, eventEnd); at >= 0 {
-		end = at + len(eventEnd)
+	if at := bytes.LastIndex(text, eventEndLF); at >= 0 {
+		end = at + len(eventEndLF)
 	}
-	if at := bytes.LastIndex(text, eventEndLines); at >= 0 {
-		end = max(end, at+len(eventEndLines))
+	if at := bytes.LastIndex(text, eventEndCRLF); at >= 0 {
+		end = max(end, at+len(eventEndCRLF))
 	}
 	return end
 }
 
 // newEvents counts the events, notes the last number, and leaves out those that
 // the caller already has from an earlier replica.
-func (c *call) newEvents(text []byte, count *int) []byte {
+func (c *call) unsentEvents(text []byte, count *int) []byte {
 	fresh := make([]byte, 0, len(text))
 	for len(text) > 0 {
-		end := firstEventEnd(text)
+		end := firstEventLength(text)
 		event := text[:end]
 		text = text[end:]
 		*count++
 		id := eventID(event)
-		if id != "" && c.lastEvent != "" && c.resumed && !follows(id, c.lastEvent) {
+		if id != "" && c.lastEventID != "" && c.resumed && !isLaterEventID(id, c.lastEventID) {
 			continue
 		}
 		if id != "" {
-			c.lastEvent = id
+			c.lastEventID = id
 		}
 		fresh = append(fresh, event...)
 	}
 	return fresh
 }
 
-func firstEventEnd(text []byte) int {
-	plain, lines := bytes.Index(text, eventEnd), bytes.Index(text, eventEndLines)
+func firstEventLength(text []byte) int {
+	plain, lines := bytes.Index(text, eventEndLF), bytes.Index(text, eventEndCRLF)
 	switch {
 	case lines >= 0 && (plain < 0 || lines < plain):
-		return lines + len(eventEndLines)
+		return lines + len(eventEndCRLF)
 	case plain >= 0:
-		return plain + len(eventEnd)
+		return plain + len(eventEndLF)
 	default:
 		return len(text)
 	}
@@ -165,7 +165,7 @@
 }
 
 // follows returns whether the number comes after the other.
-func follows(id, before string) bool {
+func isLaterEventID(id, before string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(before, 10, 64)
 	return errA != nil || errB != nil || a > b
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -20,10 +20,10 @@
 // Times of pulls.
 const (
 	// pullPatience is how long this node's own watch may be behind a peer's.
-	pullPatience = staleness.MinPullBackoff
+	ownWatchDelay = staleness.MinPullBackoff
 	// delegatesPullTime is how long news take from the nodes that follow the store to the delegates
 	// of a zone. What a zone's nodes pull from these crosses no border.
-	delegatesPullTime = 400 * time.Millisecond
+	delegatePullDelay = 400 * time.Millisecond
 	// updatesTimeout bounds a call to a peer for its news.
 	updatesTimeout = 500 * time.Millisecond
 )
@@ -31,12 +31,12 @@
 // pullPatienceWith is how long this node waits before it asks the sender of the heartbeat for its
 // news: for its own watch, or, where a zone's delegates will have the news as well, for these. The
 // caller holds the mutex.
-func (n *Node) pullPatienceWith(beat liveness.Heartbeat) time.Duration {
+func (n *Node) pullDelay(beat liveness.Heartbeat) time.Duration {
 	switch {
 	case n.isNonDelegate && beat.Zone != n.settings.Load().Zone:
-		return delegatesPullTime
-	case n.watchRank < watchers:
-		return pullPatience
+		return delegatePullDelay
+	case n.watchRank < watchingNodes:
+		return ownWatchDelay
 	}
 	return 0
 }
@@ -55,7 +55,7 @@
 // this node's own watch will not tell it, and the peer is to be asked now. The caller
 // holds the mutex.
 func (n *Node) replicaPullDue(beat liveness.Heartbeat) bool {
-	return n.replicaLag.ShouldPull(n.now(), n.latest(), beat.LatestPosition, n.pullPatienceWith(beat))
+	return n.replicaPull.ShouldPull(n.now(), n.latest(), beat.LatestPosition, n.pullDelay(beat))
 }
 
 // serveUpdates answers a peer that is behind.
@@ -77,22 +77,22 @@
 	n.mutex.Unlock()
 	err := n.pull(address, request)
 	n.mutex.Lock()
-	n.replicaLag.PullDone(n.now(), err == nil)
+	n.replicaPull.PullDone(n.now(), err == nil)
 	n.mutex.Unlock()
-	n.noteNotPulled(address, err)
+	n.recordPullFailure(address, err)
 }
 
 // pullAll asks a peer for all that it knows of the replicas and roll-outs, of before a copy too.
 func (n *Node) pullAll(address string) {
 	err := n.pull(address, &updatesRequest{})
 	n.mutex.Lock()
-	n.era.isAsking = false
-	n.era.lacksPast = n.era.lacksPast && err != nil
+	n.era.isPullingAll = false
+	n.era.lacksEarlierState = n.era.lacksEarlierState && err != nil
 	n.mutex.Unlock()
-	n.noteNotPulled(address, err)
+	n.recordPullFailure(address, err)
 }
 
-func (n *Node) noteNotPulled(address string, err error) {
+func (n *Node) recordPullFailure(address string, err error) {
 	if err != nil && n.ctx.Err() == nil {
 		n.counter("news.pulls_failed").Inc(1)
 		n.log.Write(eventlog.Event{Kind: "news", Outcome: "not-pulled", Peer: address, Detail: err.Error()})
@@ -114,12 +114,12 @@
 		n.applyReplica(replica)
 	}
 	for id, revision := range reply.Removed {
-		n.remove(id, revision)
+		n.removeReplica(id, revision)
 	}
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
-		n.replicasChanged()
+		n.handleReplicaChange()
 	}
 	return nil
 }
--- a/entry/update_pull_test.go
+++ b/entry/update_pull_test.go
@@ -18,7 +18,7 @@
 // The nodes that follow the store for all were of those with narrow links. 75 others
 // pulled from them every 200 ms, the whole list each time, until their links carried
 // nothing else for eight seconds.
-func TestNewsAreFollowedByNodesWithWideLinks(t *testing.T) {
+func TestStoreIsWatchedByNodesWithWideLinks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	first := 0
 	for i := range 20 {
@@ -37,17 +37,17 @@
 				n.members.Observe(n.now(), other)
 			}
 		}
-		if rank := n.watchRankAmong(n.members.Live(n.now())); rank < watchers {
+		if rank := n.watchRankAmong(n.members.Live(n.now())); rank < watchingNodes {
 			first++
 			g.Expect(i).To(gomega.BeNumerically("<", 4), "rank %d", rank)
 		}
 	}
-	g.Expect(first).To(gomega.Equal(watchers))
+	g.Expect(first).To(gomega.Equal(watchingNodes))
 }
 
-func TestPullsOfOneKindOfNewsGoOneAtATime(t *testing.T) {
+func TestPullsOfEachKindRunOneAtATime(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(9)
+	n := newFreshnessNode(9)
 	n.startedAt, n.deps.Now = 0, func() time.Duration { return 0 }
 	news := liveness.Heartbeat{Version: 4, LatestPosition: 9}
 	g.Expect(n.replicaPullDue(news)).To(gomega.BeTrue())
@@ -56,9 +56,9 @@
 	g.Expect(n.configurationPullDue(news)).To(gomega.BeFalse(), "one at a time")
 }
 
-func TestRepliesHoldOnlyWhatIsNew(t *testing.T) {
+func TestRepliesContainOnlyNewerState(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(0)
+	n := newFreshnessNode(0)
 	n.table.Put(replicas.Replica{ID: "later", Service: "s", Position: 12})
 	n.table.Put(replicas.Replica{ID: "gone", Service: "s", Position: 8})
 	n.table.Remove(0, "gone", 11)
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -20,10 +20,10 @@
 	if !present {
 		return false
 	}
-	n.noteProblems(update)
+	n.logProblems(update)
 	emptied := n.applyEvacuations(update) // first: whoever hears of what follows has heard of it
 	if update.Catalog != nil {
-		n.offerCatalog(update.Catalog, "store")
+		n.applyCatalog(update.Catalog, "store")
 	}
 	known := structs.StorePosition(0)
 	if !update.Complete || update.FullSnapshot {
@@ -46,11 +46,11 @@
 		n.handleEntryRemoved(gone)
 	}
 	n.table.SetCompleteTo(update.Revision)
-	n.newsAt = n.now()
+	n.updatedAt = n.now()
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
-		n.replicasChanged()
+		n.handleReplicaChange()
 	}
 	if changed || emptied || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
 		n.sendHeartbeats()
@@ -59,11 +59,11 @@
 }
 
 // toldProblems bounds what did not parse that a node remembers to have told of.
-const toldProblems = 256
+const maxLoggedProblems = 256
 
 // noteProblems tells of entries that did not parse, of each once: complete reads bring them
 // again and again.
-func (n *Node) noteProblems(update *outside.Update) {
+func (n *Node) logProblems(update *outside.Update) {
 	for _, problem := range update.Problems {
 		text := problem.Error()
 		n.mutex.Lock()
@@ -78,11 +78,11 @@
 
 // isNewProblem returns whether the problem is told for the first time. The caller holds the mutex.
 func (n *Node) isNewProblem(text string) bool {
-	known := n.problems[text]
-	if len(n.problems) >= toldProblems {
-		n.problems = map[string]bool{}
+	known := n.loggedProblems[text]
+	if len(n.loggedProblems) >= maxLoggedProblems {
+		n.loggedProblems = map[string]bool{}
 	}
-	n.problems[text] = true
+	n.loggedProblems[text] = true
 	return !known
 }
 
@@ -112,7 +112,7 @@
 // entryReturnTime is how long after trouble of the store a replica whose entry ran
 // out meanwhile may take to write it again: about two heartbeats of replicas. What is
 // still missing then is gone.
-const entryReturnTime = 2300 * time.Millisecond
+const entryRewriteTime = 2300 * time.Millisecond
 
 // handleEntryRemoved handles an entry that is gone. While the store is unwell replicas
 // can't renew their entries, so that it proves little; the replica then stays
@@ -123,18 +123,18 @@
 		n.table.Remove(n.now(), gone.ID, gone.Revision)
 		return
 	}
-	if n.storeUnwell() {
+	if n.isStoreUnhealthy() {
 		n.table.MarkUnconfirmed(gone.ID)
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Revision.Revision(), Era: gone.Revision.Era(), Age: (n.now() - n.storeFailedAt).Milliseconds()})
 		return
 	}
-	n.remove(gone.ID, gone.Revision)
+	n.removeReplica(gone.ID, gone.Revision)
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Revision.Revision(), Era: gone.Revision.Era()})
 }
 
 // remove takes the replica out of the table. One that did not say that it leaves has ended.
 // The caller holds the mutex.
-func (n *Node) remove(id string, revision structs.StorePosition) {
+func (n *Node) removeReplica(id string, revision structs.StorePosition) {
 	known, found := n.table.Get(id)
 	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
 		n.resolveDisconnects(known)
@@ -145,16 +145,16 @@
 // which lost their entries need not have written them again. If another node followed
 // it without trouble all the while, only this node was cut off from it. The caller
 // holds the mutex.
-func (n *Node) storeUnwell() bool {
+func (n *Node) isStoreUnhealthy() bool {
 	now := n.now()
-	if !n.storeDown && now-n.storeFailedAt >= entryReturnTime {
+	if !n.storeDown && now-n.storeFailedAt >= entryRewriteTime {
 		return false
 	}
 	for _, member := range n.members.Live(now) {
-		if n.isOfEarlierEra(member.Heartbeat) {
+		if n.isFromEarlierEra(member.Heartbeat) {
 			continue // it doesn't know yet that the store came back from a copy
 		}
-		if member.StoreHealthyMS >= n.settings.Load().contact().Milliseconds() {
+		if member.StoreHealthyMS >= n.settings.Load().storeRecoveryWindow().Milliseconds() {
 			return false
 		}
 	}
@@ -163,10 +163,10 @@
 
 // expireReplicas removes the doubted replicas once the store is well for so long that
 // they would have come back.
-func (n *Node) expireReplicas() {
+func (n *Node) removeUnconfirmed() {
 	var gone []string
 	n.mutex.Lock()
-	if !n.storeUnwell() {
+	if !n.isStoreUnhealthy() {
 		gone = n.table.RemoveUnconfirmed(n.now())
 	}
 	n.table.Forget(n.now())
@@ -175,12 +175,12 @@
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: id, Outcome: "gone", Reason: "doubt-expired"})
 	}
 	if len(gone) > 0 {
-		n.replicasChanged()
+		n.handleReplicaChange()
 	}
 }
 
 // replicasChanged tells the desk and drops what belongs to replicas that left.
-func (n *Node) replicasChanged() {
+func (n *Node) handleReplicaChange() {
 	n.mutex.Lock()
 	all := n.table.All()
 	n.health.Forget(func(id string) bool { _, known := n.table.Get(id); return known })
--- a/entry/updates_memory_test.go
+++ b/entry/updates_memory_test.go
@@ -24,7 +24,7 @@
 			for _, asked := range []int{1, 2} {
 				b.Run(fmt.Sprintf("routes=%d/peers=%d/asked=%d", routes, peers, asked), func(b *testing.B) {
 					for b.Loop() {
-						body, held := heldForSlowPeers(b, documents.Large(2, routes), peers, asked)
+						body, held := bytesHeldForSlowPeers(b, documents.Large(2, routes), peers, asked)
 						b.ReportMetric(float64(body), "body-B")
 						b.ReportMetric(float64(held), "held-B")
 						b.ReportMetric(float64(held)/float64(peers*asked*body), "held/body")
@@ -37,11 +37,11 @@
 
 // heldForSlowPeers returns the length of a reply's body, and the bytes held while
 // the peers do not read.
-func heldForSlowPeers(b *testing.B, document *catalog.Document, peers, asked int) (body int, held int64) {
+func bytesHeldForSlowPeers(b *testing.B, document *catalog.Document, peers, asked int) (body int, held int64) {
 	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
-	n.offerCatalog(document, "test")
+	n.applyCatalog(document, "test")
 	request := &dissemination.Request{Version: 1}
-	reply, _ := n.library.Respond(request, partsBudget)
+	reply, _ := n.parts.Respond(request, maxReplyPartsBytes)
 	encoded, err := peerwire.Marshal(reply)
 	if err != nil {
 		b.Fatal(err)
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	for begun := time.Now(); time.Since(begun) < watchedTime; time.Sleep(50 * time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < observationTime; time.Sleep(50 * time.Millisecond) {
 		held = max(held, heapAfterCollection()-calm)
 	}
 	runtime.KeepAlive(n)
@@ -79,7 +79,7 @@
 }
 
 // watchedTime is less than the time-out of a write.
-const watchedTime = 1500 * time.Millisecond
+const observationTime = 1500 * time.Millisecond
 
 // heapAfterCollection returns the bytes of objects that are in use.
 func heapAfterCollection() int64 {
--- a/entry/updates_test.go
+++ b/entry/updates_test.go
@@ -14,7 +14,7 @@
 
 // cutOffNode is a node that reached the store again just now, with one peer that
 // followed it for the time given.
-func cutOffNode(peerSteady time.Duration) *Node {
+func newPartitionedNode(peerSteady time.Duration) *Node {
 	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
 	n.applyReplica(replicas.Replica{ID: "r", Service: "s", Position: 5})
 	n.members.Observe(n.now(), liveness.Heartbeat{Name: "n2", StoreHealthyMS: peerSteady.Milliseconds()})
@@ -24,12 +24,12 @@
 
 // A replica left without a word shortly after a cut of the scheduling node, which took
 // its own trouble for one of the store and sent to the replica for seven seconds more.
-func TestEntryThatVanishesIsDoubtedOnlyIfNobodyFollowedTheStore(t *testing.T) {
+func TestVanishedEntryIsUnconfirmedOnlyIfNoPeerWatchedStore(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := cutOffNode(time.Second)
+	n := newPartitionedNode(time.Second)
 	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
 	g.Expect(n.table.All()).To(gomega.HaveLen(1), "the store itself may have been down")
-	n = cutOffNode(5 * time.Second)
+	n = newPartitionedNode(5 * time.Second)
 	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
 	g.Expect(n.table.All()).To(gomega.BeEmpty(), "only this node was cut off")
 }
--- a/entry/wire_test.go
+++ b/entry/wire_test.go
@@ -28,7 +28,7 @@
 
 // shared are the messages between nodes and the values in the store that two versions share, by
 // name, empty.
-var shared = map[string]func() any{
+var sharedMessages = map[string]func() any{
 	"beat":          func() any { return &liveness.Heartbeat{} },
 	"place-request": func() any { return &assignRequest{} },
 	"place-reply":   func() any { return &assignReply{} },
@@ -42,7 +42,7 @@
 }
 
 // stored are the values in the store, which are JSON.
-var stored = map[string]func() any{
+var storedValues = map[string]func() any{
 	"rollout-record": func() any { return &rollouts.Record{} },
 	"barred":         func() any { return &[]poisonrecords.Record{} },
 }
@@ -93,21 +93,21 @@
 }
 
 func encodeShared(name string, value any) ([]byte, error) {
-	if _, isStored := stored[name]; isStored {
+	if _, isStored := storedValues[name]; isStored {
 		return json.Marshal(value)
 	}
 	return msgpack.Marshal(value)
 }
 
 func decodeShared(name string, content []byte, into any) error {
-	if _, isStored := stored[name]; isStored {
+	if _, isStored := storedValues[name]; isStored {
 		return json.Unmarshal(content, into)
 	}
 	return msgpack.Unmarshal(content, into)
 }
 
-func everyShared(test func(name string, create func() any)) {
-	for _, group := range []map[string]func() any{shared, stored} {
+func forEachShared(test func(name string, create func() any)) {
+	for _, group := range []map[string]func() any{sharedMessages, storedValues} {
 		for name, create := range group {
 			test(name, create)
 		}
@@ -115,13 +115,13 @@
 }
 
 // What is recorded is read again as it was said.
-func TestRecordWhatIsShared(t *testing.T) {
+func TestRecordSharedMessages(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := *recordFolder
 	if folder == "" {
 		folder = t.TempDir()
 	}
-	everyShared(func(name string, create func() any) {
+	forEachShared(func(name string, create func() any) {
 		said, read := filled(create), create()
 		content, err := encodeShared(name, said)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
@@ -137,7 +137,7 @@
 }
 
 // generic decodes into maps, lists and plain values.
-func generic(g *gomega.WithT, name string, content []byte) any {
+func decodeGeneric(g *gomega.WithT, name string, content []byte) any {
 	var value any
 	g.Expect(decodeShared(name, content, &value)).To(gomega.Succeed(), name)
 	return value
@@ -145,7 +145,7 @@
 
 // lacks names what of the first value the second one does not hold: a field, an element, or the
 // kind of a value. If exact is true, plain values are compared too.
-func lacks(path string, first, second any, exact bool) []string {
+func wireDifferences(path string, first, second any, exact bool) []string {
 	switch known := first.(type) {
 	case map[string]any:
 		other, isMap := second.(map[string]any)
@@ -161,7 +161,7 @@
 				}
 				continue
 			}
-			missing = append(missing, lacks(path+"/"+key, value, found, exact)...)
+			missing = append(missing, wireDifferences(path+"/"+key, value, found, exact)...)
 		}
 		return missing
 	case []any:
@@ -171,18 +171,18 @@
 		}
 		var missing []string
 		for i, value := range known {
-			missing = append(missing, lacks(fmt.Sprint(path, "/", i), value, other[i], exact)...)
+			missing = append(missing, wireDifferences(fmt.Sprint(path, "/", i), value, other[i], exact)...)
 		}
 		return missing
 	}
-	if kindOfWire(first) != kindOfWire(second) || exact && fmt.Sprint(first) != fmt.Sprint(second) {
+	if wireKind(first) != wireKind(second) || exact && fmt.Sprint(first) != fmt.Sprint(second) {
 		return []string{fmt.Sprintf("%s: %v (%T) in place of %v (%T)", path, second, second, first, first)}
 	}
 	return nil
 }
 
 // kindOfWire puts numbers of all widths together, as decoders do.
-func kindOfWire(value any) string {
+func wireKind(value any) string {
 	switch reflect.ValueOf(value).Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		return "integer"
@@ -191,7 +191,7 @@
 	}
 }
 
-func previous(g *gomega.WithT, name string) []byte {
+func readPrevious(g *gomega.WithT, name string) []byte {
 	content, err := os.ReadFile(filepath.Join("testdata", "previous", name))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	return content
@@ -199,42 +199,42 @@
 
 // What the version before sent and stored is read whole, and nothing of it is lost when this
 // version passes it on.
-func TestWhatThePreviousVersionSaysIsReadAndKept(t *testing.T) {
+func TestPreviousVersionMessagesAreDecodedWithoutLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
-	everyShared(func(name string, create func() any) {
-		content := previous(g, name)
+	forEachShared(func(name string, create func() any) {
+		content := readPrevious(g, name)
 		read := create()
 		g.Expect(decodeShared(name, content, read)).To(gomega.Succeed(), name)
 		again, err := encodeShared(name, read)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
-		g.Expect(lacks(name, generic(g, name, content), generic(g, name, again), true)).To(gomega.BeEmpty())
+		g.Expect(wireDifferences(name, decodeGeneric(g, name, content), decodeGeneric(g, name, again), true)).To(gomega.BeEmpty())
 	})
 }
 
 // The version before reads what this one says: each field that it knows is of the kind that it was,
 // or left out, and lists by position have the length that they had.
-func TestThePreviousVersionReadsWhatThisOneSays(t *testing.T) {
+func TestPreviousVersionCanDecodeCurrentMessages(t *testing.T) {
 	g := gomega.NewWithT(t)
-	everyShared(func(name string, create func() any) {
+	forEachShared(func(name string, create func() any) {
 		content, err := encodeShared(name, filled(create))
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
-		g.Expect(lacks(name, generic(g, name, previous(g, name)), generic(g, name, content), false)).To(gomega.BeEmpty())
+		g.Expect(wireDifferences(name, decodeGeneric(g, name, readPrevious(g, name)), decodeGeneric(g, name, content), false)).To(gomega.BeEmpty())
 	})
 }
 
 // The check must see a field whose kind changed, one that went and a list that grew.
-func TestWhatTwoVersionsDoNotShareIsFound(t *testing.T) {
+func TestDifferencesBetweenVersionsAreDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	known := map[string]any{"a": int8(1), "b": []any{"x"}, "c": "y"}
-	g.Expect(lacks("", known, map[string]any{"a": int64(1), "b": []any{"x"}, "c": "y", "d": 2}, true)).To(gomega.BeEmpty())
-	g.Expect(lacks("", known, map[string]any{"a": "1", "b": []any{"x", "z"}}, false)).To(gomega.HaveLen(2))
-	g.Expect(lacks("", known, map[string]any{"a": int64(1), "b": []any{"x"}}, true)).To(gomega.HaveLen(1))
+	g.Expect(wireDifferences("", known, map[string]any{"a": int64(1), "b": []any{"x"}, "c": "y", "d": 2}, true)).To(gomega.BeEmpty())
+	g.Expect(wireDifferences("", known, map[string]any{"a": "1", "b": []any{"x", "z"}}, false)).To(gomega.HaveLen(2))
+	g.Expect(wireDifferences("", known, map[string]any{"a": int64(1), "b": []any{"x"}}, true)).To(gomega.HaveLen(1))
 }
 
 // Whatever another version sends is read or refused.
 func FuzzSharedMessages(f *testing.F) {
-	names := make([]string, 0, len(shared))
-	for name := range shared {
+	names := make([]string, 0, len(sharedMessages))
+	for name := range sharedMessages {
 		names = append(names, name)
 		if content, err := os.ReadFile(filepath.Join("testdata", "previous", name)); err == nil {
 			f.Add(content)
@@ -242,7 +242,7 @@
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		for _, name := range names {
-			into := shared[name]()
+			into := sharedMessages[name]()
 			if decodeShared(name, content, into) != nil {
 				continue
 			}
