--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,99 +13,96 @@
 	"github.com/thornwalk/thornwalk/transport/replicahttp"
 )
 
-// result is what became of one send.
+// result is the outcome of one send.
 type result int
 
 const (
-	// resultAnswered means that the caller has the whole answer.
+	// resultAnswered means that the caller has the complete response.
 	resultAnswered result = iota
-	// resultNotSent means that no byte was written.
+	// resultNotSent means that no byte of the request was written.
 	resultNotSent
 	// resultRejected means that the replica proved that it did not run the request.
 	resultRejected
-	// resultBroken means that the request may have run and gave no whole answer.
+	// resultIncomplete means that the request may have run, but no complete response arrived.
 	resultIncomplete
-	// resultFailed means that the replica ran the request and answered a failure
-	// that a repeatable request need not take for final.
+	// resultServerError means that the replica ran the request and responded with a server
+	// error, and that a retry is allowed.
 	resultServerError
-	// resultLeft means that the caller is gone.
+	// resultCallerLeft means that the caller closed its connection.
 	resultCallerLeft
 )
 
-// Bounds of repeated sends.
+// Bounds of the sends of one request.
 const (
-	// maximumSends bounds the sends of one request, those included that a replica rejected or
-	// could not be reached for in time.
+	// maxSends includes sends that a replica rejected and connects that timed out.
 	maxSends = 4
-	// maximumRefusedConnects bounds the connects of one request to addresses where nobody
-	// listens. Each costs 2 ms and nothing runs, while the replicas beside may be idle: with
-	// six of eight down and connects counted as sends, a third of the first requests was
-	// refused by four of them in a row.
+	// maxRefusedConnects bounds refused connects. They are not counted as sends because they
+	// fail within milliseconds and run nothing.
 	maxRefusedConnects = 16
-	// connectTimeout bounds the opening of a connection.
-	connectTimeout = 300 * time.Millisecond
-	// restSafe and restOnce bound how long a connection may have rested that
-	// carries a repeatable request, or one that must not run twice.
+	connectTimeout     = 300 * time.Millisecond
+	// maxIdleRepeatable and maxIdleNonRepeatable bound how long a connection may have been
+	// idle before it is reused for a request that may, or must not, run twice.
 	maxIdleRepeatable    = 10 * time.Second
 	maxIdleNonRepeatable = 1500 * time.Millisecond
-	// patienceShare is the part of the caller's time for which a place is waited for.
+	// queueWaitShare is the share of the caller's remaining time that a request may be queued.
 	queueWaitShare = 0.45
-	// Callers give a stream up that is silent for the longest of minimumSilence,
-	// silenceTargets times the route's target and silenceGaps times its longest pause.
+	// A stream's caller is assumed to give up after a silence of the longest of minSilence,
+	// silenceTargetLatencies times the route's target latency and silenceEventGaps times its
+	// target event gap.
 	silenceTargetLatencies = 4
 	silenceEventGaps       = 8
 	minSilence             = 2 * time.Second
 )
 
-// attempt sends the request to the replica once.
-func (c *call) attempt(given *grant) (result, admission.Observation) {
+// attempt sends the request to the granted replica once.
+func (c *call) attempt(granted *grant) (result, admission.Observation) {
 	node := c.node
 	c.lastFailure = causeNone
-	rest := maxIdleRepeatable
+	maxIdle := maxIdleRepeatable
 	if !c.route.Repeatable() {
-		rest = maxIdleNonRepeatable
+		maxIdle = maxIdleNonRepeatable
 	}
 	dialContext, cancelDial := context.WithTimeout(c.ctx, connectTimeout)
-	conn, err := node.pool.Connect(dialContext, given.Replica.ID, given.Replica.Address, rest)
+	conn, err := node.pool.Connect(dialContext, granted.Replica.ID, granted.Replica.Address, maxIdle)
 	cancelDial()
 	if err != nil {
 		if c.ctx.Err() == nil {
-			node.recordUnreachable(given.Replica.ID)
-			node.noteZone(given.Replica.Zone, false)
-			c.recordConnectFailure(given.Replica, err)
+			node.recordUnreachable(granted.Replica.ID)
+			node.noteZone(granted.Replica.Zone, false)
+			c.recordConnectFailure(granted.Replica, err)
 		}
 		return resultNotSent, admission.Observation{Left: true}
 	}
-	if !node.beginSend(given) {
+	if !node.beginSend(granted) {
 		_ = conn.Close()
 		return resultNotSent, admission.Observation{Left: true}
 	}
 	sent, sentAt := time.Now(), node.now()
 	sendContext, cancelSend := c.sendContext()
 	defer cancelSend()
-	answer, err := node.pool.Exchange(sendContext, conn, c.replicaRequest(given.Replica))
+	answer, err := node.pool.Exchange(sendContext, conn, c.replicaRequest(granted.Replica))
 	if err != nil {
-		return c.recordIncomplete(given.Replica.ID, err), admission.Observation{Failed: true, Left: c.ctx.Err() != nil}
+		return c.recordIncomplete(granted.Replica.ID, err), admission.Observation{Failed: true, Left: c.ctx.Err() != nil}
 	}
-	node.noteZone(given.Replica.Zone, true)
-	node.reportFirstEvent(given, c.reportedLoad(answer), node.applyPushback(answer, given.Replica, sentAt))
-	outcome, seen := c.relay(answer, given.Replica, sent)
+	node.noteZone(granted.Replica.Zone, true)
+	node.reportFirstEvent(granted, c.reportedLoad(answer), node.applyPushback(answer, granted.Replica, sentAt))
+	outcome, observed := c.relay(answer, granted.Replica, sent)
 	switch outcome {
 	case resultAnswered, resultRejected, resultServerError:
 		answer.Done()
 	default:
 		answer.Abandon()
 	}
-	if seen.FirstEvent > 0 {
-		node.recordDuration("first_event_ms", seen.FirstEvent)
+	if observed.FirstEvent > 0 {
+		node.recordDuration("first_event_ms", observed.FirstEvent)
 	}
-	seen.Duration, seen.Stride = time.Since(sent), c.tokensPerEvent()
-	seen.Left = outcome == resultCallerLeft || c.ctx.Err() != nil
-	seen.Failed = seen.Failed || outcome != resultAnswered
-	return outcome, seen
+	observed.Duration, observed.Stride = time.Since(sent), c.tokensPerEvent()
+	observed.Left = outcome == resultCallerLeft || c.ctx.Err() != nil
+	observed.Failed = observed.Failed || outcome != resultAnswered
+	return outcome, observed
 }
 
-// noteConnect counts a connect that failed, by whether the replica's host refused it.
+// recordConnectFailure records the failure cause of a connect that failed with err.
 func (c *call) recordConnectFailure(replica replicas.Replica, err error) {
 	c.lastFailure = causeUnreachable
 	if network.IsRefused(err) {
@@ -118,7 +115,7 @@
 	c.node.counter("breaks." + string(c.lastFailure)).Inc(1)
 }
 
-// reportedLoad returns the number of requests that the replica said to have, or -1.
+// reportedLoad returns the number of requests that the replica reported, or -1 if it reported none.
 func (c *call) reportedLoad(answer *replicahttp.Answer) int {
 	parts := splitList(answer.Header.Get(c.node.deps.Headers.Load))
 	if len(parts) < 2 {
@@ -127,7 +124,7 @@
 	return parseIntOrZero(parts[0]) + parseIntOrZero(parts[1])
 }
 
-// stride returns the tokens in one event of the service's streams.
+// tokensPerEvent returns the number of tokens in one event of the service's streams.
 func (c *call) tokensPerEvent() int {
 	current := c.node.catalog.Load()
 	if service := current.Service(c.service); service != nil && service.Engine != nil {
@@ -136,11 +133,11 @@
 	return 1
 }
 
-// firstTryShare is the part of the time left that the first try of a
-// repeatable plain request may take.
+// firstSendShare is the share of the remaining time that the first send of a repeatable
+// plain request may take.
 const firstSendShare = 0.45
 
-// sendContext bounds a send so that a silent replica leaves time for another.
+// sendContext returns a context that leaves time for a retry if one is allowed.
 func (c *call) sendContext() (context.Context, context.CancelFunc) {
 	if c.route.Kind == kindSafe && c.sends+1 < c.route.MaxAttempts {
 		return context.WithTimeout(c.ctx, time.Duration(float64(c.remaining())*firstSendShare))
@@ -148,7 +145,8 @@
 	return context.WithCancel(c.ctx)
 }
 
-// broken notes that the replica gave no whole answer, and why.
+// recordIncomplete records that the replica gave no complete response because of err, which
+// is nil for an invalid response. It returns resultCallerLeft if the caller caused the failure.
 func (c *call) recordIncomplete(id string, err error) result {
 	if c.request.Context().Err() != nil {
 		return resultCallerLeft
@@ -161,6 +159,7 @@
 	return resultIncomplete
 }
 
+// recordUnreachable records that no connection to the replica could be opened.
 func (n *Node) recordUnreachable(id string) {
 	n.mutex.Lock()
 	n.health.RecordUnreachable(n.now(), id)
@@ -168,13 +167,14 @@
 	n.pool.Forget(id)
 }
 
+// recordSuccess records a complete response of the replica.
 func (n *Node) recordSuccess(id string) {
 	n.mutex.Lock()
 	n.health.RecordSuccess(id)
 	n.mutex.Unlock()
 }
 
-// replicaRequest is the caller's request as the replica gets it.
+// replicaRequest returns the request in the form that is sent to the replica.
 func (c *call) replicaRequest(replica replicas.Replica) *replicahttp.Request {
 	names := &c.node.deps.Headers
 	header, dropped := replicaHeaders(c.request.Header, names)
@@ -195,7 +195,8 @@
 	}
 }
 
-// headTimeout bounds the wait for an answer that can be had from another replica.
+// headTimeout returns how long to wait for the response head, or zero for no limit. It limits
+// only streams that can continue at another replica.
 func (c *call) headTimeout() time.Duration {
 	if c.route.Resumable && c.sends+1 < c.route.MaxAttempts {
 		return firstEventTimeout
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -15,36 +15,33 @@
 	"github.com/thornwalk/thornwalk/state/catalog"
 )
 
-// A new version of the configuration is read from the store by the few nodes that
-// follow it. All others fetch from these, and from each other, the parts that they lack
-// (package dissemination).
+// A new version of the configuration is read from the store by the few nodes that watch it.
+// All other nodes fetch the parts that they lack from these and from each other (package
+// dissemination).
 
-// Bounds of fetching.
+// Bounds of fetching a configuration from peers.
 const (
-	// partsBudget is the length of the parts in one reply, in bytes: 26 ms of a link of
-	// 10 Mbit/s, which is how long smaller messages may have to wait behind it.
+	// maxReplyPartsBytes bounds the parts in one reply, so that smaller messages do not wait
+	// long behind it on a slow link.
 	maxReplyPartsBytes = 32 << 10
-	// partsTimeout bounds one call: the wait for the peer's turn, and the time that a
-	// reply takes on the slowest link while three others share it.
+	// partsTimeout bounds one call, which includes the wait for the peer's send limiter.
 	partsTimeout = 500 * time.Millisecond
-	// fetchTimeout bounds one fetch; what came is kept for the next.
+	// fetchTimeout bounds one fetch. The parts received so far are kept for the next one.
 	fetchTimeout = 3 * time.Second
-	// busyPause and busyJitter are the time until a node is asked again that was busy:
-	// about what it needs to serve one round of others.
+	// busyBackoff and busyBackoffJitter determine the wait after a peer reported that it is busy.
 	busyBackoff       = 20 * time.Millisecond
 	busyBackoffJitter = 40 * time.Millisecond
-	// failuresBorne is how many other nodes are asked in one fetch after one failed.
+	// maxFetchRetries is how many more nodes one fetch calls after calls that failed.
 	maxFetchRetries = 3
 )
 
-// errNobodyElse means that no other node is known to have the version.
+// errNoOtherSource means that no other node is known to have the version.
 var errNoOtherSource = errors.New("no other node is known to have the version")
 
-// errInvalid means that this node can't take the version into force; others have no
-// other one.
+// errVersionInvalid means that this node can't apply the version. Other nodes have the same one.
 var errVersionInvalid = errors.New("the version is not valid at this node")
 
-// offerCatalog takes a configuration into force if it is valid and newer.
+// applyCatalog activates a configuration if it is valid and newer than the active one.
 func (n *Node) applyCatalog(document *catalog.Document, source string) {
 	n.catalogMutex.Lock()
 	defer n.catalogMutex.Unlock()
@@ -66,8 +63,7 @@
 	n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "in-force", Version: document.Version, Count: len(document.Routes), Detail: source})
 }
 
-// publish makes the version available to others. One that was fetched from a peer is in
-// the library already.
+// publish makes the version available to peers.
 func (n *Node) publish(document *catalog.Document) {
 	n.parts.Activate(document.Version)
 	if n.parts.Version() >= document.Version {
@@ -78,7 +74,7 @@
 	}
 }
 
-// version returns the version in force; zero means none.
+// version returns the version of the active configuration, or zero if there is none.
 func (n *Node) version() int64 {
 	if current := n.catalog.Load(); current != nil {
 		return current.Version
@@ -86,20 +82,20 @@
 	return 0
 }
 
-// configurationPullDue returns whether the peer has a newer version and is to be asked
-// for it now. The caller holds the mutex.
-func (n *Node) configurationPullDue(beat liveness.Heartbeat) bool {
-	own, patience := n.version(), n.pullDelay(beat)
+// configurationPullDue reports whether to fetch a newer version from the sender of the
+// heartbeat now. If so, the caller must fetch it. The caller holds the mutex.
+func (n *Node) configurationPullDue(heartbeat liveness.Heartbeat) bool {
+	own, delay := n.version(), n.pullDelay(heartbeat)
 	if own == 0 && !n.isNonDelegate {
-		patience = 0
+		delay = 0
 	}
-	if !n.newerVersions.Observe(n.now(), own, beat.Version) {
+	if !n.newerVersions.Observe(n.now(), own, heartbeat.Version) {
 		return false
 	}
-	return n.versionPull.ShouldPull(n.now(), own, beat.Version, patience)
+	return n.versionPull.ShouldPull(n.now(), own, heartbeat.Version, delay)
 }
 
-// partsReply gives the turn at this node's link back once it was sent.
+// partsReply releases its slot of the send limiter once it was sent.
 type partsReply struct {
 	dissemination.Reply `msgpack:",inline"`
 	onSent              func()
@@ -112,7 +108,7 @@
 	}
 }
 
-// serveParts sends a peer what it lacks of the version in force.
+// serveParts returns parts of the active version that the requesting peer lacks.
 func (n *Node) serveParts(ctx context.Context, request *dissemination.Request) (*partsReply, error) {
 	if n.parts.Version() <= request.Version {
 		return &partsReply{}, nil
@@ -121,24 +117,24 @@
 		n.counter("configuration.busy").Inc(1)
 		return &partsReply{Reply: dissemination.Reply{Busy: true, Sources: n.sources.Suggest(request)}}, nil
 	}
-	reply, whole := n.parts.Respond(request, maxReplyPartsBytes)
+	reply, complete := n.parts.Respond(request, maxReplyPartsBytes)
 	for _, content := range reply.Content {
 		n.counter("configuration.bytes_sent").Inc(int64(len(content)))
 	}
-	// A peer that does not read keeps its turn no longer than it waits for the reply.
-	leave := sync.OnceFunc(n.sendLimiter.Release)
-	time.AfterFunc(partsTimeout, leave)
+	// A peer that does not read occupies the slot no longer than it waits for the reply.
+	release := sync.OnceFunc(n.sendLimiter.Release)
+	time.AfterFunc(partsTimeout, release)
 	return &partsReply{Reply: *reply, onSent: func() {
-		leave()
-		if whole {
+		release()
+		if complete {
 			n.sources.Add(reply.Manifest.Version, request)
 		}
 	}}, nil
 }
 
-// fetchConfiguration brings the newer version of a peer into force.
+// fetchConfiguration fetches the newer version of the peer at the address and applies it.
 func (n *Node) fetchConfiguration(address string) {
-	begun, held := n.now(), n.version()
+	startedAt, current := n.now(), n.version()
 	progress, err := n.fetch(address)
 	if err != nil {
 		n.parts.CancelFetch()
@@ -146,19 +142,19 @@
 	n.mutex.Lock()
 	n.versionPull.PullDone(n.now(), err == nil || progress)
 	n.mutex.Unlock()
-	took := n.now() - begun
+	took := n.now() - startedAt
 	if err != nil {
 		if n.ctx.Err() == nil {
 			n.counter("configuration.fetches_failed").Inc(1)
-			n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "not-fetched", Peer: address, Version: held, Took: took.Milliseconds(), Detail: err.Error()})
+			n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "not-fetched", Peer: address, Version: current, Took: took.Milliseconds(), Detail: err.Error()})
 		}
 		return
 	}
 	n.recordDuration("configuration_fetch_ms", took)
 }
 
-// fetch asks the peer, and others if it is busy or fails, until nothing of a newer
-// version is missing. Progress is true if some part of it came.
+// fetch calls the peer, and others if it is busy or fails, until no part of a newer version
+// is missing. Progress reports whether any missing part was received.
 func (n *Node) fetch(address string) (progress bool, err error) {
 	ctx, cancel := context.WithTimeout(n.ctx, fetchTimeout)
 	defer cancel()
@@ -167,17 +163,17 @@
 		if reply, err = n.requestParts(ctx, address); err == nil && reply.Busy {
 			address = n.nextSource(reply.Sources, address)
 			n.sleep(busyBackoff + rand.N(busyBackoffJitter))
-			continue // once the time is over the next call fails
+			continue // ends with fetchTimeout, when the next call fails
 		}
-		came, whole := false, false
+		received, complete := false, false
 		if err == nil {
-			came, whole, err = n.mergeParts(&reply.Reply, address)
+			received, complete, err = n.mergeParts(&reply.Reply, address)
 		}
-		progress = progress || came
-		if whole {
+		progress = progress || received
+		if complete {
 			return true, nil
 		}
-		if err == nil && came {
+		if err == nil && received {
 			continue
 		}
 		if err == nil {
@@ -193,7 +189,7 @@
 	return progress, err
 }
 
-// askForParts makes one call.
+// requestParts makes one call for parts to the peer at the address.
 func (n *Node) requestParts(ctx context.Context, address string) (*partsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, partsTimeout)
 	defer cancel()
@@ -205,9 +201,9 @@
 	return reply, nil
 }
 
-// takeParts enters a reply, and the version that it completes. Whole is true if this
-// node then has a version as new as the peer's.
-func (n *Node) mergeParts(reply *dissemination.Reply, address string) (progress, whole bool, err error) {
+// mergeParts stores the parts of a reply and applies the version that they complete. Complete
+// reports whether this node's version is then at least the peer's.
+func (n *Node) mergeParts(reply *dissemination.Reply, address string) (progress, complete bool, err error) {
 	document, progress, err := n.parts.Merge(reply)
 	if err != nil {
 		n.counter("configuration.parts_bad").Inc(1)
@@ -222,27 +218,27 @@
 	return progress, reply.Manifest.Version > 0 && n.version() >= reply.Manifest.Version, nil
 }
 
-// nextHolder returns a node to ask after the one at the address: a live one of those
-// named, or that tells the version that is being fetched or any newer than this node's,
-// of this zone if there is one; if there is none, the same again.
-func (n *Node) nextSource(named []string, address string) string {
-	least, zone := max(n.version()+1, n.parts.Fetching()), n.settings.Load().Zone
-	var told, near, far []string
+// nextSource returns a live node to call after the one at the address: a suggested one, else
+// one of this zone that has the version being fetched or any newer than this node's, else
+// one of another zone. If there is none, it returns the same address.
+func (n *Node) nextSource(suggested []string, address string) string {
+	minVersion, zone := max(n.version()+1, n.parts.Fetching()), n.settings.Load().Zone
+	var preferred, sameZone, otherZones []string
 	n.mutex.Lock()
 	for _, member := range n.members.Live(n.now()) {
 		switch {
 		case member.Address == address:
-		case slices.Contains(named, member.Address):
-			told = append(told, member.Address)
-		case member.Version < least:
+		case slices.Contains(suggested, member.Address):
+			preferred = append(preferred, member.Address)
+		case member.Version < minVersion:
 		case member.Zone == zone:
-			near = append(near, member.Address)
+			sameZone = append(sameZone, member.Address)
 		default:
-			far = append(far, member.Address)
+			otherZones = append(otherZones, member.Address)
 		}
 	}
 	n.mutex.Unlock()
-	for _, group := range [][]string{told, near, far} {
+	for _, group := range [][]string{preferred, sameZone, otherZones} {
 		if len(group) > 0 {
 			return group[rand.IntN(len(group))]
 		}
--- a/entry/configuration_lag.go
+++ b/entry/configuration_lag.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// behindShare is the part of the time that a version may take to be in force everywhere
-// after which a node that still lacks it refuses requests: it may have heard of the
-// version some heartbeats after it was accepted.
+// maxBehindShare is the share of Settings.ConfigurationBound after which a node that lacks a
+// newer version rejects requests. It is below 1 because the node may learn of the version some
+// heartbeats after it was accepted.
 const maxBehindShare = 0.6
 
-// retryBehind is when a caller should come back that this node can't answer rightly, as
-// it knows of a newer version: about the time that a fetch takes. Another node may have
-// the version at once.
+// retryAfterStaleConfiguration is the Retry-After of a node with a stale configuration, about
+// the time that a fetch takes.
 const retryAfterStaleConfiguration = 200 * time.Millisecond
 
-// behindTooLong returns whether this node has lacked a newer configuration for so long
-// that it may not answer by its own any more.
+// isConfigurationStale reports whether a newer configuration has been known for so long that
+// this node must not serve requests by its own.
 func (n *Node) isConfigurationStale() bool {
 	return n.newerVersions.BehindFor(n.now(), n.version()) > n.settings.Load().maxBehindTime()
 }
 
-// forgetVersionsOfDeadPeers drops what no living peer has from the versions heard of.
+// dropVersionsOfDeadPeers drops the known newer versions that no live peer has.
 func (n *Node) dropVersionsOfDeadPeers() {
 	newest := int64(0)
 	n.mutex.Lock()
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -11,10 +11,10 @@
 	"github.com/thornwalk/thornwalk/state/catalog"
 )
 
-// severalReplies is a number of routes that do not fit one reply.
+// routesForSeveralReplies is a number of routes that does not fit into one reply.
 const routesForSeveralReplies = 5600
 
-// fetchedDocument is a configuration that takes several replies.
+// largeDocument returns a configuration that takes several replies.
 func largeDocument() *catalog.Document {
 	document := &catalog.Document{Version: 7, Services: []catalog.Service{{Name: "s"}}}
 	for i := range routesForSeveralReplies {
@@ -26,32 +26,31 @@
 	return document
 }
 
-// A node may read a version from the store while it fetches the same from a peer: so do
-// nodes whose watch is late, and all that start. What it then has in force is whole, and
-// it can send all of it on.
+// Guards against a panic or missing parts when a node reads a version from the store while it
+// fetches the same version from a peer.
 func TestVersionReadFromStoreDuringFetchCanBeServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	peer := dissemination.NewPartStore()
 	g.Expect(peer.Publish(largeDocument())).To(gomega.Succeed())
 	n := newFreshnessNode(0)
-	reply, whole := peer.Respond(&dissemination.Request{}, maxReplyPartsBytes)
-	g.Expect(whole).To(gomega.BeFalse(), "the version takes several replies")
+	reply, complete := peer.Respond(&dissemination.Request{}, maxReplyPartsBytes)
+	g.Expect(complete).To(gomega.BeFalse(), "the version takes several replies")
 	document, _, err := n.parts.Merge(reply)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(document).To(gomega.BeNil())
 	n.applyCatalog(largeDocument(), "store")
 	g.Expect(n.version()).To(gomega.Equal(int64(7)))
 	g.Expect(func() {
-		asker := dissemination.NewPartStore()
-		for asker.Version() == 0 {
-			parts, err := n.serveParts(context.Background(), &dissemination.Request{Version: asker.Version(), HeldParts: asker.HeldParts()})
+		requester := dissemination.NewPartStore()
+		for requester.Version() == 0 {
+			parts, err := n.serveParts(context.Background(), &dissemination.Request{Version: requester.Version(), HeldParts: requester.HeldParts()})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			made, progress, err := asker.Merge(&parts.Reply)
+			merged, progress, err := requester.Merge(&parts.Reply)
 			parts.Sent()
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(progress).To(gomega.BeTrue())
-			if made != nil {
-				asker.Activate(made.Version)
+			if merged != nil {
+				requester.Activate(merged.Version)
 			}
 		}
 	}).NotTo(gomega.Panic())
--- a/entry/era.go
+++ b/entry/era.go
@@ -9,40 +9,37 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// A store that comes back from a copy has lost what was acknowledged since and gives its
-// revisions out again; each time its era rises. What the operators and the replicas wrote they
-// write again within two seconds. Until then the copy is not the truth: a replica that left is
-// listed, one that came is not. So for a while nothing that the copy may hold takes back what a
-// node knows, and what is missing is doubted as after an outage (updates.go). What the system itself
-// wrote, the scheduling node writes again from what it knows (poison_sync.go, rollout_restore.go).
+// A store that was restored from a backup has lost the latest writes and assigns their revisions
+// again; each restore raises its era. Operators and replicas write their entries again within the
+// restore window. Until then the store may list replicas that left and lack ones that joined, so
+// nothing it lists overrides newer state, and replicas missing from it become unconfirmed. What
+// nodes wrote to the store, the active scheduler writes again (poison_sync.go, rollout_restore.go).
 
-// restoredTime is how long what the store lists may be of the copy: the entry of a replica that
-// left runs out 3.6 s after the store is back, three heartbeats, and a watch or pull may bring that
-// 0.4 s later. What is still listed then lives.
+// restoreWindowDuration is the length of the restore window. It covers the expiry of the entry of
+// a replica that left, three heartbeats after the restore, and the delay of watches and pulls.
 const restoreWindowDuration = 4 * time.Second
 
-// era is what a node knows of the store's eras.
+// era holds the known era of the store and the restore window.
 type era struct {
-	// known is true once any answer of the store, or a peer, told an era; present is the newest.
+	// isKnown is true once the store or a peer reported an era; present is the newest one.
 	isKnown bool
 	present int64
-	// restored is of a store that came back from a copy at the instant since.
+	// restoreWindow describes the latest restore, which this node counts from restoredAt.
 	restoreWindow structs.RestoreWindow
 	restoredAt    structs.Instant
-	// lacksPast is true at a process that knows the copy only, until a peer that knows what was
-	// before has told it; isAsking is true while one is asked.
+	// lacksEarlierState is true if this process has seen only the restored store and has not yet
+	// pulled the earlier state from a peer; isPullingAll is true while it does.
 	lacksEarlierState, isPullingAll bool
-	// isOldTold is true if it was told that answers of an earlier era come.
+	// isOldEraLogged is true once a response of an earlier era was logged.
 	isOldEraLogged bool
 }
 
-// isRestored returns whether what the store lists may be of a copy.
+// isInRestoreWindow reports whether the store may still list entries from before a restore.
 func (e *era) isInRestoreWindow(now structs.Instant) bool {
 	return e.restoreWindow.Era > e.restoreWindow.Base && now-e.restoredAt < restoreWindowDuration
 }
 
-// restoredFor returns for how long the store has been back from a copy, or zero if its writers
-// have had their time.
+// restoreWindowAge returns the time since the restore, or zero outside the restore window.
 func (e *era) restoreWindowAge(now structs.Instant) time.Duration {
 	if !e.isInRestoreWindow(now) {
 		return 0
@@ -50,28 +47,27 @@
 	return max(now-e.restoredAt, time.Millisecond)
 }
 
-// checkEra takes account of the era of an answer of the store. It returns false if the answer
-// is of an earlier era than the one known and tells nothing of the present. The caller holds the
-// mutex.
-func (n *Node) checkEra(place structs.StorePosition) bool {
+// checkEra records the era of a response of the store. It returns false if the response is of an
+// earlier era than the known one and must not be used. The caller holds the mutex.
+func (n *Node) checkEra(position structs.StorePosition) bool {
 	switch {
 	case !n.era.isKnown:
-		n.era.isKnown, n.era.present = true, place.Era()
-	case place.Era() > n.era.present:
-		n.enterEra(structs.RestoreWindow{Base: n.baseEra(), Era: place.Era(), Listed: place.Revision()}, n.now(), "store")
-	case place.Era() < n.era.present:
+		n.era.isKnown, n.era.present = true, position.Era()
+	case position.Era() > n.era.present:
+		n.enterEra(structs.RestoreWindow{Base: n.baseEra(), Era: position.Era(), Listed: position.Revision()}, n.now(), "store")
+	case position.Era() < n.era.present:
 		n.counter("store.old_eras").Inc(1)
 		if !n.era.isOldEraLogged {
 			n.era.isOldEraLogged = true
-			n.log.Write(eventlog.Event{Kind: "store.era", Outcome: "kept-out", Reason: "older", Era: place.Era(), Detail: fmt.Sprintf("era %d is known: what the store says now is not used", n.era.present)})
+			n.log.Write(eventlog.Event{Kind: "store.era", Outcome: "kept-out", Reason: "older", Era: position.Era(), Detail: fmt.Sprintf("store response ignored: the known era is %d", n.era.present)})
 		}
 		return false
 	}
 	return true
 }
 
-// baseEra returns the era of before, if a copy is restored now: that before the first of several
-// in a row. The caller holds the mutex.
+// baseEra returns the era before the current restore window, which may cover several restores, or
+// the present era outside of one. The caller holds the mutex.
 func (n *Node) baseEra() int64 {
 	if n.era.isInRestoreWindow(n.now()) {
 		return n.era.restoreWindow.Base
@@ -79,60 +75,61 @@
 	return n.era.present
 }
 
-// mergePeerEra takes account of what a peer knows of the eras. It returns whether the peer is to be
-// asked for all that it knows, as this process knows the copy only. The caller holds the mutex.
-func (n *Node) mergePeerEra(beat liveness.Heartbeat) bool {
-	if beat.RestoreWindow == nil {
+// mergePeerEra merges what a peer reports of the eras. It returns true if the caller must pull all
+// state from the peer because this process lacks that from before the restore. The caller holds
+// the mutex.
+func (n *Node) mergePeerEra(heartbeat liveness.Heartbeat) bool {
+	if heartbeat.RestoreWindow == nil {
 		return false
 	}
-	told, since := *beat.RestoreWindow, n.now()-time.Duration(beat.RestoreAgeMS)*time.Millisecond
-	if n.now()-since >= restoreWindowDuration || n.era.isKnown && told.Era < n.era.present {
+	reported, restoredAt := *heartbeat.RestoreWindow, n.now()-time.Duration(heartbeat.RestoreAgeMS)*time.Millisecond
+	if n.now()-restoredAt >= restoreWindowDuration || n.era.isKnown && reported.Era < n.era.present {
 		return false
 	}
 	switch {
 	case !n.era.isKnown:
-		n.enterEra(told, since, beat.Name)
+		n.enterEra(reported, restoredAt, heartbeat.Name)
 		n.era.lacksEarlierState = true
-	case told.Era > n.era.present:
-		told.Base = min(told.Base, n.baseEra())
-		n.enterEra(told, since, beat.Name)
-	case n.era.restoreWindow.Era < told.Era: // this process started after the copy
+	case reported.Era > n.era.present:
+		reported.Base = min(reported.Base, n.baseEra())
+		n.enterEra(reported, restoredAt, heartbeat.Name)
+	case n.era.restoreWindow.Era < reported.Era: // this process started after the restore
 		n.era.lacksEarlierState = true
-		n.setRestoreWindow(told, since)
-	case n.era.restoreWindow.Base > told.Base || n.era.restoreWindow.Listed > told.Listed: // it saw the store later
-		told.Base, told.Listed = min(told.Base, n.era.restoreWindow.Base), min(told.Listed, n.era.restoreWindow.Listed)
-		n.setRestoreWindow(told, min(since, n.era.restoredAt))
+		n.setRestoreWindow(reported, restoredAt)
+	case n.era.restoreWindow.Base > reported.Base || n.era.restoreWindow.Listed > reported.Listed: // the peer knows more of the earlier state
+		reported.Base, reported.Listed = min(reported.Base, n.era.restoreWindow.Base), min(reported.Listed, n.era.restoreWindow.Listed)
+		n.setRestoreWindow(reported, min(restoredAt, n.era.restoredAt))
 	}
-	asks := n.era.lacksEarlierState && !n.era.isPullingAll
-	n.era.isPullingAll = n.era.isPullingAll || asks
-	return asks
+	needsPull := n.era.lacksEarlierState && !n.era.isPullingAll
+	n.era.isPullingAll = n.era.isPullingAll || needsPull
+	return needsPull
 }
 
-// setRestored has everything that is known be ordered for a store that came back from a copy. The
-// caller holds the mutex.
-func (n *Node) setRestoreWindow(restored structs.RestoreWindow, since structs.Instant) {
-	n.era.restoreWindow, n.era.restoredAt = restored, since
-	n.table.SetRestoreWindow(restored)
-	n.evacuations.SetRestoreWindow(restored)
-	n.rollouts.SetRestoreWindow(restored)
+// setRestoreWindow makes all tables order their positions for the restored store. The caller holds
+// the mutex.
+func (n *Node) setRestoreWindow(window structs.RestoreWindow, restoredAt structs.Instant) {
+	n.era.restoreWindow, n.era.restoredAt = window, restoredAt
+	n.table.SetRestoreWindow(window)
+	n.evacuations.SetRestoreWindow(window)
+	n.rollouts.SetRestoreWindow(window)
 }
 
-// enterEra begins a new era. The caller holds the mutex.
-func (n *Node) enterEra(restored structs.RestoreWindow, since structs.Instant, source string) {
-	n.era = era{isKnown: true, present: restored.Era}
-	n.setRestoreWindow(restored, since)
+// enterEra starts a new era. The caller holds the mutex.
+func (n *Node) enterEra(window structs.RestoreWindow, restoredAt structs.Instant, source string) {
+	n.era = era{isKnown: true, present: window.Era}
+	n.setRestoreWindow(window, restoredAt)
 	n.storeFailedAt, n.watchHealthy = n.now(), false // entries are missing until they are written again
 	n.poisonStored = storedPoisonRecords{}
 	n.counter("store.eras").Inc(1)
 	n.log.Write(eventlog.Event{
-		Kind: "store.era", Outcome: "restored", Era: restored.Era, Revision: restored.Listed, Peer: source,
-		Detail: fmt.Sprintf("%d after %d: changes after revision %d may be lost", restored.Era, restored.Base, restored.Listed),
+		Kind: "store.era", Outcome: "restored", Era: window.Era, Revision: window.Listed, Peer: source,
+		Detail: fmt.Sprintf("%d after %d: changes after revision %d may be lost", window.Era, window.Base, window.Listed),
 	})
-	n.requestReread() // the watch waits for revisions of another history
+	n.requestReread() // the watch waits for revisions of the previous history
 }
 
-// settleEra ends the time in which the store may list what is of the copy. What is listed then is
-// read once more, and counts.
+// endRestoreWindow ends the restore window once its time is over, and requests a complete read,
+// which is authoritative.
 func (n *Node) endRestoreWindow() {
 	n.mutex.Lock()
 	due := n.era.restoreWindow.Era > n.era.restoreWindow.Base && !n.era.isInRestoreWindow(n.now())
@@ -146,19 +143,20 @@
 	}
 }
 
-// isOfEarlierEra returns whether the sender goes by an era that is over, or by none as the version
-// before does: what it calls its latest news can't be compared, and how fresh they are says nothing
-// of this node's. A node then reads the store by itself within staleAfter. The caller holds the
-// mutex.
-func (n *Node) isFromEarlierEra(beat liveness.Heartbeat) bool { return beat.Era < n.era.present }
+// isFromEarlierEra reports whether the sender of the heartbeat uses an earlier era than this node,
+// or sends none. Its positions and their age can't be compared with this node's. The caller holds
+// the mutex.
+func (n *Node) isFromEarlierEra(heartbeat liveness.Heartbeat) bool {
+	return heartbeat.Era < n.era.present
+}
 
-// addEra has the heartbeat tell what this node knows of the eras. Of a copy only those tell that
-// know what was before: two processes that start at once would ask each other and learn nothing.
-// The caller holds the mutex.
-func (n *Node) addEra(now structs.Instant, beat *liveness.Heartbeat) {
-	beat.Era = n.era.present
+// addEra adds what this node knows of the eras to the heartbeat. The restore window is left out if
+// this node lacks the earlier state, so that two such processes do not pull from each other. The
+// caller holds the mutex.
+func (n *Node) addEra(now structs.Instant, heartbeat *liveness.Heartbeat) {
+	heartbeat.Era = n.era.present
 	if n.era.isInRestoreWindow(now) && !n.era.lacksEarlierState {
-		restored := n.era.restoreWindow
-		beat.RestoreWindow, beat.RestoreAgeMS = &restored, (now - n.era.restoredAt).Milliseconds()
+		window := n.era.restoreWindow
+		heartbeat.RestoreWindow, heartbeat.RestoreAgeMS = &window, (now - n.era.restoredAt).Milliseconds()
 	}
 }
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -9,53 +9,52 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// A few nodes follow the store for all. Whoever these are is decided by each node
-// from what it hears, so that for a while nobody may feel called, or only nodes
-// that the store turns away. So heartbeats carry the age of the latest complete
-// read, and a node whose knowledge grew old reads by itself.
+// A few nodes read and watch the store and send updates to the others. Each node determines by
+// itself which nodes these are, so that for a while there may be none that reaches the store.
+// Heartbeats therefore carry the age of the latest complete read, and a node whose state is stale
+// reads the store itself.
 const (
-	// readInterval is the time between complete reads by the first nodes in
-	// rendezvous order: watches may fall silent without failing.
+	// readingNodes is the number of nodes, by watch rank, that read the store every readInterval.
+	// Reads find changes that a watch missed without failing.
 	readingNodes = 1
 	readInterval = 900 * time.Millisecond
-	// configurationShare is how many times longer than the configuration takes on the
-	// reading node's link the time between two reads of it is at least: it uses a tenth
-	// of the link. Changes come by the watch; the reads are for watches that fall silent.
+	// configurationReadFactor times the transfer time of the configuration is the minimum time
+	// between two reads of it, which limits them to a tenth of the reading node's link.
 	configurationReadFactor = 10
-	// staleAfter is the age of the latest read after which any node reads, and
-	// staleStep what each place in the order waits longer.
+	// staleAfter is the age of the latest read after which any node reads. Each node waits
+	// staleStepPerRank longer than the one ranked before it.
 	staleAfter       = 1300 * time.Millisecond
 	staleStepPerRank = 40 * time.Millisecond
-	// longestStaleStep bounds the step for a configuration that takes long to read, and
-	// nodes beyond the probers spread their reads over spreadTransfers times the time of
-	// one, but no longer than longestSpread.
-	maxStaleStepPerRank        = 300 * time.Millisecond
+	// maxStaleStepPerRank bounds the step that grows with the configuration's transfer time.
+	maxStaleStepPerRank = 300 * time.Millisecond
+	// Nodes that are not probing nodes delay reads of the configuration by a jitter of up to
+	// jitterTransfers times its transfer time, and at most maxConfigurationReadJitter.
 	jitterTransfers            = 3
 	maxConfigurationReadJitter = 3 * time.Second
-	// storeLength is how much longer the configuration is as the store sends it than as
-	// nodes encode it, measured: 2.43 MB and 0.71 MB for 5,600 routes.
+	// storeEncodingRatio is the length of a configuration as the store sends it, relative to
+	// the nodes' own encoding.
 	storeEncodingRatio = 3.4
 	bitsPerByte        = 8
-	// readCheck is the time between looks at whether a read is due.
+	// readCheckInterval is the time between checks whether a read is due.
 	readCheckInterval = 100 * time.Millisecond
 )
 
-// recordFreshness takes over how fresh a peer's knowledge is, of the replicas and of the
-// configuration, where this node knows no less than the peer. The caller holds the mutex.
-func (n *Node) recordFreshness(now structs.Instant, beat liveness.Heartbeat) {
-	if beat.ReplicasAgeMS >= 0 && beat.ReplicasAgeMS < staleAfter.Milliseconds() && !beat.StoreUnreachable {
+// recordFreshness merges the age of a peer's replicas and configuration, each only if this node's
+// are at least as new. The caller holds the mutex.
+func (n *Node) recordFreshness(now structs.Instant, heartbeat liveness.Heartbeat) {
+	if heartbeat.ReplicasAgeMS >= 0 && heartbeat.ReplicasAgeMS < staleAfter.Milliseconds() && !heartbeat.StoreUnreachable {
 		n.recordStoreReached(now)
 	}
-	if beat.ReplicasAgeMS >= 0 && !n.isFromEarlierEra(beat) && beat.LatestPosition <= n.table.LatestPosition() {
-		n.fresh.Observe(now - time.Duration(beat.ReplicasAgeMS)*time.Millisecond)
+	if heartbeat.ReplicasAgeMS >= 0 && !n.isFromEarlierEra(heartbeat) && heartbeat.LatestPosition <= n.table.LatestPosition() {
+		n.fresh.Observe(now - time.Duration(heartbeat.ReplicasAgeMS)*time.Millisecond)
 	}
-	if own := n.version(); beat.ConfigurationAgeMS >= 0 && own > 0 && beat.Version <= own {
-		n.freshConfiguration.Observe(now - time.Duration(beat.ConfigurationAgeMS)*time.Millisecond)
+	if own := n.version(); heartbeat.ConfigurationAgeMS >= 0 && own > 0 && heartbeat.Version <= own {
+		n.freshConfiguration.Observe(now - time.Duration(heartbeat.ConfigurationAgeMS)*time.Millisecond)
 	}
 }
 
-// configurationTransfer is how long the configuration takes on this node's link as the
-// store sends it.
+// configurationTransferTime returns how long the configuration takes on this node's link as the
+// store sends it, or zero if the bandwidth is not known.
 func (n *Node) configurationTransferTime() time.Duration {
 	link := n.settings.Load().LinkMbps
 	if link <= 0 {
@@ -65,23 +64,23 @@
 	return time.Duration(bits / (link * 1e6) * float64(time.Second))
 }
 
-// readDue returns whether this node should read the store now, given when it last did,
-// and what. The transfer is that of the configuration. The caller holds the mutex.
+// readDue reports whether this node should read the store now and what, given the time of its last
+// read and the transfer time of the configuration. The caller holds the mutex.
 func (n *Node) readDue(now, last structs.Instant, transfer time.Duration) (scope outside.Scope, due bool) {
 	if n.storeDown || now-last < readInterval {
-		return 0, false // the watch loop tries again by itself
+		return 0, false // the watch loop retries a store that is down
 	}
 	interval := max(readInterval, configurationReadFactor*transfer)
 	if n.watchRank < readingNodes {
-		// A read begins a little after the moment at which it was found due.
+		// The read starts up to readCheckInterval after it became due.
 		if !n.freshConfiguration.Known() || now-n.freshConfiguration.At() > interval-readCheckInterval {
 			return outside.ScopeAll, true
 		}
 		return outside.ScopeReplicas, true
 	}
-	old := staleAfter + interval - readInterval + n.staleReadDelay(now, min(staleStepPerRank+transfer, maxStaleStepPerRank)) + n.configurationReadJitter(transfer)
+	staleAge := staleAfter + interval - readInterval + n.staleReadDelay(now, min(staleStepPerRank+transfer, maxStaleStepPerRank)) + n.configurationReadJitter(transfer)
 	switch {
-	case n.freshConfiguration.Known() && !n.versionPull.IsPulling() && now-n.freshConfiguration.At() > old:
+	case n.freshConfiguration.Known() && !n.versionPull.IsPulling() && now-n.freshConfiguration.At() > staleAge:
 		return outside.ScopeAll, !n.waitsForProbingNodes(now)
 	case n.fresh.Known() && now-n.fresh.At() > staleAfter+n.staleReadDelay(now, staleStepPerRank):
 		return outside.ScopeReplicas, !n.waitsForProbingNodes(now)
@@ -89,9 +88,8 @@
 	return outside.ScopeReplicas, false
 }
 
-// spreadOver is how much later this node reads the configuration than others of its
-// rank: once the first has read it, the others have it from that one. The caller holds
-// the mutex.
+// configurationReadJitter returns how much later this node reads the configuration than others of
+// its rank, so that it can fetch it from the first that has read it. The caller holds the mutex.
 func (n *Node) configurationReadJitter(transfer time.Duration) time.Duration {
 	if n.storeCallRank < probingNodes {
 		return 0
@@ -99,7 +97,7 @@
 	return time.Duration(n.jitterShare() * float64(min(jitterTransfers*transfer, maxConfigurationReadJitter)))
 }
 
-// readLoop reads the store whenever that is due.
+// readLoop reads the store whenever a read is due, until the node ends.
 func (n *Node) readLoop() {
 	last := n.now()
 	for n.sleep(readCheckInterval) {
@@ -115,7 +113,7 @@
 		last = now
 		if !stale && !n.mayHaveMissedChanges() {
 			n.counter("store.reads_spared").Inc(1)
-			last -= 2 * maxWatchDelay // it tells so much later than a read: others must not find theirs due
+			last -= 2 * maxWatchDelay // the check takes longer than a read: start it earlier, before other nodes' reads become due
 			continue
 		}
 		_, err := n.read(scope)
--- a/entry/freshness_test.go
+++ b/entry/freshness_test.go
@@ -12,7 +12,7 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// freshnessNode is a node that knows configuration 3 and replicas up to revision 7.
+// newFreshnessNode returns a node with the rank, configuration 3 and replicas up to revision 7.
 func newFreshnessNode(rank int) *Node {
 	n := New(&Settings{Name: "n", LinkMbps: 10}, Dependencies{Log: eventlog.New("n", nil)})
 	n.watchRank, n.storeCallRank = rank, rank
@@ -23,23 +23,23 @@
 	return n
 }
 
-// After a cut of a third of the nodes no node that reached the store felt called to read
-// it for three seconds.
+// Guards against nobody reading the store although the state of every node is stale, as happens
+// when the watching nodes are partitioned from the store.
 func TestNodeReadsStoreWhenAllStateIsStale(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
 	now := 20 * time.Second
-	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty(), "it never heard of a read; its watch loop makes the first")
+	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty(), "no read is known yet: the watch loop makes the first")
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 400, ConfigurationAgeMS: 400})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty())
 	later := now + staleAfter
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.Equal("all"))
-	g.Expect(dueScope(n, later, later-readCheckInterval, 0)).To(gomega.BeEmpty(), "not twice at once")
+	g.Expect(dueScope(n, later, later-readCheckInterval, 0)).To(gomega.BeEmpty(), "readInterval has not passed")
 	n.storeDown = true
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.BeEmpty())
 }
 
-// dueScope returns what the node should read, or nothing.
+// dueScope returns the scope that the node should read, or "" if no read is due.
 func dueScope(n *Node, now, last, transfer time.Duration) string {
 	n.lastContactAt = now
 	scope, due := n.readDue(now, last, transfer)
@@ -49,22 +49,23 @@
 	return scope.String()
 }
 
-// Large configurations were read by all nodes at the same moment, each for itself,
-// while one copy was on its way to them already.
+// Guards against all nodes reading a large configuration at once while one copy is already being
+// disseminated.
 func TestLargeConfigurationIsNotReadByAllNodesAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(40)
 	now := 20 * time.Second
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 0})
 	later := now + staleAfter + probingNodes*staleStepPerRank + staleReadJitter + time.Millisecond
-	g.Expect(dueScope(n, later, 0, time.Second)).To(gomega.Equal("replicas"), "the configuration takes a second")
+	g.Expect(dueScope(n, later, 0, time.Second)).To(gomega.Equal("replicas"), "the configuration is not stale yet")
 	n.recordFreshness(later, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 9000})
 	last := now + staleAfter + configurationReadFactor*time.Second + probingNodes*maxStaleStepPerRank + staleReadJitter + maxConfigurationReadJitter + time.Millisecond
-	g.Expect(dueScope(n, last, 0, time.Second)).To(gomega.Equal("all"), "but nobody else has it either")
-	g.Expect(n.versionPull.ShouldPull(now, 3, 4, 0)).To(gomega.BeTrue(), "it is being fetched")
-	g.Expect(dueScope(n, last, 0, time.Second)).NotTo(gomega.Equal("all"), "a peer is sending it")
+	g.Expect(dueScope(n, last, 0, time.Second)).To(gomega.Equal("all"), "the configuration is stale")
+	g.Expect(n.versionPull.ShouldPull(now, 3, 4, 0)).To(gomega.BeTrue(), "a pull starts")
+	g.Expect(dueScope(n, last, 0, time.Second)).NotTo(gomega.Equal("all"), "the configuration is being pulled")
 }
 
+// Guards against a node that lacks a newer configuration treating its replicas as stale too.
 func TestFreshnessOfReplicasAndConfigurationIsSeparate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
@@ -73,6 +74,7 @@
 	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
 }
 
+// Guards against recording state as fresh that is older than the peer's.
 func TestFreshnessOfPeerWithNewerStateIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
@@ -84,16 +86,18 @@
 	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(250))
 }
 
+// Guards against reads of the configuration that fill the reading node's link.
 func TestReadingNodeUsesATenthOfItsLinkForConfiguration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
-	begun := 20 * time.Second
-	n.freshConfiguration.Observe(begun + time.Millisecond) // a read begins after it was found due
-	g.Expect(dueScope(n, begun+readInterval, begun, 0)).To(gomega.Equal("all"))
-	g.Expect(dueScope(n, begun+readInterval, begun, time.Second)).To(gomega.Equal("replicas"))
-	g.Expect(dueScope(n, begun+configurationReadFactor*time.Second, begun, time.Second)).To(gomega.Equal("all"))
+	start := 20 * time.Second
+	n.freshConfiguration.Observe(start + time.Millisecond) // a read starts after it became due
+	g.Expect(dueScope(n, start+readInterval, start, 0)).To(gomega.Equal("all"))
+	g.Expect(dueScope(n, start+readInterval, start, time.Second)).To(gomega.Equal("replicas"))
+	g.Expect(dueScope(n, start+configurationReadFactor*time.Second, start, time.Second)).To(gomega.Equal("all"))
 }
 
+// Guards against a silent watch going unnoticed because the reading node takes its state for fresh.
 func TestFirstRankedNodesReadEvenWhenFresh(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
@@ -101,9 +105,8 @@
 	g.Expect(dueScope(n, 20*time.Second, 20*time.Second-readInterval, time.Second)).To(gomega.Equal("all"))
 }
 
-// A node of the version before knows no eras. In a later era its latest revision reads as old news
-// that this node has long had, and its reads would count as this node's own: it would hear of no
-// change until it was replaced.
+// Guards against merging the freshness of a previous-version peer that sends no era: its positions
+// are lower than all of the present era, so this node would never see its own state as stale.
 func TestFreshnessOfPeerWithoutEraIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -17,7 +17,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// call is one request of a caller on its way through the node.
+// call is one caller's request in progress.
 type call struct {
 	node    *Node
 	writer  http.ResponseWriter
@@ -28,52 +28,53 @@
 	tenant  *catalog.Tenant
 	service string
 	body    []byte
-	// fingerprint is known once the body is read.
+	// fingerprint is set once the body is read.
 	fingerprint fingerprint.Fingerprint
-	// broke is how the last send broke.
+	// lastFailure is the failure cause of the last send.
 	lastFailure failureCause
-	// refusedConnects counts the replicas at whose addresses nobody listened.
+	// refusedConnects counts the connects that were refused.
 	refusedConnects int
-	// prompt and output are the tokens of the request; both are zero for
+	// promptTokens and outputTokens are the tokens of the request; both are zero for
 	// requests without a token count.
 	promptTokens, outputTokens int
-	// hint is the caller's guess at the tokens of the answer.
+	// lengthHint is the caller's estimate of the tokens of the response.
 	lengthHint int
 	arrived    structs.Instant
-	// deadline is when the caller or the route gives up, whichever is first.
+	// deadline is the earlier of the caller's and the route's.
 	deadline structs.Instant
-	// headSent is true once the caller has the head of an answer.
+	// headSent is true once the head of a response was sent to the caller.
 	headSent bool
 	ended    bool
 	sends    int
-	waited   time.Duration
-	// lastEvent is the number of the last event that the caller has, and resumed
-	// is true once the stream went on at another replica.
+	// waited is the total time in queues.
+	waited time.Duration
+	// lastEventID is the ID of the last event that the caller has, and resumed
+	// is true once the stream continued at another replica.
 	lastEventID string
 	resumed     bool
-	// firstEvent is the time from the last send to the first event, and
-	// longestPause the longest time between two events.
+	// firstEventDelay is the time from the last send to the first event, and
+	// maxEventGap the longest time between two events.
 	firstEventDelay, maxEventGap time.Duration
-	// answeredStatus and answeredBy are the status that the caller got and the replica
-	// that gave it, once the whole answer is out.
+	// answeredStatus and answeredBy are the status of the complete response and the
+	// replica that sent it.
 	answeredStatus int
 	answeredBy     string
-	// kept is true if the request's lines are written in any case; if not, lines
-	// holds them until its end is known.
+	// alwaysLogged is true if the request's events are logged at once; otherwise
+	// bufferedEvents holds them until the request ends.
 	alwaysLogged   bool
 	bufferedEvents []eventlog.Event
 }
 
-// defaultDeadline holds for requests that name none.
+// defaultTimeout applies to requests without a deadline.
 const defaultTimeout = 30 * time.Second
 
-// Times after which refused callers should come back.
+// Retry-After values of rejected requests.
 const (
 	retryAfterNoConfiguration = 500 * time.Millisecond
 	retryAfterStopping        = 100 * time.Millisecond
 )
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP handles one request of a caller and returns when its response is complete.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
@@ -111,12 +112,12 @@
 	c.serve()
 }
 
-// stopPlainTime is the longest that a plain answer is expected to take.
+// maxPlainResponseTime is the longest time that a plain response is expected to take.
 const maxPlainResponseTime = time.Second
 
-// fitsBeforeStop returns whether the answer will surely end before this process
-// does. Early in a stop every request is taken, as the balancer still sends them;
-// later no stream is, since its length is only guessed.
+// canFinishBeforeStop reports whether the response will end before this process does. Until
+// rejectAfter every request is accepted, as the balancer may still send them; after that no
+// stream is, as its length is unknown.
 func (c *call) canFinishBeforeStop() bool {
 	stopped := c.node.stoppingFor()
 	if stopped < rejectAfter {
@@ -128,7 +129,7 @@
 	return stopped+maxPlainResponseTime < c.node.settings.Load().stopGrace()-stopMargin
 }
 
-// admit finds route, tenant and deadline, or answers the request.
+// admit determines route, tenant, service and deadline. If it returns false, it has ended the request.
 func (c *call) admit(current *catalog.Catalog) bool {
 	names := &c.node.deps.Headers
 	c.route = current.Match(c.request.Host, c.request.URL.EscapedPath())
@@ -144,14 +145,14 @@
 		}
 	}
 	c.service = c.route.PickService(rand.Float64())
-	allowed := defaultTimeout
-	if given, err := strconv.ParseFloat(c.request.Header.Get(names.Deadline), 64); err == nil && given > 0 {
-		allowed = time.Duration(given * float64(time.Millisecond))
+	timeout := defaultTimeout
+	if timeoutMS, err := strconv.ParseFloat(c.request.Header.Get(names.Deadline), 64); err == nil && timeoutMS > 0 {
+		timeout = time.Duration(timeoutMS * float64(time.Millisecond))
 	}
 	if c.route.Timeout > 0 {
-		allowed = min(allowed, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	c.deadline = c.arrived + allowed
+	c.deadline = c.arrived + timeout
 	prompt, output, _ := strings.Cut(c.request.Header.Get(names.TokenUsage), ",")
 	c.promptTokens = max(parseIntOrZero(prompt), 0)
 	c.outputTokens = max(parseIntOrZero(output), 0)
@@ -159,8 +160,8 @@
 	return true
 }
 
-// refuseUnknown refuses what the configuration in force does not know. If a newer version
-// is known to exist, that one may know it, and the caller is told to come back.
+// endNotConfigured ends a request whose route or key the active configuration lacks. If a newer
+// version exists, which may have it, the caller is asked to retry.
 func (c *call) endNotConfigured(current *catalog.Catalog, status int, reason string) {
 	if c.node.newerVersions.HasNewer(current.Version) {
 		c.endNotRun(http.StatusServiceUnavailable, reasonConfigurationStale, retryAfterStaleConfiguration)
@@ -169,6 +170,7 @@
 	c.endNotRun(status, reason, 0)
 }
 
+// parseIntOrZero returns zero for text that is no integer.
 func parseIntOrZero(text string) int {
 	value, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil {
@@ -177,7 +179,7 @@
 	return value
 }
 
-// readBody reads the whole body, or answers the request.
+// readBody reads the whole body. If it returns false, it has ended the request.
 func (c *call) readBody(current *catalog.Catalog) bool {
 	limit := current.Limits.BodyBytes
 	if limit <= 0 {
@@ -209,10 +211,10 @@
 	return false
 }
 
-// defaultBodyLimit holds for configurations that name none.
+// defaultMaxBodyBytes applies to configurations without a limit.
 const defaultMaxBodyBytes = 4 << 20
 
-// refuse answers that the request did not run.
+// endNotRun ends the request with the outcome that it did not run.
 func (c *call) endNotRun(status int, reason string, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		c.writer.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
@@ -220,11 +222,11 @@
 	c.end(status, outcomeNotRun, reason)
 }
 
-// fail answers that the request may have run.
+// endOutcomeUnknown ends the request with the outcome that it may have run.
 func (c *call) endOutcomeUnknown(status int, reason string) { c.end(status, outcomeUnknown, reason) }
 
-// end gives the caller its final answer. If the caller has a part of an answer
-// already, the connection is broken so that it can't be taken for whole.
+// end logs the end of the request and sends the status. If a part of a response was sent already,
+// it aborts the connection instead, so that the caller can't take the response for complete.
 func (c *call) end(status int, outcome, reason string) {
 	if c.ended {
 		return
@@ -241,13 +243,12 @@
 	c.writer.WriteHeader(status)
 }
 
-// answered records that the caller has the whole answer. Its line follows that of
-// the send.
+// recordAnswer records the complete response, which endAnswered logs after the send.
 func (c *call) recordAnswer(status int, replica string) {
 	c.answeredStatus, c.answeredBy = status, replica
 }
 
-// endAnswered writes the last line of an answered request.
+// endAnswered logs the end of an answered request.
 func (c *call) endAnswered() {
 	event := c.newEvent("request.ended")
 	event.Outcome, event.Status, event.Replica = outcomeAnswered, c.answeredStatus, c.answeredBy
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -6,23 +6,22 @@
 	"github.com/thornwalk/thornwalk/outside"
 )
 
-// Every header of a request or an answer belongs to one of four: to the one
-// connection that it came on, to the daemon, to the caller, or to nobody in
-// particular. The first two are not passed on; the rest are, unchanged.
+// Headers belong to the connection, to this daemon, or to caller and replica. Only the last are
+// forwarded, unchanged.
 
-// connectionHeaders concern one connection only.
+// hopByHopHeaders apply to one connection only.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// keyHeader carries the caller's key, which is not the replica's business.
+// authorizationHeader carries the caller's key, which replicas must not get.
 const authorizationHeader = "Authorization"
 
-// passed returns the headers without those of one connection.
-func withoutHopByHop(given http.Header) http.Header {
-	header := given.Clone()
-	for _, value := range given["Connection"] {
+// withoutHopByHop returns a copy of the headers without those of one connection.
+func withoutHopByHop(source http.Header) http.Header {
+	header := source.Clone()
+	for _, value := range source["Connection"] {
 		for _, name := range splitList(value) {
 			header.Del(name)
 		}
@@ -33,20 +32,20 @@
 	return header
 }
 
-// forReplica returns what of a caller's headers a replica gets, and how many were
-// left out because only the daemon sets them.
-func replicaHeaders(given http.Header, names *outside.HeaderNames) (http.Header, int) {
-	header := withoutHopByHop(given)
+// replicaHeaders returns the caller's headers that are forwarded to a replica, and how many
+// headers were dropped because only this daemon may set them.
+func replicaHeaders(source http.Header, names *outside.HeaderNames) (http.Header, int) {
+	header := withoutHopByHop(source)
 	header.Del(authorizationHeader)
 	for _, name := range names.CallerOwned() {
 		name = http.CanonicalHeaderKey(name)
-		if values, found := given[name]; found {
+		if values, found := source[name]; found {
 			header[name] = values
 		}
 	}
 	dropped := 0
 	for _, name := range names.SystemOwned() {
-		if len(given.Values(name)) > 0 {
+		if len(source.Values(name)) > 0 {
 			dropped++
 		}
 		header.Del(name)
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -11,25 +11,24 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Names of the runtime's figures. Reading them does not stop the process.
+// Names of the runtime's metrics, which can be read without stopping the process.
 const (
 	heapMetric     = "/memory/classes/heap/objects:bytes"
 	totalMetric    = "/memory/classes/total:bytes"
 	releasedMetric = "/memory/classes/heap/released:bytes"
 )
 
-// newsToldFrom is how many bytes of news are being sent when a line tells of it: half of
-// the longest reply with parts of the configuration.
+// minLoggedSendingBytes is the number of update and configuration bytes being sent from which
+// it is logged.
 const minLoggedSendingBytes = maxReplyPartsBytes / 2
 
-// heapInUse returns the bytes of the heap's objects, those included that the collector
-// has yet to find unused.
+// heapBytes returns the bytes of heap objects, including those not yet collected.
 func heapBytes() int64 { return runtimeMetric(heapMetric) }
 
-// memoryHeld returns the bytes that the process holds of the machine's memory.
+// mappedBytes returns the bytes of memory that the process has mapped and not released.
 func mappedBytes() int64 { return runtimeMetric(totalMetric) - runtimeMetric(releasedMetric) }
 
-// runtimeFigure returns a figure of the runtime, or zero if it has none by the name.
+// runtimeMetric returns the value of a runtime metric, or zero if the runtime has none of the name.
 func runtimeMetric(name string) int64 {
 	sample := []runtimemetrics.Sample{{Name: name}}
 	runtimemetrics.Read(sample)
@@ -39,7 +38,7 @@
 	return int64(sample[0].Value.Uint64())
 }
 
-// registerMemory enters what the process holds in the node's metrics.
+// registerMemoryMetrics registers the gauges of memory and of bytes being sent.
 func (n *Node) registerMemoryMetrics(server *peer.Server) {
 	n.sendingBytes = func() int64 {
 		return server.Sending(peerwire.KindNews) + server.Sending(peerwire.KindConfigurationParts)
@@ -47,13 +46,13 @@
 	for name, value := range map[string]func() int64{
 		"memory.heap_bytes": heapBytes, "memory.held_bytes": mappedBytes, "news.sending_bytes": n.sendingBytes,
 	} {
-		// A node registers once, so that no name is taken.
+		// Registration fails only for a name in use, and a node registers once.
 		_ = n.metrics.Register(name, metrics.NewFunctionalGauge(value))
 	}
 }
 
-// tellMemory writes a line while much news is being sent. It is called at each
-// housekeeping, which bounds the lines.
+// logSendingMemory logs the memory in use while many bytes are being sent. Housekeeping calls
+// it, which limits the rate of lines.
 func (n *Node) logSendingMemory() {
 	sending := n.sendingBytes()
 	if sending < minLoggedSendingBytes {
--- a/entry/node.go
+++ b/entry/node.go
@@ -33,30 +33,30 @@
 	"github.com/thornwalk/thornwalk/transport/replicahttp"
 )
 
-// Dependencies are the outside of a node.
+// Dependencies are what a node needs from outside.
 type Dependencies struct {
 	Network   network.Network
 	Datagrams network.Datagrams
 	Directory outside.Directory
-	// Revisions tells cheaply how far the directory's history goes; nil means that only Directory
-	// does.
+	// Revisions reads the directory's latest revision in one cheap call; nil means that only
+	// Directory does.
 	Revisions outside.Revisions
-	// Rollouts keeps the progress of roll-outs; nil means that there are none.
+	// Rollouts stores the progress of roll-outs; nil means that it is not stored.
 	Rollouts outside.Rollouts
-	// PoisonRecords keeps what is known of barred requests; nil means that it ends with the nodes.
+	// PoisonRecords stores the records of poison requests; nil means that they are lost with the nodes.
 	PoisonRecords outside.Contents
 	Headers       outside.HeaderNames
-	// ParsePushback returns what the head of a replica's answer says to hold requests back, and an
-	// error that names each part that can't be read.
+	// ParsePushback parses the pushback signals in the head of a replica's response. Its error
+	// names each part that can't be parsed; the signals of the other parts are still returned.
 	ParsePushback func(status int, header http.Header) (pushback.Signals, error)
-	// ReadyPath is what the balancer asks.
+	// ReadyPath is the path of the balancer's readiness check.
 	ReadyPath string
 	Log       *eventlog.Log
 	// Incarnation differs for each start of the process.
 	Incarnation uint64
-	// Now is time that goes on while the machine is suspended; nil means the steady clock.
+	// Now returns a time that advances while the machine is suspended; nil means the monotonic clock.
 	Now func() time.Duration
-	// Sleep returns how late it returned after so much time; nil means the timer's own.
+	// Sleep sleeps for the duration and returns how late it returned; nil means a timer.
 	Sleep func(time.Duration) time.Duration
 }
 
@@ -72,7 +72,7 @@
 	settings atomic.Pointer[Settings]
 	deps     Dependencies
 	log      *eventlog.Log
-	// startedAt is what the clock told at the start.
+	// startedAt is what Now returned at the start.
 	startedAt     time.Duration
 	metrics       metrics.Registry
 	pool          *replicahttp.Pool
@@ -84,103 +84,104 @@
 	cancel        context.CancelFunc
 	group         sync.WaitGroup
 	servers       []*http.Server
-	// callers is the one of the servers that callers come to.
+	// callerServer is the one of the servers that callers use.
 	callerServer *http.Server
 	sequence     atomic.Uint64
-	// newsSending returns the bytes of news that are being sent.
+	// sendingBytes returns the bytes of updates and configuration parts being sent to peers.
 	sendingBytes func() int64
 
 	catalog atomic.Pointer[catalog.Catalog]
-	// offers is held while a version is taken into force.
+	// catalogMutex is held while a version is activated.
 	catalogMutex sync.Mutex
-	// library has the parts of the version in force, which others are sent through
-	// senders, and holders who was sent all of them.
+	// parts holds the parts of the active version. sendLimiter limits their sending, and sources
+	// are the nodes that were sent all of them.
 	parts         *dissemination.PartStore
 	sendLimiter   dissemination.SendLimiter
 	sources       dissemination.Sources
 	newerVersions staleness.NewerVersions
-	// isConfigurationLarge is true once the store's configuration was found to take long on this link.
+	// isConfigurationLarge is true once a read found that the configuration exceeds maxReadBytes.
 	isConfigurationLarge atomic.Bool
 
 	stopping atomic.Int64
 	inFlight atomic.Int64
-	// calls has the requests of callers in progress.
+	// calls holds the callers' requests in progress.
 	calls activeCalls
 
-	// mutex guards what follows.
+	// mutex guards all fields below.
 	mutex       sync.Mutex
 	table       *replicas.Table
 	evacuations *evacuations.Table
 	rollouts    *rollouts.Table
-	// policies says which versions get new requests, of services where not all do.
+	// policies states which versions get new requests, for services where not all do.
 	policies      map[string]rollouts.VersionPolicy
 	members       *liveness.Table
 	relays        *liveness.Relays
 	incomingPeers incomingPeerList
 	discovered    discoveredPeers
 	health        *replicahealth.Tracker
-	// pushback is what replicas said to this node to hold requests back.
+	// pushback holds what replicas reported to this node to limit requests.
 	pushback    *pushback.Tracker
 	zones       *zones.Tracker
 	assignments map[string]assignment
 	term        uint64
 	role
-	// selectedAt is the instant of the latest choice of the scheduling node, and isSelectionPending is
-	// true if another one is about to follow.
+	// selectedAt is when the scheduling node was last selected, and isSelectionPending is true if
+	// another selection is about to follow.
 	selectedAt structs.Instant
-	// roleAt is when this node's role or the scheduling node changed last.
+	// roleAt is when this node's role or the scheduling node last changed.
 	roleAt             structs.Instant
 	isSelectionPending bool
-	// slowness tells whether this node is too slow to schedule.
+	// slowness detects whether this node is too slow to schedule.
 	slowness liveness.SlowNodeDetector
-	// readCalls is how many calls the latest complete read took.
+	// readCalls is the number of calls of the latest complete read.
 	readCalls int
-	// triedAt is when this node last called the store, and peersRequestedAt when it last asked for names
-	// of others.
+	// storeCalledAt is when this node last called the store, and peersRequestedAt when it last
+	// requested a peer list.
 	storeCalledAt, peersRequestedAt structs.Instant
-	// lastContactAt is when any other node was heard of.
+	// lastContactAt is when a heartbeat of any other node was last received.
 	lastContactAt structs.Instant
 	storeFailedAt structs.Instant
-	// watchHealthy is true while this node follows the store without trouble, which it
-	// has done since steadyAt.
+	// watchHealthy is true while this node watches the store without failures, and
+	// watchHealthySince is when that began.
 	watchHealthy      bool
 	watchHealthySince structs.Instant
 	storeDown         bool
-	// readLimit bounds the next complete read of the store, and endWatch ends the watch
-	// that waits now.
+	// nextReadTimeout bounds the next complete read of the store, and cancelWatch ends the
+	// current watch.
 	nextReadTimeout time.Duration
 	cancelWatch     context.CancelFunc
-	// isWatchOver is true if the watch was ended for a complete read.
+	// isRereadRequested is true if the watch was ended for a complete read.
 	isRereadRequested bool
-	updatedAt         structs.Instant
-	// catalogRevision is the place of the configuration that was decoded last.
+	// updatedAt is when an update of the store was last applied.
+	updatedAt structs.Instant
+	// catalogRevision is the store position of the latest decoded configuration.
 	catalogRevision structs.StorePosition
-	// era is what is known of the store's present era.
+	// era is the known era of the store.
 	era era
-	// fresh is of the replicas, and freshConfiguration of the configuration.
+	// fresh is the freshness of the replicas, freshConfiguration that of the configuration.
 	fresh, freshConfiguration staleness.Freshness
 	unackedFinishes           []unackedFinish
 	replicaPull               staleness.PullTracker[structs.StorePosition]
 	versionPull, poisonPull   staleness.PullTracker[int64]
-	// problems are the entries of the store and the parts of answers that did not parse and were
-	// told of.
+	// loggedProblems are the store entries and parts of responses that failed to parse and were
+	// logged.
 	loggedProblems map[string]bool
-	// disconnects are requests that replicas broke off which may have ended under them.
+	// disconnects are requests during which the replica disconnected and may have crashed.
 	disconnects []unresolvedDisconnect
-	// resumedAt is when a pause of the process was last noticed.
+	// resumedAt is when a suspension of the process was last detected.
 	resumedAt structs.Instant
-	// poisonStored is what the store is known to hold of barred requests.
+	// poisonStored is what the store is known to hold of poison records.
 	poisonStored storedPoisonRecords
-	// bucketLevels is what was last told of the tenants' buckets by another node that schedules, and
-	// bucketLevelsAt when. Until bucketLevelsUntil, when it would have told again, it may have handed out
-	// from them. lastActiveAt is when this node itself last scheduled.
+	// bucketLevels are the tenants' bucket levels that another scheduling node last reported, at
+	// bucketLevelsAt. It may have granted from them until bucketLevelsUntil, when its next report
+	// was due. lastActiveAt is when this node was last the active scheduler.
 	bucketLevels map[string]float64
-	// peerUsage is what other nodes that schedule, or did, told of what they handed out, by name.
+	// peerUsage is the quota usage that present and former scheduling nodes reported, by name.
 	peerUsage                                       map[string]receivedUsage
 	bucketLevelsAt, bucketLevelsUntil, lastActiveAt structs.Instant
 }
 
-// New returns a node that does not run yet.
+// New returns a node that is not started.
 func New(settings *Settings, depend Dependencies) *Node {
 	n := &Node{
 		deps: depend, log: depend.Log, metrics: metrics.NewRegistry(),
@@ -205,21 +206,22 @@
 	return n
 }
 
-// now is the time since the node started. It goes on while the machine is suspended, unlike
-// timers and time.Since: everything that ages goes by it.
+// now returns the time since the node started, which advances while the machine is suspended,
+// unlike timers and time.Since. All ages are measured with it.
 func (n *Node) now() structs.Instant { return n.deps.Now() - n.startedAt }
 
-// process names this process to schedulers.
+// process returns the name under which schedulers know this process.
 func (n *Node) process() string { return processName(n.settings.Load().Name, n.deps.Incarnation) }
 
+// processName returns the name of a process of the node.
 func processName(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 36)
 }
 
-// memoryShare is the part of the memory limit at which the collector works harder.
+// memoryLimitShare is the share of the process's memory limit that the garbage collector targets.
 const memoryLimitShare = 0.6
 
-// Start listens and runs the node.
+// Start opens the listeners and starts the node's loops. After an error the node can't be used.
 func (n *Node) Start() error {
 	settings := n.settings.Load()
 	if settings.MemoryLimitMB > 0 {
@@ -276,8 +278,7 @@
 	return nil
 }
 
-// Time-outs and bounds of the HTTP servers. Callers keep within the limits of
-// the configuration; these are wide enough for any of them.
+// Limits of the HTTP servers. They are wider than any limit of the configuration.
 const (
 	headerTimeout  = 4 * time.Second
 	idleTimeout    = 40 * time.Second
@@ -295,7 +296,7 @@
 	return nil
 }
 
-// Reload takes changed settings into force; addresses stay until a restart.
+// Reload activates changed settings. Addresses do not change until a restart.
 func (n *Node) Reload(settings *Settings) {
 	n.settings.Store(settings)
 	n.scheduling.setContentPolicy(settings.poisonPolicy())
@@ -303,7 +304,7 @@
 	n.log.Write(eventlog.Event{Kind: "process.reload", Outcome: "in-force"})
 }
 
-// Ready returns whether the balancer should send requests.
+// Ready reports whether the balancer should send requests to this node.
 func (n *Node) Ready() bool {
 	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.isConfigurationStale() {
 		return false
@@ -313,7 +314,7 @@
 	return n.table.Count() > 0
 }
 
-// readinessDelay is how long a new process listens to heartbeats before it is ready.
+// readinessDelay is how long a new process receives heartbeats before it is ready.
 const readinessDelay = 400 * time.Millisecond
 
 func (n *Node) readinessHandler() http.Handler {
@@ -326,18 +327,19 @@
 	return mux
 }
 
+// counter returns the counter with the name.
 func (n *Node) counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, n.metrics)
 }
 
-// sampleSize is the number of observations that a histogram keeps, and
-// sampleDecay how strongly it prefers the latest.
+// histogramSampleSize is the number of observations that a histogram keeps, and
+// histogramDecay how strongly it prefers recent ones.
 const (
 	histogramSampleSize = 256
 	histogramDecay      = 0.015
 )
 
-// observe enters a duration into the histogram with the name, in milliseconds.
+// recordDuration adds a duration to the histogram with the name, in milliseconds.
 func (n *Node) recordDuration(name string, duration time.Duration) {
 	histogram := n.metrics.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(histogramSampleSize, histogramDecay))
@@ -345,11 +347,11 @@
 	histogram.Update(duration.Milliseconds())
 }
 
-// housekeepingInterval is the time between sweeps.
+// housekeepingInterval is the time between two runs of housekeeping.
 const housekeepingInterval = 500 * time.Millisecond
 
-// housekeeping sweeps connections, doubted replicas and messages that did not arrive,
-// and tells of much memory in use.
+// housekeeping runs the periodic cleanup of connections, replicas, versions, undelivered messages
+// and poison records until the node ends.
 func (n *Node) housekeeping() {
 	last := n.now()
 	for n.sleep(housekeepingInterval) {
@@ -365,7 +367,7 @@
 	}
 }
 
-// sleep waits, and returns false if the node ended meanwhile.
+// sleep waits for the duration. It returns false if the node ended meanwhile.
 func (n *Node) sleep(duration time.Duration) bool {
 	select {
 	case <-n.ctx.Done():
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -14,24 +14,24 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// Status is what operators see of one node.
+// Status is the state of one node for operators.
 type Status struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
 	Ready    bool   `json:"ready"`
 	Stopping bool   `json:"stopping"`
 	Version  int64  `json:"configuration_version"`
-	// Revision is the store's up to which the replicas are known, in its Era; Restored is for how
-	// many milliseconds the node has known that the store came back from a copy, while writers may
-	// not have written again what that lost, and else zero.
+	// Revision is the store revision up to which the replicas are known, in Era. Restored is the
+	// time in milliseconds since the store was restored from a backup, and zero outside the
+	// restore window.
 	Revision   int64  `json:"store_revision"`
 	Era        int64  `json:"store_era"`
 	Restored   int64  `json:"store_restored_ms,omitempty"`
 	UpdatesAge int64  `json:"news_age_ms"`
 	StoreDown  bool   `json:"store_down"`
 	Scheduler  string `json:"scheduler"`
-	// NonDelegate is true if other nodes of its zone speak for it, and Fleet is how many nodes it
-	// takes the fleet to have.
+	// NonDelegate is true if this node is no delegate of its zone, and Fleet is the estimated
+	// number of nodes.
 	NonDelegate bool                       `json:"ordinary"`
 	Fleet       int                        `json:"fleet"`
 	Live        []string                   `json:"live_peers"`
@@ -39,17 +39,17 @@
 	Failing     []string                   `json:"failing_replicas"`
 	Replicas    []replicas.Replica         `json:"replicas"`
 	Services    map[string]admission.Count `json:"services"`
-	// Pushback is what replicas said to this node to hold requests back.
+	// Pushback is what replicas reported to this node to limit requests.
 	Pushback []PushbackStatus `json:"pushback,omitempty"`
-	// Evacuations are the zones that the operators emptied or took back.
+	// Evacuations are the zones that operators evacuated, and the orders that were lifted.
 	Evacuations []EvacuationStatus `json:"evacuations,omitempty"`
 	// Rollouts has the latest record of each service that was ever rolled out.
 	Rollouts map[string]RolloutStatus `json:"rollouts,omitempty"`
-	// Blocked are the requests that are not sent since replicas ended under them.
+	// Blocked are the blocked poison requests.
 	Blocked []PoisonStatus `json:"barred,omitempty"`
 }
 
-// Status returns the node's state.
+// Status returns the node's current state.
 func (n *Node) Status() *Status {
 	settings := n.settings.Load()
 	status := &Status{Name: settings.Name, Zone: settings.Zone, Ready: n.Ready(), Stopping: n.stopping.Load() != 0, Services: n.scheduling.counts(), Blocked: n.poisonStatus()}
@@ -79,7 +79,7 @@
 const (
 	// PathStatus is where a node serves its Status.
 	PathStatus = "/status"
-	// PathUnblock, with a barred request's fingerprint behind it, lets that be sent again.
+	// PathUnblock, followed by a blocked request's fingerprint, unblocks the request.
 	PathUnblock = "/barred/lift/"
 )
 
@@ -98,7 +98,7 @@
 	return router
 }
 
-// serveMetrics writes the metrics in the text form of common scrapers.
+// serveMetrics writes the metrics in the Prometheus text format.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	opened, reused := n.pool.Counts()
@@ -117,7 +117,7 @@
 	})
 }
 
-// quantiles are the parts of the observations that are told of a histogram.
+// quantiles are the quantiles that are written of each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
 func writeHistogram(w io.Writer, name string, histogram metrics.Histogram) {
--- a/entry/request_log.go
+++ b/entry/request_log.go
@@ -4,14 +4,14 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// Under load the lines of some requests are held until their end is known: those
-// of a request that went well are then left out, those of all others are written.
-// All other lines are written at once, so that they outlive the process.
+// Under load the events of some requests are buffered until the request ends. Those of answered
+// requests are then dropped, all others are logged. All other events are logged at once, so that
+// they survive a crash of the process.
 
-// maximumLines bounds the lines that are held for one request.
+// maxBufferedEvents bounds the buffered events of one request.
 const maxBufferedEvents = 24
 
-// event returns a line with what names the request.
+// newEvent returns an event of the kind with the fields that identify the request.
 func (c *call) newEvent(kind string) eventlog.Event {
 	event := eventlog.Event{
 		Kind: kind, Request: c.id, Service: c.service,
@@ -29,7 +29,7 @@
 	return event
 }
 
-// note writes a line, or holds it.
+// logEvent logs the event, or buffers it.
 func (c *call) logEvent(event eventlog.Event) {
 	switch {
 	case c.alwaysLogged:
@@ -39,7 +39,7 @@
 	}
 }
 
-// noteReceived tells what the request is and by which configuration it is served.
+// logReceived logs the request and the version of the configuration that serves it.
 func (c *call) logReceived(version int64) {
 	event := c.newEvent("request.received")
 	event.Version, event.Prompt, event.Answer = version, c.promptTokens, c.expectedOutputTokens()
@@ -47,35 +47,35 @@
 	c.logEvent(event)
 }
 
-// notePlace tells the scheduling node's decision and what it went by.
-func (c *call) logAssignment(given *grant) {
+// logAssignment logs the scheduling node's decision and its grounds.
+func (c *call) logAssignment(granted *grant) {
 	event := c.newEvent("request.placed")
-	event.Peer, event.Priority, event.Repeat = given.scheduler, c.priority(), c.sends > 0
-	if given.asked > 1 {
-		event.Asked = given.asked
+	event.Peer, event.Priority, event.Repeat = granted.scheduler, c.priority(), c.sends > 0
+	if granted.asked > 1 {
+		event.Asked = granted.asked
 	}
-	event.Waiting, event.Free, event.Expected = given.Waiting, given.Free, given.Expected.Milliseconds()
-	if given.Reason != "" {
-		event.Outcome, event.Reason = "refused", given.Reason
+	event.Waiting, event.Free, event.Expected = granted.Waiting, granted.Free, granted.Expected.Milliseconds()
+	if granted.Reason != "" {
+		event.Outcome, event.Reason = "refused", granted.Reason
 	} else {
-		event.Outcome, event.Replica = "granted", given.Replica.ID
-		event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
+		event.Outcome, event.Replica = "granted", granted.Replica.ID
+		event.Revision, event.Era = granted.Replica.Position.Revision(), granted.Replica.Position.Era()
 	}
 	c.logEvent(event)
 }
 
-// noteSend tells what became of one send.
-func (c *call) logSend(given *grant, outcome result) {
+// logSend logs and counts the outcome of one send.
+func (c *call) logSend(granted *grant, outcome result) {
 	event := c.newEvent("request.sent")
-	event.Replica, event.Outcome, event.Peer = given.Replica.ID, outcome.String(), given.scheduler
-	event.Revision, event.Era = given.Replica.Position.Revision(), given.Replica.Position.Era()
+	event.Replica, event.Outcome, event.Peer = granted.Replica.ID, outcome.String(), granted.scheduler
+	event.Revision, event.Era = granted.Replica.Position.Revision(), granted.Replica.Position.Era()
 	event.Count, event.Reason = c.sends, string(c.lastFailure)
 	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
 	c.logEvent(event)
 	c.node.counter("sends." + outcome.String()).Inc(1)
 }
 
-// noteEnd writes the last line of the request and those before it.
+// recordEnd logs the end of the request, and the buffered events unless it was answered.
 func (c *call) recordEnd(event eventlog.Event) {
 	c.ended = true
 	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
@@ -92,14 +92,14 @@
 	}
 }
 
-// Outcomes of requests in lines and metrics.
+// Outcomes of requests in logs and metrics.
 const (
 	outcomeAnswered = "answered"
 	outcomeNotRun   = "not-run"
 	outcomeUnknown  = "unknown"
 )
 
-// noteLeft ends the lines of a request whose caller left in the middle of it.
+// logCallerLeft logs the end of a request that has not ended otherwise because its caller left.
 func (c *call) logCallerLeft() {
 	if c.ended {
 		return
--- a/entry/response.go
+++ b/entry/response.go
@@ -18,16 +18,16 @@
 	kindSafe      = catalog.KindSafe
 )
 
-// maximumAnswer bounds the answer of a plain service that is held in memory.
+// maxPlainResponseBytes bounds a plain service's response, which is buffered in memory.
 const maxPlainResponseBytes = 8 << 20
 
-// relay passes the replica's answer on to the caller.
+// relay forwards the replica's response to the caller.
 func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
 	names := &c.node.deps.Headers
-	proven := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
+	notRun := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	switch {
-	case proven:
+	case notRun:
 		return c.handleRejection(answer, replica)
 	case answer.Header.Get(names.Signature) == "" || success && answer.Header.Get("Content-Encoding") != "":
 		return c.recordIncomplete(replica.ID, nil), admission.Observation{}
@@ -37,10 +37,10 @@
 	return c.relayBuffered(answer, replica, success)
 }
 
-// eventStream is the content type of series of events.
+// eventStreamType is the content type of event streams.
 const eventStreamType = "text/event-stream"
 
-// rejected handles the proof that the replica did not run the request.
+// handleRejection handles a response that proves that the replica did not run the request.
 func (c *call) handleRejection(answer *replicahttp.Answer, replica replicas.Replica) (result, admission.Observation) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRejectionBytes))
 	if answer.StatusCode == http.StatusMisdirectedRequest {
@@ -49,11 +49,11 @@
 	return resultRejected, admission.Observation{}
 }
 
-// maximumStray bounds what is read of a rejection.
+// maxRejectionBytes bounds what is read of a rejection.
 const maxRejectionBytes = 64 << 10
 
-// relayWhole reads the whole answer before the caller gets any of it, so that
-// one that is cut short is never passed on.
+// relayBuffered reads the complete response before sending any of it, so that a truncated
+// response never reaches the caller.
 func (c *call) relayBuffered(answer *replicahttp.Answer, replica replicas.Replica, success bool) (result, admission.Observation) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlainResponseBytes))
 	if err != nil || len(body) == maxPlainResponseBytes {
@@ -80,13 +80,13 @@
 	return resultAnswered, admission.Observation{Failed: failed}
 }
 
-// copyHead sets the headers of the replica's answer.
+// copyHeader sets the caller's response headers to those of the replica's.
 func (c *call) copyHeader(answer *replicahttp.Answer) {
 	header := c.writer.Header()
 	for name, values := range withoutHopByHop(answer.Header) {
 		header[name] = values
 	}
-	if _, given := answer.Header["Content-Type"]; !given {
+	if _, isSet := answer.Header["Content-Type"]; !isSet {
 		header["Content-Type"] = nil
 	}
 	if c.node.stopping.Load() != 0 {
@@ -94,6 +94,7 @@
 	}
 }
 
+// splitList returns the trimmed elements of a comma-separated list.
 func splitList(value string) []string {
 	parts := strings.Split(value, ",")
 	for i, part := range parts {
--- a/entry/send_failure.go
+++ b/entry/send_failure.go
@@ -9,29 +9,30 @@
 	"syscall"
 )
 
-// breakCause says how a send to a replica broke.
+// failureCause is why a send to a replica failed.
 type failureCause string
 
-// The causes.
+// Failure causes.
 const (
-	// breakNone is the cause of a send that did not break.
+	// causeNone is the cause of a send that did not fail.
 	causeNone failureCause = ""
-	// breakClosed means that the replica's side closed or reset the connection.
+	// causeClosed means that the replica closed or reset the connection.
 	causeClosed failureCause = "closed-by-replica"
-	// breakSilent means that this node gave up waiting.
+	// causeTimeout means that the replica did not respond in time.
 	causeTimeout failureCause = "silent"
-	// breakRefused means that nobody listened at the replica's address, and breakUnreachable
-	// that no connection came up for another reason. Nothing was sent.
+	// causeRefused means that the connection was refused, and causeUnreachable that it could
+	// not be opened for another reason. Nothing was sent.
 	causeRefused     failureCause = "connection-refused"
 	causeUnreachable failureCause = "unreachable"
-	// breakSpoiled means that what came is not this request's answer.
+	// causeInvalidResponse means that what arrived is no valid response to the request.
 	causeInvalidResponse failureCause = "spoiled"
 )
 
-// closes are what a connection returns that the other side ended.
+// connectionClosedErrors are the errors of a connection that the other side closed.
 var connectionClosedErrors = []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE}
 
-// causeOf tells why an exchange with a replica ended with the error.
+// failureCauseOf returns the failure cause for the error of an exchange with a replica. A nil
+// error means that the response was invalid.
 func failureCauseOf(err error) failureCause {
 	var timeout net.Error
 	switch {
--- a/entry/send_failure_test.go
+++ b/entry/send_failure_test.go
@@ -12,6 +12,7 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
+// Guards against wrapped errors of a connection being classified by the wrong failure cause.
 func TestFailureCauseOfError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, &os.SyscallError{Syscall: "read", Err: syscall.ECONNRESET}} {
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -1,6 +1,6 @@
 package entry
 
-// How a request is served: a place, one send (attempt.go), and once more where that is allowed.
+// Serving a request: an assignment, one send (attempt.go), and retries where these are allowed.
 
 import (
 	"net/http"
@@ -13,36 +13,36 @@
 	"github.com/thornwalk/thornwalk/state/pushback"
 )
 
-// serve gets a place, sends, and sends again where that is allowed.
+// serve requests an assignment and sends, with retries, until the request has ended.
 func (c *call) serve() {
 	var tried []string
-	runs := 0
+	executions := 0
 	for {
-		given := c.node.requestAssignment(c.ctx, c.newAssignRequest(tried, c.sends > 0))
-		c.waited += given.Waited
-		c.node.recordDuration("place_wait_ms", given.Waited)
-		c.logAssignment(given)
-		if given.Reason != "" {
-			c.endUnassigned(given, runs)
+		granted := c.node.requestAssignment(c.ctx, c.newAssignRequest(tried, c.sends > 0))
+		c.waited += granted.Waited
+		c.node.recordDuration("place_wait_ms", granted.Waited)
+		c.logAssignment(granted)
+		if granted.Reason != "" {
+			c.endUnassigned(granted, executions)
 			return
 		}
-		if !c.node.maySend(given) {
-			c.node.finish(given, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
-			tried = append(tried, given.Replica.ID)
+		if !c.node.maySend(granted) {
+			c.node.finish(granted, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
+			tried = append(tried, granted.Replica.ID)
 			if len(tried) >= maxSends {
-				c.endUnanswered(resultNotSent, runs)
+				c.endUnanswered(resultNotSent, executions)
 				return
 			}
 			continue
 		}
-		outcome, seen := c.attempt(given)
+		outcome, observed := c.attempt(granted)
 		if outcome != resultNotSent {
 			c.sends++
 		}
-		c.finish(given, outcome, seen)
-		c.logSend(given, outcome)
+		c.finish(granted, outcome, observed)
+		c.logSend(granted, outcome)
 		if outcome == resultIncomplete || outcome == resultServerError {
-			runs++
+			executions++
 		}
 		if outcome == resultAnswered {
 			c.endAnswered()
@@ -52,92 +52,91 @@
 			return
 		}
 		c.resumed = c.resumed || c.headSent
-		tried = append(tried, given.Replica.ID)
-		if !c.mayRetry(outcome, runs, len(tried)-c.refusedConnects) {
-			c.endUnanswered(outcome, runs)
+		tried = append(tried, granted.Replica.ID)
+		if !c.mayRetry(outcome, executions, len(tried)-c.refusedConnects) {
+			c.endUnanswered(outcome, executions)
 			return
 		}
 	}
 }
 
-// finish tells the scheduling node, and this node's own desk if that is another, how the
-// send ended.
-func (c *call) finish(given *grant, outcome result, seen admission.Observation) {
-	finished := &finishRequest{ID: given.id, Seen: seen, NotRun: outcome == resultNotSent || outcome == resultRejected, Content: c.fingerprint}
-	finished.Seen.Whole = outcome == resultAnswered || outcome == resultServerError
+// finish reports the end of the send to the scheduling node, and lets this node's own scheduling
+// service observe it if the scheduling node is another one.
+func (c *call) finish(granted *grant, outcome result, observed admission.Observation) {
+	message := &finishRequest{ID: granted.id, Seen: observed, NotRun: outcome == resultNotSent || outcome == resultRejected, Content: c.fingerprint}
+	message.Seen.Whole = outcome == resultAnswered || outcome == resultServerError
 	if outcome == resultIncomplete {
-		c.checkReplicaCrash(given, finished)
+		c.checkReplicaCrash(granted, message)
 	}
-	if given.address != "" {
-		c.node.scheduling.observe(c.service, c.promptTokens, finished, given.Replica.ID)
+	if granted.address != "" {
+		c.node.scheduling.observe(c.service, c.promptTokens, message, granted.Replica.ID)
 	}
-	c.node.finish(given, finished)
+	c.node.finish(granted, message)
 }
 
-// noteLife finds out whether the replica that broke the request off ended under it. Where that
-// can't be told yet, it is remembered.
-func (c *call) checkReplicaCrash(given *grant, finished *finishRequest) {
-	ended := &crashedIncarnation{Life: poisonrecords.IncarnationOf(given.Replica.ID, given.Replica.StartedAt), Service: c.service, Route: c.route.Name}
-	state := incarnationUnknown // of one that fell silent
+// checkReplicaCrash determines whether the replica that failed the request has crashed. It enters
+// the crash into the message, or defers the request if the replica's state is unknown.
+func (c *call) checkReplicaCrash(granted *grant, message *finishRequest) {
+	crashed := &crashedIncarnation{Life: poisonrecords.IncarnationOf(granted.Replica.ID, granted.Replica.StartedAt), Service: c.service, Route: c.route.Name}
+	state := incarnationUnknown // also after a timeout
 	switch c.lastFailure {
 	case causeClosed:
-		state = c.node.probeIncarnation(given.Replica)
+		state = c.node.probeIncarnation(granted.Replica)
 	case causeInvalidResponse:
 		return
 	}
 	switch state {
 	case incarnationEnded:
-		finished.Ended = ended
+		message.Ended = crashed
 	case incarnationUnknown:
-		c.node.deferDisconnect(unresolvedDisconnect{replica: given.Replica, content: c.fingerprint, ended: ended})
+		c.node.deferDisconnect(unresolvedDisconnect{replica: granted.Replica, content: c.fingerprint, ended: crashed})
 	}
 }
 
-// maySend returns whether the place may be used. It goes back if the operators emptied the replica's
-// zone, if the replica leaves, has asked this node to pause or has named a rate limit that the place
-// does not count against, or if its version gets no new requests: the scheduling node that gave the
-// place may not have known of it.
-func (n *Node) maySend(given *grant) bool {
+// maySend reports whether the assignment may still be used. It must be returned if the zone is
+// evacuated, or if the replica leaves, asked for a pause, reported a rate limit that the assignment
+// does not count against, or has an excluded version. The scheduling node may not know of it yet.
+func (n *Node) maySend(granted *grant) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.maySendLocked(given)
+	return n.maySendLocked(granted)
 }
 
-// beginSend is maySend just before the request is written, and enters that it is.
-func (n *Node) beginSend(given *grant) bool {
+// beginSend checks maySend again just before the request is written, and records the send.
+func (n *Node) beginSend(granted *grant) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.maySendLocked(given) {
+	if !n.maySendLocked(granted) {
 		return false
 	}
-	n.pushback.Sent(n.now(), pushback.IncarnationOf(given.Replica))
+	n.pushback.Sent(n.now(), pushback.IncarnationOf(granted.Replica))
 	return true
 }
 
-// isOpen is maySend for who holds the mutex.
-func (n *Node) maySendLocked(given *grant) bool {
-	life := pushback.IncarnationOf(given.Replica)
-	if n.evacuations.IsEvacuated(given.Replica.Zone) || n.pushback.IsLeaving(life) || n.pushback.PauseLeft(n.now(), life) > 0 {
+// maySendLocked is maySend for callers that hold the mutex.
+func (n *Node) maySendLocked(granted *grant) bool {
+	incarnation := pushback.IncarnationOf(granted.Replica)
+	if n.evacuations.IsEvacuated(granted.Replica.Zone) || n.pushback.IsLeaving(incarnation) || n.pushback.PauseLeft(n.now(), incarnation) > 0 {
 		return false
 	}
-	if known, found := n.table.Get(life.Replica); found && (known.Draining || n.isExcluded(known)) {
+	if known, found := n.table.Get(incarnation.Replica); found && (known.Draining || n.isExcluded(known)) {
 		return false
 	}
-	isCounted := given.Limit != nil && given.Limit.Limit.State == pushback.LimitSet
-	return isCounted || !n.pushback.IsLimited(life)
+	isCounted := granted.Limit != nil && granted.Limit.Limit.State == pushback.LimitSet
+	return isCounted || !n.pushback.IsLimited(incarnation)
 }
 
-// placeRequest describes the request to the scheduling node.
+// newAssignRequest returns the request for an assignment. Tried are the replicas of earlier sends.
 func (c *call) newAssignRequest(tried []string, repeat bool) *assignRequest {
 	node := c.node
 	node.mutex.Lock()
-	doubted := append(node.health.Failing(node.now()), node.unreachableZoneReplicas()...)
+	suspected := append(node.health.Failing(node.now()), node.unreachableZoneReplicas()...)
 	node.mutex.Unlock()
 	request := &assignRequest{
 		Request: admission.Request{
 			ID:   node.process() + "." + strconv.FormatUint(node.sequence.Add(1), 36),
 			Node: node.process(), Zone: node.settings.Load().Zone, Service: c.service, Route: c.route.Name, Priority: c.priority(),
-			Content: c.fingerprint, Prompt: c.promptTokens, Answer: c.expectedOutputTokens(), Tried: tried, Doubted: doubted,
+			Content: c.fingerprint, Prompt: c.promptTokens, Answer: c.expectedOutputTokens(), Tried: tried, Doubted: suspected,
 			Stride: c.tokensPerEvent(), Pause: c.route.TargetEventGap, Yields: c.route.Priority >= minYieldPriority,
 			Deadline: c.remaining(),
 			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.maxQueueWait(),
@@ -154,20 +153,19 @@
 	return request
 }
 
-// identify takes the request's fingerprint, once its body is read.
+// computeFingerprint sets the request's fingerprint. The body must have been read.
 func (c *call) computeFingerprint() {
-	caller := ""
+	tenant := ""
 	if c.tenant != nil {
-		caller = c.tenant.Name
+		tenant = c.tenant.Name
 	}
-	c.fingerprint = fingerprint.Of(caller, c.request.Method, c.request.Host, c.request.RequestURI, c.body)
+	c.fingerprint = fingerprint.Of(tenant, c.request.Method, c.request.Host, c.request.RequestURI, c.body)
 }
 
-// routePriorities is more than any route's priority, so that the tenant's goes
-// ahead of it.
+// routePriorityRange is above any route's priority, so that the tenant's priority has precedence.
 const routePriorityRange = 64
 
-// priority orders requests by the tenant's priority and then the route's.
+// priority returns the request's priority: the tenant's, if it has one, and then the route's.
 func (c *call) priority() int {
 	if c.tenant != nil && c.tenant.HasPriority {
 		return c.tenant.Priority*routePriorityRange + c.route.Priority
@@ -175,11 +173,11 @@
 	return c.route.Priority
 }
 
-// yieldFrom is the first priority of routes whose requests leave some places
-// free for more urgent ones.
+// minYieldPriority is the lowest priority value of routes whose requests leave some slots free
+// for more urgent ones.
 const minYieldPriority = 2
 
-// expectedTokens is the likely length of the answer.
+// expectedOutputTokens returns the expected length of the response in tokens; zero means unknown.
 func (c *call) expectedOutputTokens() int {
 	if c.lengthHint > 0 && c.outputTokens > 0 {
 		return min(c.lengthHint, c.outputTokens)
@@ -187,7 +185,7 @@
 	return c.lengthHint
 }
 
-// cost is what the request takes of its tenant's quota.
+// quotaCost returns how many units of its tenant's quota the request uses.
 func (c *call) quotaCost() float64 {
 	switch {
 	case !c.tenant.CountTokens:
@@ -199,7 +197,7 @@
 	}
 }
 
-// patience is how long the request may wait for a place.
+// maxQueueWait returns how long the request may be queued.
 func (c *call) maxQueueWait() time.Duration {
 	left := c.remaining()
 	if c.route.Kind == kindStreaming {
@@ -209,27 +207,27 @@
 	return max(time.Duration(float64(left)*queueWaitShare), 0)
 }
 
-// mayRepeat returns whether the request may be sent to another replica.
-func (c *call) mayRetry(outcome result, runs, tried int) bool {
+// mayRetry reports whether the request may be sent to another replica.
+func (c *call) mayRetry(outcome result, executions, tried int) bool {
 	if c.ctx.Err() != nil || tried >= maxSends || c.refusedConnects >= maxRefusedConnects {
 		return false
 	}
 	switch outcome {
 	case resultNotSent, resultRejected:
-		return runs == 0 || c.route.Repeatable()
+		return executions == 0 || c.route.Repeatable()
 	default:
-		return c.route.Repeatable() && runs < c.route.MaxAttempts
+		return c.route.Repeatable() && executions < c.route.MaxAttempts
 	}
 }
 
-// giveUp answers a request that is not sent again.
-func (c *call) endUnanswered(outcome result, runs int) {
+// endUnanswered ends a request that is not retried.
+func (c *call) endUnanswered(outcome result, executions int) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.end(http.StatusServiceUnavailable, outcomeForRuns(runs), "caller-left")
-	case runs > 0 && c.ctx.Err() != nil:
+		c.end(http.StatusServiceUnavailable, outcomeForExecutions(executions), "caller-left")
+	case executions > 0 && c.ctx.Err() != nil:
 		c.endOutcomeUnknown(http.StatusGatewayTimeout, "deadline")
-	case runs > 0:
+	case executions > 0:
 		c.endOutcomeUnknown(http.StatusBadGateway, "replica-broke-off")
 	case outcome == resultRejected:
 		c.endNotRun(http.StatusServiceUnavailable, "replicas-full", retryAfterRejected)
@@ -238,26 +236,27 @@
 	}
 }
 
-func outcomeForRuns(runs int) string {
-	if runs > 0 {
+// outcomeForExecutions returns the outcome of an unanswered request after some executions.
+func outcomeForExecutions(executions int) string {
+	if executions > 0 {
 		return outcomeUnknown
 	}
 	return outcomeNotRun
 }
 
-// retryRejected is when a caller should come back whom several replicas rejected.
+// retryAfterRejected is the minimum Retry-After of requests that replicas or the scheduler rejected.
 const retryAfterRejected = 400 * time.Millisecond
 
-// unplaced answers a request for which there is no place.
-func (c *call) endUnassigned(given *grant, runs int) {
+// endUnassigned ends a request that got no assignment.
+func (c *call) endUnassigned(granted *grant, executions int) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.end(http.StatusServiceUnavailable, outcomeForRuns(runs), "caller-left")
-	case runs > 0:
+		c.end(http.StatusServiceUnavailable, outcomeForExecutions(executions), "caller-left")
+	case executions > 0:
 		c.endOutcomeUnknown(http.StatusBadGateway, "replica-broke-off")
-	case given.Reason == reasonQuota:
-		c.endNotRun(http.StatusTooManyRequests, reasonQuota, given.RetryAfter)
+	case granted.Reason == reasonQuota:
+		c.endNotRun(http.StatusTooManyRequests, reasonQuota, granted.RetryAfter)
 	default:
-		c.endNotRun(http.StatusServiceUnavailable, given.Reason, max(given.RetryAfter, retryAfterRejected))
+		c.endNotRun(http.StatusServiceUnavailable, granted.Reason, max(granted.RetryAfter, retryAfterRejected))
 	}
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -16,68 +16,67 @@
 	"github.com/thornwalk/thornwalk/state/poisonrecords"
 )
 
-// Settings is what a process learns from its own file. Fields that are not
-// known are ignored.
+// Settings are the contents of a node's settings file. Unknown fields are ignored.
 type Settings struct {
 	Name string `yaml:"name"`
 	Zone string `yaml:"zone"`
-	// Regions has the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[string]string `yaml:"regions"`
-	// Callers, Readiness and Operators are the addresses to listen at.
+	// Callers, Readiness and Operators are the addresses to listen on.
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
 	Operators string `yaml:"operators"`
-	// Host is the machine's address and PeerPort the port of other nodes' calls.
+	// Host is the machine's address and PeerPort the port for peers, by TCP and UDP.
 	Host     string `yaml:"host"`
 	PeerPort int    `yaml:"peer_port"`
 	// Seeds are addresses of some nodes; only the host part is used.
 	Seeds []string `yaml:"seeds"`
 	// Store is the address of the store that holds the directory.
 	Store string `yaml:"store"`
-	// StopGrace is the time from the request to stop to the end, in milliseconds.
+	// StopGrace is the time from a stop request until the process is killed, in milliseconds.
 	StopGrace int `yaml:"stop_grace_ms"`
-	// StoreRecoveryWindow is the time after which a disturbance of the store is forgotten, in
-	// milliseconds.
+	// StoreRecoveryWindow is how long a peer must have watched the store without failures for
+	// this node to regard the store as healthy, in milliseconds.
 	StoreRecoveryWindow int `yaml:"contact_ms"`
-	// ConfigurationBound is the time in which an accepted configuration is to be in force
-	// everywhere, in milliseconds.
+	// ConfigurationBound is the time within which an accepted configuration must be active on
+	// all nodes, in milliseconds.
 	ConfigurationBound int `yaml:"configuration_bound_ms"`
-	// Memory is the limit of the process in megabytes; zero means none.
+	// MemoryLimitMB is the memory limit of the process in megabytes; zero means none.
 	MemoryLimitMB int `yaml:"memory_mb"`
-	// Cores is the share of processors that the process may use; stronger nodes
-	// are preferred for scheduling.
+	// Cores is the number of processors that the process may use; nodes with more are preferred
+	// for scheduling.
 	Cores float64 `yaml:"cores"`
-	// LinkMbps is the bandwidth of the machine in megabits a second; nodes with a wide one
-	// are preferred for what many others ask for. Zero means that it is not known.
+	// LinkMbps is the machine's bandwidth in megabits per second; nodes with a wide link are
+	// preferred for watching the store. Zero means that it is not known.
 	LinkMbps float64 `yaml:"link_mbps"`
-	// RetryRatio, RetryWindow (seconds) and RetrySlack bound repeated sends.
+	// RetryRatio, RetryWindow (seconds) and RetrySlack (retries) bound retries.
 	RetryRatio  float64 `yaml:"retry_ratio"`
 	RetryWindow float64 `yaml:"retry_window_s"`
 	RetrySlack  float64 `yaml:"retry_slack"`
-	// QuotaOverage (a share) and QuotaSlack (units) are how much more than a
-	// tenant's quota may be handed out in QuotaWindow (seconds); a part of them is
-	// used, so that nothing below the quota is refused.
+	// QuotaOverage (a share) and QuotaSlack (units) are how much more than a tenant's quota may
+	// be granted in QuotaWindow (seconds). A part of them is used, so that no tenant below its
+	// quota is rejected.
 	QuotaWindow  float64 `yaml:"quota_window_s"`
 	QuotaOverage float64 `yaml:"quota_overage"`
 	QuotaSlack   float64 `yaml:"quota_slack"`
-	// RolloutShare (a share of a service's requests) and RolloutSlack (requests) bound what a
-	// new version of the service's replicas gets until it is judged.
+	// RolloutShare (a share of a service's requests) and RolloutSlack (requests) bound the
+	// canary requests that a new version gets until it is judged.
 	RolloutShare float64 `yaml:"rollout_share"`
 	RolloutSlack float64 `yaml:"rollout_slack"`
-	// SlowStartOverage (a factor) and SlowStartSlack (requests) are how much more than a service's cold
-	// replicas bear in a second one of them may get in any; zero for both means that they are
-	// not spared.
+	// SlowStartOverage (a factor) and SlowStartSlack (requests) are applied to a service's slow
+	// start rate and bound the requests of a cold replica in any second; a zero SlowStartOverage
+	// means no bound.
 	SlowStartOverage float64 `yaml:"cold_overage"`
 	SlowStartSlack   float64 `yaml:"cold_slack"`
-	// BlockedAfter is under how many ends of replicas a request is no longer sent; zero
-	// switches that off.
+	// BlockedAfter is the number of replica crashes after which a request is blocked; zero
+	// disables blocking.
 	BlockedAfter int `yaml:"barred_after_ends"`
-	// FirstStart is true on the very first start of the whole system.
+	// FirstStart is true at the first start of the whole system.
 	FirstStart bool `yaml:"first_start"`
 }
 
-// LoadSettings reads and checks the file. The error is of kind InvalidSettings
-// and names path, value and remedy.
+// LoadSettings reads and checks the settings file. Its errors are of kind InvalidSettings and name
+// the field, the value and the remedy.
 func LoadSettings(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +85,8 @@
 	return ParseSettings(content)
 }
 
-// ParseSettings reads and checks the content of a settings file.
+// ParseSettings parses and checks the content of a settings file. Its errors are like those of
+// LoadSettings; after a failed check the settings are returned too.
 func ParseSettings(content []byte) (*Settings, error) {
 	settings := &Settings{StopGrace: 8000, StoreRecoveryWindow: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 20, QuotaWindow: 10, BlockedAfter: poison.DefaultPolicy().CrashThreshold}
 	if err := yaml.Unmarshal(content, settings); err != nil {
@@ -103,7 +103,7 @@
 func (s *Settings) check() error {
 	required := []struct{ path, value, remedy string }{
 		{"name", s.Name, "give each node a name of its own"},
-		{"zone", s.Zone, "name the zone that the machine stands in"},
+		{"zone", s.Zone, "name the machine's zone"},
 		{"callers", s.Callers, "name the address to serve callers at, as host:port"},
 		{"readiness", s.Readiness, "name the address to answer the balancer at, as host:port"},
 		{"operators", s.Operators, "name the address to serve operators at, as host:port"},
@@ -116,8 +116,8 @@
 		}
 	}
 	bounds := []struct {
-		path             string
-		value, low, high float64
+		path                      string
+		value, minValue, maxValue float64
 	}{
 		{"peer_port", float64(s.PeerPort), 1, maxPort},
 		{"stop_grace_ms", float64(s.StopGrace), 100, 600_000},
@@ -138,8 +138,8 @@
 		{"barred_after_ends", float64(s.BlockedAfter), 0, poisonrecords.MaxIncarnations},
 	}
 	for _, field := range bounds {
-		if field.value < field.low || field.value > field.high {
-			return errkind.New(errkind.InvalidSettings, "%s: %v is not in %v to %v", field.path, field.value, field.low, field.high)
+		if field.value < field.minValue || field.value > field.maxValue {
+			return errkind.New(errkind.InvalidSettings, "%s: %v is not in %v to %v", field.path, field.value, field.minValue, field.maxValue)
 		}
 	}
 	if s.MemoryLimitMB != 0 && s.MemoryLimitMB < minMemoryMB {
@@ -148,11 +148,11 @@
 	return nil
 }
 
-// ratioPart is the part of the allowed ratio that is used. The rest covers repeats that were given
-// shortly before a window begins and arrive in it: a connect takes 300 ms at most, which is 3 in
-// 100 of a window of ten seconds.
+// retryRatioShare is the share of the allowed ratio that is used. The rest covers retries that
+// were permitted shortly before a window begins and sent in it.
 const retryRatioShare = 0.9
 
+// retryPolicy returns the retry budget of a node with the share of the slack.
 func (s *Settings) retryPolicy(share float64) retrybudget.Policy {
 	return retrybudget.Policy{
 		Ratio: s.RetryRatio * retryRatioShare, Slack: s.RetrySlack * share,
@@ -160,19 +160,16 @@
 	}
 }
 
-// usedTolerance is the part of what a tenant may take at most in a window that its
-// bucket hands out, and debtTolerance the part by which one request may overdraw it. The
-// rest is for scheduling nodes that take over from each other and for requests larger
-// than the burst.
+// quotaBucketShare is the share of what a tenant may use at most in a window that its token bucket
+// grants, and quotaDebtShare the share by which one request may overdraw the bucket. The rest covers
+// scheduling nodes that take over from each other and requests larger than the burst.
 const (
 	quotaBucketShare = 0.9
 	quotaDebtShare   = 0.05
 )
 
-// quotaLimit returns what is handed out for a quota. The users allow some more
-// than the quota in a window. That goes into the rate and not on top of the burst:
-// a tenant that asks for too much all the time gets its quota in whole, although
-// the bucket here and the users' count differ by which requests they take.
+// quotaLimit returns the limit of a tenant's token bucket. The allowed overage raises the rate and
+// not the burst, so that a tenant that always exceeds its quota still gets all of it.
 func (s *Settings) quotaLimit(rate, burst float64) quota.Limit {
 	allowed := (rate*s.QuotaWindow+burst)*(1+s.QuotaOverage) + s.QuotaSlack
 	return quota.Limit{
@@ -182,38 +179,42 @@
 	}
 }
 
+// rolloutPolicy returns the bounds of canary requests.
 func (s *Settings) rolloutPolicy() rollout.Policy {
 	return rollout.Policy{Share: s.RolloutShare, Slack: s.RolloutSlack}
 }
 
-// warmings returns what cold replicas get of each service. Where the settings bound nothing, or a
-// service's replicas are never cold, that is not bounded.
+// slowStarts returns the limit of cold replicas by service. It is unlimited where the settings or
+// the service have no slow start rate.
 func (s *Settings) slowStarts(services []catalog.Service) map[string]admission.SlowStart {
-	warmings := make(map[string]admission.SlowStart, len(services))
+	limits := make(map[string]admission.SlowStart, len(services))
 	for _, service := range services {
 		allowed := service.SlowStartRate*s.SlowStartOverage + s.SlowStartSlack
 		if service.SlowStartRate <= 0 || s.SlowStartOverage <= 0 {
 			allowed = 0
 		}
-		warmings[service.Name] = admission.NewSlowStart(allowed, service.WarmupTime)
+		limits[service.Name] = admission.NewSlowStart(allowed, service.WarmupTime)
 	}
-	return warmings
+	return limits
 }
 
+// poisonPolicy returns the policy for blocking poison requests.
 func (s *Settings) poisonPolicy() poison.Policy {
 	policy := poison.DefaultPolicy()
 	policy.CrashThreshold = s.BlockedAfter
 	return policy
 }
 
+// stopGrace returns StopGrace as a duration.
 func (s *Settings) stopGrace() time.Duration { return time.Duration(s.StopGrace) * time.Millisecond }
 
-// behindLimit is how long a node goes on serving by its configuration after it heard of
-// a newer one.
+// maxBehindTime returns how long a node serves requests by its configuration after it learned of a
+// newer one.
 func (s *Settings) maxBehindTime() time.Duration {
 	return time.Duration(maxBehindShare * float64(s.ConfigurationBound) * float64(time.Millisecond))
 }
 
+// storeRecoveryWindow returns StoreRecoveryWindow as a duration.
 func (s *Settings) storeRecoveryWindow() time.Duration {
 	return time.Duration(s.StoreRecoveryWindow) * time.Millisecond
 }
--- a/entry/settings_test.go
+++ b/entry/settings_test.go
@@ -9,16 +9,16 @@
 	"github.com/onsi/gomega"
 )
 
-// rendered fills the deployment's template by the few forms that it uses.
+// renderTemplate renders the deployment's settings template, for the few forms that it uses.
 func renderTemplate(t testing.TB, values map[string]string) string {
 	template, err := os.ReadFile("../deploy/settings.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.ReplaceAll(string(template), "{{#seeds}}{{.|json}}{{,}}{{/seeds}}", values["seeds"])
-	text = strings.ReplaceAll(text, "{{#zones}}\"{{@}}\": {{.|json}}{{,}}{{/zones}}", values["zones"])
-	return regexp.MustCompile(`\{\{([a-z_.0-9]+)(\|json)?\}\}`).ReplaceAllStringFunc(text, func(gap string) string {
-		parts := strings.Split(strings.Trim(gap, "{}"), "|")
+	content := strings.ReplaceAll(string(template), "{{#seeds}}{{.|json}}{{,}}{{/seeds}}", values["seeds"])
+	content = strings.ReplaceAll(content, "{{#zones}}\"{{@}}\": {{.|json}}{{,}}{{/zones}}", values["zones"])
+	return regexp.MustCompile(`\{\{([a-z_.0-9]+)(\|json)?\}\}`).ReplaceAllStringFunc(content, func(placeholder string) string {
+		parts := strings.Split(strings.Trim(placeholder, "{}"), "|")
 		value := values[parts[0]]
 		if len(parts) > 1 {
 			return `"` + value + `"`
@@ -27,6 +27,7 @@
 	})
 }
 
+// templateValues returns valid values for the template.
 func templateValues() map[string]string {
 	return map[string]string{
 		"node_name": "edge-1", "zone": "z", "zones": `"z": "r", "y": "r"`, "listen.front": "10.0.0.1:80", "listen.readiness": "10.0.0.1:81", "listen.control": "10.0.0.1:82",
@@ -37,6 +38,7 @@
 	}
 }
 
+// Guards against a deployment template that renders settings which the node rejects.
 func TestTemplateRendersValidSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	settings, err := ParseSettings([]byte(renderTemplate(t, templateValues())))
@@ -48,14 +50,16 @@
 	g.Expect(settings.FirstStart).To(gomega.BeTrue())
 }
 
+// Guards against a node that fails to start because of settings for a later version.
 func TestUnknownSettingsAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := ParseSettings([]byte(renderTemplate(t, templateValues()) + "new_field: [1, 2]\n"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
+// Guards against settings errors that do not say which field to correct.
 func TestInvalidSettingsErrorNamesFieldValueAndRemedy(t *testing.T) {
-	for _, wrong := range []struct{ field, value, message string }{
+	for _, invalid := range []struct{ field, value, message string }{
 		{"node_name", "", `name: "" is empty: give each node a name of its own`},
 		{"platform.address", "", `store: "" is empty`},
 		{"internal_ports.0", "0", "peer_port: 0 is not in 1 to 65535"},
@@ -63,17 +67,17 @@
 		{"bounds.retry_budget_ratio", "-1", "retry_ratio: -1 is not in 0 to 10"},
 		{"bounds.contact_ms", "soon", "contact_ms"},
 	} {
-		t.Run(wrong.field, func(t *testing.T) {
+		t.Run(invalid.field, func(t *testing.T) {
 			values := templateValues()
-			values[wrong.field] = wrong.value
+			values[invalid.field] = invalid.value
 			_, err := ParseSettings([]byte(renderTemplate(t, values)))
-			gomega.NewWithT(t).Expect(err).To(gomega.MatchError(gomega.ContainSubstring(wrong.message)))
+			gomega.NewWithT(t).Expect(err).To(gomega.MatchError(gomega.ContainSubstring(invalid.message)))
 		})
 	}
 }
 
-// FuzzSettings feeds values into the template's output: settings are refused
-// with an error or valid, and never crash the process.
+// FuzzSettings renders values into the template: they are either rejected with an error or give
+// valid settings, and never crash the process.
 func FuzzSettings(f *testing.F) {
 	f.Add("edge-1", "7600", "8")
 	f.Add("{", "-1", "9e99")
@@ -88,29 +92,29 @@
 	})
 }
 
-// FuzzEvents cuts a stream at any place: what is passed on are whole events in
-// their order, and the rest stays.
+// FuzzEvents cuts a stream at any position: complete events are forwarded in order, and the
+// remaining bytes stay pending.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 7)
 	f.Add("id: 1\r\ndata: a\r\n\r\nid: 2", 3)
 	f.Fuzz(func(t *testing.T, text string, cut int) {
 		cut = max(0, min(cut, len(text)))
 		c, count := &call{}, 0
-		var passed, pending []byte
-		for _, piece := range []string{text[:cut], text[cut:]} {
-			pending = append(pending, piece...)
-			whole := completeEventsLength(pending)
-			passed = append(passed, c.unsentEvents(pending[:whole], &count)...)
-			pending = append([]byte(nil), pending[whole:]...)
+		var forwarded, pending []byte
+		for _, chunk := range []string{text[:cut], text[cut:]} {
+			pending = append(pending, chunk...)
+			complete := completeEventsLength(pending)
+			forwarded = append(forwarded, c.unsentEvents(pending[:complete], &count)...)
+			pending = append([]byte(nil), pending[complete:]...)
 		}
-		if string(passed)+string(pending) != text {
-			t.Fatalf("%q and %q of %q", passed, pending, text)
+		if string(forwarded)+string(pending) != text {
+			t.Fatalf("%q and %q of %q", forwarded, pending, text)
 		}
 	})
 }
 
-// The bucket must keep within what a window allows, whatever the tenant asks,
-// with something left for scheduling nodes that take over.
+// Guards against a token bucket that grants more in a window than the quota's limits allow, with
+// a reserve for scheduling nodes that take over.
 func TestQuotaLimitStaysUnderTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	settings := &Settings{QuotaWindow: 8, QuotaOverage: 0.1, QuotaSlack: 72000}
@@ -121,5 +125,5 @@
 		g.Expect(limit.Rate).To(gomega.BeNumerically(">=", rate*1.1))
 	}
 	strict := &Settings{QuotaWindow: 8}
-	g.Expect(strict.quotaLimit(60, 60).Rate).To(gomega.BeNumerically(">=", 60), "never less than the quota")
+	g.Expect(strict.quotaLimit(60, 60).Rate).To(gomega.BeNumerically(">=", 60), "the rate is at least the quota")
 }
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -9,32 +9,32 @@
 
 // Times of a planned stop.
 const (
-	// lookAway is the time in which the balancer learns that the node leaves.
-	// Connections that rest are closed then: the callers' next requests come by new
-	// ones, which lead to other nodes.
+	// balancerUpdateTime is the time in which the balancer finds that the node is not ready.
+	// Idle connections are closed after it, so that callers open new ones, to other nodes.
 	balancerUpdateTime = 2500 * time.Millisecond
-	// refuseAfter is when requests that still come are refused.
+	// rejectAfter is the time after which requests that can't finish in time are rejected.
 	rejectAfter = 2900 * time.Millisecond
-	// stopMargin is kept before the process would be killed.
+	// stopMargin is how long before the end of the grace the stop must be complete.
 	stopMargin       = 700 * time.Millisecond
 	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop is a planned stop: not ready at once, then serving until the balancer
-// has looked away and the last answer is out, but no longer than the grace.
+// Stop stops the node gracefully and returns once it has ended. The node is not ready at once, but
+// serves requests until the balancer no longer sends any and the last response is complete, at most
+// for StopGrace.
 func (n *Node) Stop() {
 	n.stopping.Store(int64(max(n.now(), 1)))
 	n.log.Write(eventlog.Event{Kind: "process.stop", Outcome: "begun", Count: int(n.inFlight.Load())})
 	n.sendHeartbeats()
-	begun := n.now()
+	startedAt := n.now()
 	limit := n.settings.Load().stopGrace() - stopMargin
-	closed := false
-	for n.now()-begun < limit {
-		if n.now()-begun > balancerUpdateTime && !closed {
+	isClosed := false
+	for n.now()-startedAt < limit {
+		if n.now()-startedAt > balancerUpdateTime && !isClosed {
 			n.callerServer.SetKeepAlivesEnabled(false)
-			closed = true
+			isClosed = true
 		}
-		if closed && n.inFlight.Load() == 0 {
+		if isClosed && n.inFlight.Load() == 0 {
 			break
 		}
 		time.Sleep(stopPollInterval)
@@ -48,7 +48,7 @@
 	n.Kill()
 }
 
-// Kill ends the node at once.
+// Kill ends the node without waiting for requests, and returns once its loops have ended.
 func (n *Node) Kill() {
 	n.cancel()
 	for _, server := range n.servers {
@@ -60,11 +60,11 @@
 	n.group.Wait()
 }
 
-// stopped returns for how long the node has been stopping, or zero.
+// stoppingFor returns for how long the node has been stopping, or zero if it is not.
 func (n *Node) stoppingFor() time.Duration {
-	begun := n.stopping.Load()
-	if begun == 0 {
+	startedAt := n.stopping.Load()
+	if startedAt == 0 {
 		return 0
 	}
-	return n.now() - time.Duration(begun)
+	return n.now() - time.Duration(startedAt)
 }
