--- a/entry/store.go
+++ b/entry/store.go
@@ -11,56 +11,54 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// How a node follows the store: complete reads, watches, and what it makes of their
-// failures. What they bring is taken into force in updates.go.
+// Watching the store: complete reads, watches, and the handling of their failures. Updates are
+// applied in updates.go.
 
-// Times of the calls to the directory.
+// Timeouts and intervals of the calls to the directory.
 const (
-	// readTimeout bounds a complete read. Each one that takes longer doubles it, up to
-	// longestRead, since a store that is slow answers in the end.
+	// readTimeout bounds a complete read. The timeout doubles with each read that exceeds it, up
+	// to maxReadTimeout, so that a slow store can still be read.
 	readTimeout    = 800 * time.Millisecond
 	maxReadTimeout = 3200 * time.Millisecond
-	// slowMargin is how many times longer than the last read the next one may take.
+	// readTimeFactor times the duration of the last read is the minimum timeout of the next one.
 	readTimeFactor = 2
-	// watchWait is how long a watch without news is held; each is a priced call.
+	// watchDuration is how long a watch waits for an update.
 	watchDuration = 10 * time.Second
-	// watchMargin is added for the answer to arrive.
+	// watchMargin is the additional time for the response to arrive.
 	watchMargin = 2 * time.Second
-	// watchDelay is how much later than a call's answer the watch may bring what came before it:
-	// it gathers news for watchGather.
+	// maxWatchDelay is how much later than the response of a call the watch may deliver an
+	// earlier change, as it batches changes for watchBatchTime.
 	maxWatchDelay = watchBatchTime + 40*time.Millisecond
-	minBackoff    = 150 * time.Millisecond
-	maxBackoff    = time.Second
-	// rereadAfter bounds the time between two complete reads.
+	// minBackoff and maxBackoff bound the wait before a failed read is retried.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = time.Second
+	// fullReadInterval is the maximum time that the store is watched between two complete reads.
 	fullReadInterval = 60 * time.Second
-	// transferMargin is how many times longer a read may take than the configuration
-	// alone would take on this node's link if nothing else used it.
+	// transferTimeFactor times the configuration's transfer time on an otherwise idle link is the
+	// minimum timeout of a read of it.
 	transferTimeFactor = 3
-	// narrowLink is the bandwidth below which a node first waits for its peers, in
-	// megabits a second: a configuration of 5,600 routes, 2.4 MB from the store, takes
-	// 0.4 s of it.
+	// narrowLinkMbps is the bandwidth in megabits per second below which a starting node first
+	// waits for its peers to send a large configuration.
 	narrowLinkMbps = 50
-	// quickRead is how long an answer of the store may occupy a narrow link at the start of
-	// a process. What is longer is left to peers; a configuration of some hundred routes is
-	// not, since after a loss of power peers have it no sooner: then half of 295 nodes
-	// waited for it for a second.
+	// maxNarrowLinkReadTime is how long a response of the store may occupy a narrow link at the
+	// start of a process. Shorter ones are read at once, since peers may have them no sooner.
 	maxNarrowLinkReadTime = 100 * time.Millisecond
-	// startPatience is how long it does so, which is less than readinessDelay, if it then
-	// follows the store for others, and followerPatience if others do: as long as one of
-	// these with a narrow link takes. startPoll is the time between looks.
+	// A starting node waits for its peers until this process age: watchingNodePeerWait, which is
+	// less than readinessDelay, if it is a watching node, and followerPeerWait, in which a watching
+	// node with a narrow link can read the configuration, if not.
 	watchingNodePeerWait = 300 * time.Millisecond
 	followerPeerWait     = 2500 * time.Millisecond
 	startPollInterval    = 20 * time.Millisecond
 )
 
-// watchLoop follows the directory: a complete read, then watches from there,
-// and a complete read again whenever a watch fails.
+// watchLoop keeps this node up to date with the directory: it makes a complete read, watches from
+// there, and reads again when a watch fails. While other nodes do so, it only checks its role.
 func (n *Node) watchLoop() {
-	pause := minBackoff
-	known := false
+	backoff := minBackoff
+	hasRead := false
 	n.awaitPeers()
 	for n.ctx.Err() == nil {
-		if (known || n.hasConfigurationAndReplicas() || n.waitsForDelegates()) && !n.shouldCallStore() {
+		if (hasRead || n.hasConfigurationAndReplicas() || n.waitsForDelegates()) && !n.shouldCallStore() {
 			n.setWatchHealthy(false)
 			n.sleep(heartbeatInterval)
 			continue
@@ -77,19 +75,19 @@
 		}
 		if err != nil {
 			n.recordStoreFailure(err)
-			if !n.sleep(pause) {
+			if !n.sleep(backoff) {
 				return
 			}
-			pause = min(pause*2, maxBackoff)
+			backoff = min(backoff*2, maxBackoff)
 			continue
 		}
 		n.recordStoreSuccess()
 		n.setWatchHealthy(true)
-		pause = minBackoff
+		backoff = minBackoff
 		if scope == outside.ScopeReplicas && !n.awaitConfiguration() {
 			continue
 		}
-		known = true
+		hasRead = true
 		if scope == outside.ScopeAll {
 			n.watch(revision)
 			continue
@@ -98,15 +96,14 @@
 	}
 }
 
-// scope returns what the watch loop reads. A large configuration is read by few: by the
-// nodes that follow the store for others, and at the start of a process by those with
-// wide links. All others have it from these, sooner than over their own links, and only
-// look whether the store answers.
+// readScope returns what the watch loop reads. Only watching nodes and, at the start of a process,
+// nodes with wide links read a large configuration. All others get it from these faster than over
+// their own links, and read only the replicas.
 func (n *Node) readScope() outside.Scope {
 	n.mutex.Lock()
-	follows := n.watchesStore(n.now())
+	isWatching := n.watchesStore(n.now())
 	n.mutex.Unlock()
-	if n.catalog.Load() != nil && !follows {
+	if n.catalog.Load() != nil && !isWatching {
 		return outside.ScopeReplicas
 	}
 	if n.prefersPeersForConfiguration() && n.isConfigurationLarge.Load() {
@@ -115,13 +112,13 @@
 	return outside.ScopeAll
 }
 
-// leavesConfigurationToPeers returns whether this node starts and has a narrow link, so
-// that a large configuration comes sooner from peers than from the store.
+// prefersPeersForConfiguration reports whether this node is starting and has a narrow link, so
+// that a large configuration arrives sooner from peers than from the store.
 func (n *Node) prefersPeersForConfiguration() bool {
 	return n.catalog.Load() == nil && n.hasNarrowLink() && n.now() < n.peerWait()
 }
 
-// longestAnswer bounds the bytes of the store's answer; zero means no bound.
+// maxReadBytes returns the maximum length of the store's response in bytes; zero means no limit.
 func (n *Node) maxReadBytes(scope outside.Scope) int64 {
 	if scope != outside.ScopeAll || !n.prefersPeersForConfiguration() {
 		return 0
@@ -129,14 +126,14 @@
 	return int64(n.settings.Load().LinkMbps * 1e6 / bitsPerByte * maxNarrowLinkReadTime.Seconds())
 }
 
-// hasNarrowLink returns whether a large configuration takes long on this node's link.
+// hasNarrowLink reports whether a large configuration takes long on this node's link.
 func (n *Node) hasNarrowLink() bool {
 	link := n.settings.Load().LinkMbps
 	return link > 0 && link < narrowLinkMbps
 }
 
-// peersPatience is the age of the process until which it waits for its peers to send
-// the configuration.
+// peerWait returns the process age until which this node waits for its peers to send the
+// configuration.
 func (n *Node) peerWait() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -146,8 +143,8 @@
 	return followerPeerWait
 }
 
-// awaitConfiguration waits at the start of a process until a peer has sent the
-// configuration, and returns false if none did in time.
+// awaitConfiguration blocks at the start of a process until a peer has sent the configuration. It
+// returns false if none did within peerWait.
 func (n *Node) awaitConfiguration() bool {
 	for n.catalog.Load() == nil {
 		if n.now() >= n.peerWait() || !n.sleep(startPollInterval) {
@@ -157,57 +154,57 @@
 	return true
 }
 
-// read reads the store and takes what it holds into force.
+// read reads the store, applies the update and returns its position.
 func (n *Node) read(scope outside.Scope) (structs.StorePosition, error) {
-	limit := n.scopeReadTimeout(scope)
-	ctx, cancel := context.WithTimeout(n.ctx, limit)
+	timeout := n.scopeReadTimeout(scope)
+	ctx, cancel := context.WithTimeout(n.ctx, timeout)
 	defer cancel()
-	begun := n.now()
+	startedAt := n.now()
 	n.mutex.Lock()
 	decoded := n.catalogRevision
-	n.storeCalledAt = begun
+	n.storeCalledAt = startedAt
 	n.mutex.Unlock()
 	update, err := n.deps.Directory.Read(ctx, scope, decoded, n.maxReadBytes(scope))
 	n.mutex.Lock()
-	// On a link that the answer filled no heartbeat came through.
+	// The response may have filled the link, so that no heartbeat arrived during the read.
 	n.lastContactAt = n.now()
 	n.mutex.Unlock()
 	if err != nil {
 		if ctx.Err() != nil {
-			n.setNextReadTimeout(min(2*limit, maxReadTimeout))
+			n.setNextReadTimeout(min(2*timeout, maxReadTimeout))
 		}
 		return 0, err
 	}
-	took := n.now() - begun
+	took := n.now() - startedAt
 	n.setNextReadTimeout(min(readTimeFactor*took, maxReadTimeout))
 	n.recordDuration("store_read_ms", took)
 	if !n.apply(update) {
-		return 0, errkind.New(errkind.StoreUnavailable, "the store answers in era %d, which is over", update.Revision.Era())
+		return 0, errkind.New(errkind.StoreUnavailable, "read store: response of era %d is outdated", update.Revision.Era())
 	}
 	n.mutex.Lock()
 	n.readCalls = update.Calls
-	n.recordRead(begun, scope)
+	n.recordRead(startedAt, scope)
 	n.mutex.Unlock()
 	return update.Revision, nil
 }
 
-// noteRead records that all of the scope is known as of the instant. The caller holds the mutex.
-func (n *Node) recordRead(begun structs.Instant, scope outside.Scope) {
-	n.fresh.Observe(begun)
+// recordRead records that the scope is known as of startedAt. The caller holds the mutex.
+func (n *Node) recordRead(startedAt structs.Instant, scope outside.Scope) {
+	n.fresh.Observe(startedAt)
 	if scope == outside.ScopeAll {
-		n.freshConfiguration.Observe(begun)
+		n.freshConfiguration.Observe(startedAt)
 	}
 }
 
-// watchMisses returns whether this node's watch may have missed a change, and so all has to be read
-// anew. Where a complete read takes many calls, one call tells: the watch brings every change of the
-// store, so that nothing was missed up to the revision that it has reached.
+// mayHaveMissedChanges reports whether this node's watch may have missed a change, so that a
+// complete read is needed. Where that takes many calls, it makes one call for the latest revision
+// instead: a watch that has reached it has missed nothing.
 func (n *Node) mayHaveMissedChanges() bool {
 	n.mutex.Lock()
-	isWorth := n.readCalls > 1 && n.watchHealthy && n.deps.Revisions != nil
-	begun := n.now()
+	canCheck := n.readCalls > 1 && n.watchHealthy && n.deps.Revisions != nil
+	startedAt := n.now()
 	n.mutex.Unlock()
-	if !isWorth {
+	if !canCheck {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, readTimeout)
@@ -221,17 +218,17 @@
 	if n.table.CompleteTo() < latest || latest.Era() != n.era.present {
 		return true
 	}
-	n.recordRead(begun, outside.ScopeAll) // the watch is of all keys
+	n.recordRead(startedAt, outside.ScopeAll) // the watch covers all keys
 	return false
 }
 
-// readTime is how long a read may take.
+// scopeReadTimeout returns the timeout of a read of the scope.
 func (n *Node) scopeReadTimeout(scope outside.Scope) time.Duration {
 	transfer := time.Duration(0)
 	if scope == outside.ScopeAll {
 		transfer = n.configurationTransferTime()
 		if n.catalog.Load() == nil && n.hasNarrowLink() {
-			transfer = maxReadTimeout // nothing is known of its length
+			transfer = maxReadTimeout // its length is unknown
 		}
 	}
 	n.mutex.Lock()
@@ -239,17 +236,18 @@
 	return max(n.nextReadTimeout, readTimeout, min(transferTimeFactor*transfer, maxReadTimeout))
 }
 
-func (n *Node) setNextReadTimeout(limit time.Duration) {
+// setNextReadTimeout sets the timeout of the next complete read.
+func (n *Node) setNextReadTimeout(timeout time.Duration) {
 	n.mutex.Lock()
-	n.nextReadTimeout = limit
+	n.nextReadTimeout = timeout
 	n.mutex.Unlock()
 }
 
-// follow watches from the revision until a watch fails or is due for a read.
+// watch watches the store from the revision until a watch fails or a complete read is due.
 func (n *Node) watch(revision structs.StorePosition) {
-	begun := n.now()
-	for n.ctx.Err() == nil && n.shouldCallStore() && n.now()-begun < fullReadInterval {
-		// The configuration comes whole with each change.
+	startedAt := n.now()
+	for n.ctx.Err() == nil && n.shouldCallStore() && n.now()-startedAt < fullReadInterval {
+		// An update contains the whole configuration if it changed.
 		margin := max(watchMargin, transferTimeFactor*n.configurationTransferTime())
 		ctx, cancel := context.WithTimeout(n.ctx, watchDuration+margin)
 		n.setCancelWatch(cancel)
@@ -257,8 +255,8 @@
 		cancel()
 		switch {
 		case errors.Is(err, errkind.StaleFence), errors.Is(err, errkind.OtherEra):
-			// Replicas could renew their entries all the while, so this is no trouble
-			// in which entries run out. A new era is found by the read that follows.
+			// Replicas could renew their entries, so the store counts as healthy. A new era
+			// is detected by the complete read that follows.
 			n.log.Write(eventlog.Event{Kind: "store.history", Outcome: "gone", Revision: revision.Revision(), Era: revision.Era()})
 			return
 		case err != nil && n.rereadRequested():
@@ -279,15 +277,14 @@
 	}
 }
 
-// setWatch records how the watch that waits now can be ended.
+// setCancelWatch sets the function that ends the current watch.
 func (n *Node) setCancelWatch(cancel context.CancelFunc) {
 	n.mutex.Lock()
 	n.cancelWatch, n.isRereadRequested = cancel, false
 	n.mutex.Unlock()
 }
 
-// readAnew ends the watch that waits, so that a complete read follows. The caller holds the
-// mutex.
+// requestReread ends the current watch, so that a complete read follows. The caller holds the mutex.
 func (n *Node) requestReread() {
 	n.isRereadRequested = true
 	if n.cancelWatch != nil {
@@ -295,25 +292,25 @@
 	}
 }
 
-// isReadDue returns whether the watch was ended for a complete read.
+// rereadRequested reports whether the watch was ended for a complete read.
 func (n *Node) rereadRequested() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.isRereadRequested
 }
 
-// setSteady records whether the node follows the store without trouble.
-func (n *Node) setWatchHealthy(steady bool) {
+// setWatchHealthy records whether the node watches the store without failures.
+func (n *Node) setWatchHealthy(healthy bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if steady && !n.watchHealthy {
+	if healthy && !n.watchHealthy {
 		n.watchHealthySince = n.now()
 	}
-	n.watchHealthy = steady
+	n.watchHealthy = healthy
 }
 
-// watchHealthyFor returns for how long the node has followed the store without trouble.
-// The caller holds the mutex.
+// watchHealthyFor returns for how long the node has watched the store without failures. The caller
+// holds the mutex.
 func (n *Node) watchHealthyFor(now structs.Instant) time.Duration {
 	if !n.watchHealthy {
 		return 0
@@ -321,38 +318,40 @@
 	return now - n.watchHealthySince
 }
 
+// recordStoreFailure records that a call to the store failed with err.
 func (n *Node) recordStoreFailure(err error) {
 	n.mutex.Lock()
 	n.storeFailedAt, n.watchHealthy = n.now(), false
-	first := !n.storeDown
+	isFirst := !n.storeDown
 	n.storeDown = true
-	endWatch := n.cancelWatch
+	cancelWatch := n.cancelWatch
 	n.mutex.Unlock()
-	if first && endWatch != nil {
-		// The watch may hang for as long as it may wait, and only its loop tries again.
-		endWatch()
+	if isFirst && cancelWatch != nil {
+		// The watch may hang until its timeout, and only the watch loop retries.
+		cancelWatch()
 	}
 	n.counter("store.failures").Inc(1)
-	if first && n.ctx.Err() == nil {
-		// Others have to follow the store in this node's place.
+	if isFirst && n.ctx.Err() == nil {
+		// Other nodes must watch the store in this node's place.
 		n.sendHeartbeats()
 		n.log.Write(eventlog.Event{Kind: "store", Outcome: "lost", Detail: err.Error()})
 	}
 }
 
+// recordStoreSuccess records that a call to the store succeeded.
 func (n *Node) recordStoreSuccess() {
 	n.mutex.Lock()
-	back, tells := n.storeDown, n.isCandidate
+	hasRecovered, isCandidate := n.storeDown, n.isCandidate
 	n.storeDown = false
-	if back {
+	if hasRecovered {
 		n.storeFailedAt = n.now()
 	}
 	n.mutex.Unlock()
-	if !back {
+	if !hasRecovered {
 		return
 	}
-	if tells {
-		// Those that follow the store are of the senior nodes.
+	if isCandidate {
+		// Watching nodes are candidates: the others need to know which of them reach the store.
 		n.sendHeartbeats()
 	}
 	n.log.Write(eventlog.Event{Kind: "store", Outcome: "regained"})
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -12,52 +12,52 @@
 	"github.com/thornwalk/thornwalk/transport/replicahttp"
 )
 
-// Bounds of a stream.
+// Limits of a stream.
 const (
 	streamBufferBytes = 4096
-	// maximumEvent bounds the bytes of one event.
+	// maxEventBytes bounds the bytes of one event.
 	maxEventBytes = 1 << 20
-	// stallFirst and stallNext are the silences after which a resumable stream
-	// is continued at another replica.
+	// firstEventTimeout and nextEventTimeout are the times without bytes after which a
+	// resumable stream continues at another replica.
 	firstEventTimeout = 1500 * time.Millisecond
 	nextEventTimeout  = 1200 * time.Millisecond
 )
 
-// relayStream passes whole events on as they come. The head goes out with the
-// first event, so that a replica which fails before it can be replaced.
+// relayStream forwards complete events as they arrive. The head is sent with the first event, so
+// that a replica that fails before it can be replaced.
 func (c *call) relayStream(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
-	var seen admission.Observation
+	var observed admission.Observation
 	var pending []byte
 	buffer := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(c.writer)
 	last := sent
 	for {
-		c.setEventTimeout(answer, seen.Events)
+		c.setEventTimeout(answer, observed.Events)
 		count, err := answer.Body.Read(buffer)
 		pending = append(pending, buffer[:count]...)
-		whole := completeEventsLength(pending)
-		if whole > 0 {
-			if seen.Events == 0 {
-				seen.FirstEvent = time.Since(sent)
-				c.firstEventDelay = seen.FirstEvent
+		complete := completeEventsLength(pending)
+		if complete > 0 {
+			if observed.Events == 0 {
+				observed.FirstEvent = time.Since(sent)
+				c.firstEventDelay = observed.FirstEvent
 			} else {
 				c.maxEventGap = max(c.maxEventGap, time.Since(last))
 			}
 			last = time.Now()
-			ready := c.unsentEvents(pending[:whole], &seen.Events)
-			pending = append(pending[:0], pending[whole:]...)
+			ready := c.unsentEvents(pending[:complete], &observed.Events)
+			pending = append(pending[:0], pending[complete:]...)
 			if !c.sendEvents(answer, ready, flusher) {
-				return resultCallerLeft, seen
+				return resultCallerLeft, observed
 			}
 		}
 		if len(pending) > maxEventBytes {
-			return c.recordIncomplete(replica.ID, err), seen
+			return c.recordIncomplete(replica.ID, err), observed
 		}
 		if err == nil {
 			continue
 		}
 		if !answer.Ended(err) || len(pending) > 0 {
-			return c.recordIncomplete(replica.ID, err), seen
+			return c.recordIncomplete(replica.ID, err), observed
 		}
 		break
 	}
@@ -65,23 +65,22 @@
 	c.sendHead(answer)
 	c.node.recordDuration("pause_ms", c.maxEventGap)
 	c.recordAnswer(answer.StatusCode, replica.ID)
-	return resultAnswered, seen
+	return resultAnswered, observed
 }
 
-// limitSilence bounds the wait for the next bytes where the stream can go on
-// at another replica.
+// setEventTimeout limits the wait for the next bytes if the stream can continue at another replica.
 func (c *call) setEventTimeout(answer *replicahttp.Answer, events int) {
 	if !c.route.Resumable || c.sends+1 >= c.route.MaxAttempts {
 		return
 	}
-	limit := nextEventTimeout
+	timeout := nextEventTimeout
 	if events == 0 {
-		limit = firstEventTimeout
+		timeout = firstEventTimeout
 	}
-	answer.SetReadDeadline(time.Now().Add(limit))
+	answer.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// sendHead sends the head of the first replica's answer, once.
+// sendHead sends the head of the response unless one was sent already.
 func (c *call) sendHead(answer *replicahttp.Answer) {
 	if c.headSent {
 		return
@@ -91,7 +90,7 @@
 	c.writer.WriteHeader(answer.StatusCode)
 }
 
-// sendEvents returns false if the caller is gone.
+// sendEvents sends the head, if needed, and the events. It returns false if the caller left.
 func (c *call) sendEvents(answer *replicahttp.Answer, events []byte, flusher *http.ResponseController) bool {
 	c.sendHead(answer)
 	if len(events) == 0 {
@@ -109,7 +108,7 @@
 	idField      = "id:"
 )
 
-// lastEventEnd returns the length of the whole events at the front of the text.
+// completeEventsLength returns the length of the complete events at the start of the text.
 func completeEventsLength(text []byte) int {
 	end := 0
 	if at := bytes.LastIndex(text, eventEndLF); at >= 0 {
@@ -121,8 +120,8 @@
 	return end
 }
 
-// newEvents counts the events, notes the last number, and leaves out those that
-// the caller already has from an earlier replica.
+// unsentEvents returns the events that the caller does not have yet from an earlier replica. It
+// counts all events and records the last ID.
 func (c *call) unsentEvents(text []byte, count *int) []byte {
 	fresh := make([]byte, 0, len(text))
 	for len(text) > 0 {
@@ -142,13 +141,14 @@
 	return fresh
 }
 
+// firstEventLength returns the length of the first event, or of the text if no event ends in it.
 func firstEventLength(text []byte) int {
-	plain, lines := bytes.Index(text, eventEndLF), bytes.Index(text, eventEndCRLF)
+	lf, crlf := bytes.Index(text, eventEndLF), bytes.Index(text, eventEndCRLF)
 	switch {
-	case lines >= 0 && (plain < 0 || lines < plain):
-		return lines + len(eventEndCRLF)
-	case plain >= 0:
-		return plain + len(eventEndLF)
+	case crlf >= 0 && (lf < 0 || crlf < lf):
+		return crlf + len(eventEndCRLF)
+	case lf >= 0:
+		return lf + len(eventEndLF)
 	default:
 		return len(text)
 	}
@@ -164,9 +164,9 @@
 	return ""
 }
 
-// follows returns whether the number comes after the other.
-func isLaterEventID(id, before string) bool {
-	a, errA := strconv.ParseInt(id, 10, 64)
-	b, errB := strconv.ParseInt(before, 10, 64)
-	return errA != nil || errB != nil || a > b
+// isLaterEventID reports whether the ID is greater than the earlier one, or either is no number.
+func isLaterEventID(id, earlier string) bool {
+	a, errID := strconv.ParseInt(id, 10, 64)
+	b, errEarlier := strconv.ParseInt(earlier, 10, 64)
+	return errID != nil || errEarlier != nil || a > b
 }
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -11,29 +11,27 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Nodes that do not follow the store pull its news from those that do. All of them
-// hear of news at the same time. A reply holds only what is new to the asking node, and
-// one that does not come in time is asked for more rarely: replies that nobody waits
-// for any more fill the links, and the news then reaches nobody. News of replicas and
-// of the configuration go by calls of their own, so that neither waits for the other.
+// Nodes that do not watch the store pull updates from those that do. All of them learn of an update
+// at the same time, so a reply contains only what the requester lacks, and failed pulls back off:
+// otherwise replies that are no longer awaited fill the links. Replicas and the configuration are
+// pulled by separate calls, so that neither waits for the other.
 
-// Times of pulls.
+// Delays and timeouts of pulls.
 const (
-	// pullPatience is how long this node's own watch may be behind a peer's.
+	// ownWatchDelay is how long this node's own watch may be behind a peer before it pulls.
 	ownWatchDelay = staleness.MinPullBackoff
-	// delegatesPullTime is how long news take from the nodes that follow the store to the delegates
-	// of a zone. What a zone's nodes pull from these crosses no border.
+	// delegatePullDelay is the time that updates take from watching nodes to the delegates of a
+	// zone. Pulling from these avoids traffic between zones.
 	delegatePullDelay = 400 * time.Millisecond
-	// updatesTimeout bounds a call to a peer for its news.
+	// updatesTimeout bounds a call to a peer for updates.
 	updatesTimeout = 500 * time.Millisecond
 )
 
-// pullPatienceWith is how long this node waits before it asks the sender of the heartbeat for its
-// news: for its own watch, or, where a zone's delegates will have the news as well, for these. The
-// caller holds the mutex.
-func (n *Node) pullDelay(beat liveness.Heartbeat) time.Duration {
+// pullDelay returns how long this node waits before it pulls from the sender of the heartbeat: the
+// time for its own watch, or the delegates of its zone, to get the update. The caller holds the mutex.
+func (n *Node) pullDelay(heartbeat liveness.Heartbeat) time.Duration {
 	switch {
-	case n.isNonDelegate && beat.Zone != n.settings.Load().Zone:
+	case n.isNonDelegate && heartbeat.Zone != n.settings.Load().Zone:
 		return delegatePullDelay
 	case n.watchRank < watchingNodes:
 		return ownWatchDelay
@@ -41,9 +39,9 @@
 	return 0
 }
 
-// latest returns the revision of the latest news that this node knows, of replicas and of
-// roll-outs. News of replicas alone does not count: of a version that a roll-out brings, a
-// node must not know the replicas and not the order. The caller holds the mutex.
+// latest returns the position of the latest known update of replicas and roll-outs. It does not
+// advance with replicas alone, as a node must not know the replicas of a new version without the
+// order that brings it. The caller holds the mutex.
 func (n *Node) latest() structs.StorePosition {
 	if n.rollouts.CompleteTo() < n.table.LatestPosition() {
 		return n.rollouts.CompleteTo()
@@ -51,14 +49,13 @@
 	return max(n.table.LatestPosition(), n.rollouts.LatestPosition())
 }
 
-// replicaPullDue returns whether the peer knows more of the replicas or roll-outs for so long that
-// this node's own watch will not tell it, and the peer is to be asked now. The caller
-// holds the mutex.
-func (n *Node) replicaPullDue(beat liveness.Heartbeat) bool {
-	return n.replicaPull.ShouldPull(n.now(), n.latest(), beat.LatestPosition, n.pullDelay(beat))
+// replicaPullDue reports whether to pull replicas and roll-outs from the sender of the heartbeat now.
+// If so, the caller must call pullUpdates. The caller holds the mutex.
+func (n *Node) replicaPullDue(heartbeat liveness.Heartbeat) bool {
+	return n.replicaPull.ShouldPull(n.now(), n.latest(), heartbeat.LatestPosition, n.pullDelay(heartbeat))
 }
 
-// serveUpdates answers a peer that is behind.
+// serveUpdates returns the updates that the requesting peer lacks.
 func (n *Node) serveUpdates(_ context.Context, request *updatesRequest) (*updatesReply, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -70,7 +67,7 @@
 	return reply, nil
 }
 
-// pullUpdates asks a peer that knows more of the replicas than this node.
+// pullUpdates pulls the replicas and roll-outs that this node lacks from the peer at the address.
 func (n *Node) pullUpdates(address string) {
 	n.mutex.Lock()
 	request := &updatesRequest{Latest: n.table.LatestPosition(), Rollouts: n.rollouts.CompleteTo()}
@@ -82,7 +79,7 @@
 	n.recordPullFailure(address, err)
 }
 
-// pullAll asks a peer for all that it knows of the replicas and roll-outs, of before a copy too.
+// pullAll pulls all replicas and roll-outs, including those from before a restore.
 func (n *Node) pullAll(address string) {
 	err := n.pull(address, &updatesRequest{})
 	n.mutex.Lock()
@@ -92,6 +89,7 @@
 	n.recordPullFailure(address, err)
 }
 
+// recordPullFailure logs and counts a pull that failed; a nil error is ignored.
 func (n *Node) recordPullFailure(address string, err error) {
 	if err != nil && n.ctx.Err() == nil {
 		n.counter("news.pulls_failed").Inc(1)
@@ -99,7 +97,7 @@
 	}
 }
 
-// pull brings a peer's news of the replicas into force.
+// pull requests updates from a peer and applies them.
 func (n *Node) pull(address string, request *updatesRequest) error {
 	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
--- a/entry/update_pull_test.go
+++ b/entry/update_pull_test.go
@@ -15,12 +15,11 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// The nodes that follow the store for all were of those with narrow links. 75 others
-// pulled from them every 200 ms, the whole list each time, until their links carried
-// nothing else for eight seconds.
+// Guards against nodes with narrow links watching the store: the pulls of all other nodes would
+// fill their links.
 func TestStoreIsWatchedByNodesWithWideLinks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	first := 0
+	watching := 0
 	for i := range 20 {
 		name := fmt.Sprintf("n%02d", i)
 		settings := &Settings{Name: name, Cores: 0.2, LinkMbps: 10}
@@ -38,24 +37,26 @@
 			}
 		}
 		if rank := n.watchRankAmong(n.members.Live(n.now())); rank < watchingNodes {
-			first++
+			watching++
 			g.Expect(i).To(gomega.BeNumerically("<", 4), "rank %d", rank)
 		}
 	}
-	g.Expect(first).To(gomega.Equal(watchingNodes))
+	g.Expect(watching).To(gomega.Equal(watchingNodes))
 }
 
+// Guards against concurrent pulls of the same kind, and against one kind that blocks the other.
 func TestPullsOfEachKindRunOneAtATime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(9)
 	n.startedAt, n.deps.Now = 0, func() time.Duration { return 0 }
-	news := liveness.Heartbeat{Version: 4, LatestPosition: 9}
-	g.Expect(n.replicaPullDue(news)).To(gomega.BeTrue())
-	g.Expect(n.replicaPullDue(news)).To(gomega.BeFalse(), "one at a time")
-	g.Expect(n.configurationPullDue(news)).To(gomega.BeTrue(), "one kind of news does not wait for the other")
-	g.Expect(n.configurationPullDue(news)).To(gomega.BeFalse(), "one at a time")
+	heartbeat := liveness.Heartbeat{Version: 4, LatestPosition: 9}
+	g.Expect(n.replicaPullDue(heartbeat)).To(gomega.BeTrue())
+	g.Expect(n.replicaPullDue(heartbeat)).To(gomega.BeFalse(), "one at a time")
+	g.Expect(n.configurationPullDue(heartbeat)).To(gomega.BeTrue(), "the kinds are independent")
+	g.Expect(n.configurationPullDue(heartbeat)).To(gomega.BeFalse(), "one at a time")
 }
 
+// Guards against replies that repeat what the requester already has.
 func TestRepliesContainOnlyNewerState(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -11,17 +11,17 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// apply takes an update of the directory into force. It returns false for one of an era that is
-// over, which tells nothing.
+// apply applies an update of the directory. It returns false, and does nothing, for an update of an
+// earlier era.
 func (n *Node) apply(update *outside.Update) bool {
 	n.mutex.Lock()
-	present := n.checkEra(update.Revision)
+	isCurrent := n.checkEra(update.Revision)
 	n.mutex.Unlock()
-	if !present {
+	if !isCurrent {
 		return false
 	}
 	n.logProblems(update)
-	emptied := n.applyEvacuations(update) // first: whoever hears of what follows has heard of it
+	evacuationsChanged := n.applyEvacuations(update) // first: no node may learn the rest without the evacuations
 	if update.Catalog != nil {
 		n.applyCatalog(update.Catalog, "store")
 	}
@@ -52,17 +52,16 @@
 	if changed {
 		n.handleReplicaChange()
 	}
-	if changed || emptied || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
+	if changed || evacuationsChanged || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
 		n.sendHeartbeats()
 	}
 	return true
 }
 
-// toldProblems bounds what did not parse that a node remembers to have told of.
+// maxLoggedProblems bounds the problems that are remembered as logged.
 const maxLoggedProblems = 256
 
-// noteProblems tells of entries that did not parse, of each once: complete reads bring them
-// again and again.
+// logProblems logs entries that failed to parse, each once, as every complete read reports them.
 func (n *Node) logProblems(update *outside.Update) {
 	for _, problem := range update.Problems {
 		text := problem.Error()
@@ -76,7 +75,7 @@
 	}
 }
 
-// isNewProblem returns whether the problem is told for the first time. The caller holds the mutex.
+// isNewProblem reports whether the problem is new, and remembers it. The caller holds the mutex.
 func (n *Node) isNewProblem(text string) bool {
 	known := n.loggedProblems[text]
 	if len(n.loggedProblems) >= maxLoggedProblems {
@@ -86,20 +85,19 @@
 	return !known
 }
 
-// applyReplica enters news of a replica and tells of a change. The caller holds the
-// mutex.
+// applyReplica applies an update of a replica and logs a change. The caller holds the mutex.
 func (n *Node) applyReplica(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
 		return
 	}
-	isNewLife := found && !known.IsSameIncarnation(replica)
-	if isNewLife {
+	isNewIncarnation := found && !known.IsSameIncarnation(replica)
+	if isNewIncarnation {
 		n.resolveDisconnects(known)
 		n.health.Reset(replica.ID)
 		n.pool.Forget(replica.ID)
 	}
-	if found && !isNewLife && known.Draining == replica.Draining && known.Address == replica.Address {
+	if found && !isNewIncarnation && known.Draining == replica.Draining && known.Address == replica.Address {
 		return
 	}
 	outcome := "ready"
@@ -109,17 +107,15 @@
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Position.Revision(), Era: replica.Position.Era(), Detail: replica.Address})
 }
 
-// entryReturnTime is how long after trouble of the store a replica whose entry ran
-// out meanwhile may take to write it again: about two heartbeats of replicas. What is
-// still missing then is gone.
+// entryRewriteTime is how long after a store outage a replica whose entry expired may take to write
+// it again, about two of its heartbeats. Entries still missing then are removed.
 const entryRewriteTime = 2300 * time.Millisecond
 
-// handleEntryRemoved handles an entry that is gone. While the store is unwell replicas
-// can't renew their entries, so that it proves little; the replica then stays
-// for as long as the store needs to become well and the replica to come back.
+// handleEntryRemoved handles a removed entry. While the store is unhealthy, replicas can't renew
+// their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
 func (n *Node) handleEntryRemoved(gone outside.Gone) {
-	if _, known := n.table.Get(gone.ID); !known {
+	if _, isKnown := n.table.Get(gone.ID); !isKnown {
 		n.table.Remove(n.now(), gone.ID, gone.Revision)
 		return
 	}
@@ -132,8 +128,8 @@
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Revision.Revision(), Era: gone.Revision.Era()})
 }
 
-// remove takes the replica out of the table. One that did not say that it leaves has ended.
-// The caller holds the mutex.
+// removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
+// deferred disconnects are resolved. The caller holds the mutex.
 func (n *Node) removeReplica(id string, revision structs.StorePosition) {
 	known, found := n.table.Get(id)
 	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
@@ -141,10 +137,9 @@
 	}
 }
 
-// storeUnwell returns whether the store fails, or failed so lately that replicas
-// which lost their entries need not have written them again. If another node followed
-// it without trouble all the while, only this node was cut off from it. The caller
-// holds the mutex.
+// isStoreUnhealthy reports whether the store fails, or failed so recently that replicas may not have
+// rewritten expired entries. It returns false if a peer watched the store without failures all the
+// time, as then only this node was partitioned from it. The caller holds the mutex.
 func (n *Node) isStoreUnhealthy() bool {
 	now := n.now()
 	if !n.storeDown && now-n.storeFailedAt >= entryRewriteTime {
@@ -152,7 +147,7 @@
 	}
 	for _, member := range n.members.Live(now) {
 		if n.isFromEarlierEra(member.Heartbeat) {
-			continue // it doesn't know yet that the store came back from a copy
+			continue // it does not know yet that the store was restored
 		}
 		if member.StoreHealthyMS >= n.settings.Load().storeRecoveryWindow().Milliseconds() {
 			return false
@@ -161,34 +156,35 @@
 	return true
 }
 
-// expireReplicas removes the doubted replicas once the store is well for so long that
-// they would have come back.
+// removeUnconfirmed removes the unconfirmed replicas once the store has been healthy for long enough
+// for them to rewrite their entries.
 func (n *Node) removeUnconfirmed() {
-	var gone []string
+	var removed []string
 	n.mutex.Lock()
 	if !n.isStoreUnhealthy() {
-		gone = n.table.RemoveUnconfirmed(n.now())
+		removed = n.table.RemoveUnconfirmed(n.now())
 	}
 	n.table.Forget(n.now())
 	n.mutex.Unlock()
-	for _, id := range gone {
+	for _, id := range removed {
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: id, Outcome: "gone", Reason: "doubt-expired"})
 	}
-	if len(gone) > 0 {
+	if len(removed) > 0 {
 		n.handleReplicaChange()
 	}
 }
 
-// replicasChanged tells the desk and drops what belongs to replicas that left.
+// handleReplicaChange gives the replicas to the scheduling service and drops the state of those that
+// were removed.
 func (n *Node) handleReplicaChange() {
 	n.mutex.Lock()
 	all := n.table.All()
 	n.health.Forget(func(id string) bool { _, known := n.table.Get(id); return known })
-	n.pushback.Forget(n.now(), func(life pushback.Incarnation) bool {
-		known, found := n.table.Get(life.Replica)
-		return found && pushback.IncarnationOf(known) == life
+	n.pushback.Forget(n.now(), func(incarnation pushback.Incarnation) bool {
+		known, found := n.table.Get(incarnation.Replica)
+		return found && pushback.IncarnationOf(known) == incarnation
 	})
 	n.mutex.Unlock()
-	n.applyPolicies() // first: a replica that the desk knows and no policy gets requests
+	n.applyPolicies() // first: the scheduler assigns requests to a replica without a policy
 	n.scheduling.update(func(scheduler *admission.Scheduler) { scheduler.SetReplicas(n.now(), all) })
 }
--- a/entry/updates_memory_test.go
+++ b/entry/updates_memory_test.go
@@ -16,18 +16,18 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// BenchmarkRepliesHeldForSlowPeers tells how many bytes a server holds while so many
-// peers have each asked so often for a configuration, and read nothing of it.
+// BenchmarkRepliesHeldForSlowPeers measures how many bytes a server holds while peers have each
+// requested a configuration and read nothing of the reply.
 func BenchmarkRepliesHeldForSlowPeers(b *testing.B) {
 	for _, routes := range []int{1400, 2800, 4 * 1400} {
 		for _, peers := range []int{1, 20, 60} {
-			for _, asked := range []int{1, 2} {
-				b.Run(fmt.Sprintf("routes=%d/peers=%d/asked=%d", routes, peers, asked), func(b *testing.B) {
+			for _, requests := range []int{1, 2} {
+				b.Run(fmt.Sprintf("routes=%d/peers=%d/asked=%d", routes, peers, requests), func(b *testing.B) {
 					for b.Loop() {
-						body, held := bytesHeldForSlowPeers(b, documents.Large(2, routes), peers, asked)
-						b.ReportMetric(float64(body), "body-B")
-						b.ReportMetric(float64(held), "held-B")
-						b.ReportMetric(float64(held)/float64(peers*asked*body), "held/body")
+						bodyBytes, heldBytes := bytesHeldForSlowPeers(b, documents.Large(2, routes), peers, requests)
+						b.ReportMetric(float64(bodyBytes), "body-B")
+						b.ReportMetric(float64(heldBytes), "held-B")
+						b.ReportMetric(float64(heldBytes)/float64(peers*requests*bodyBytes), "held/body")
 					}
 				})
 			}
@@ -35,9 +35,9 @@
 	}
 }
 
-// heldForSlowPeers returns the length of a reply's body, and the bytes held while
-// the peers do not read.
-func bytesHeldForSlowPeers(b *testing.B, document *catalog.Document, peers, asked int) (body int, held int64) {
+// bytesHeldForSlowPeers returns the length of a reply's body, and the maximum number of bytes held
+// while the peers do not read.
+func bytesHeldForSlowPeers(b *testing.B, document *catalog.Document, peers, requests int) (bodyBytes int, heldBytes int64) {
 	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
 	n.applyCatalog(document, "test")
 	request := &dissemination.Request{Version: 1}
@@ -46,42 +46,42 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	body = len(encoded)
+	bodyBytes = len(encoded)
 	server := peer.NewServer(nil)
 	peer.Handle(server, peerwire.KindConfigurationParts, n.serveParts)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	fabric := memnet.New()
-	listener, err := fabric.Host("n1").Listen("n1:7600")
+	network := memnet.New()
+	listener, err := network.Host("n1").Listen("n1:7600")
 	if err != nil {
 		b.Fatal(err)
 	}
 	go server.Serve(ctx, listener)
-	calm := heapAfterCollection()
+	baseline := heapAfterCollection()
 	for range peers {
-		connection, err := fabric.Host("peer").Dial(ctx, "n1:7600")
+		connection, err := network.Host("peer").Dial(ctx, "n1:7600")
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer connection.Close()
-		question, _ := peerwire.Marshal(request)
-		for call := range asked {
-			if _, err := peerwire.WriteFrame(connection, &peerwire.Envelope{Call: uint64(call + 1), Kind: peerwire.KindConfigurationParts, Body: question}); err != nil {
+		encodedRequest, _ := peerwire.Marshal(request)
+		for call := range requests {
+			if _, err := peerwire.WriteFrame(connection, &peerwire.Envelope{Call: uint64(call + 1), Kind: peerwire.KindConfigurationParts, Body: encodedRequest}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
-	for begun := time.Now(); time.Since(begun) < observationTime; time.Sleep(50 * time.Millisecond) {
-		held = max(held, heapAfterCollection()-calm)
+	for startedAt := time.Now(); time.Since(startedAt) < observationTime; time.Sleep(50 * time.Millisecond) {
+		heldBytes = max(heldBytes, heapAfterCollection()-baseline)
 	}
 	runtime.KeepAlive(n)
-	return body, held
+	return bodyBytes, heldBytes
 }
 
-// watchedTime is less than the time-out of a write.
+// observationTime is shorter than the timeout of a write.
 const observationTime = 1500 * time.Millisecond
 
-// heapAfterCollection returns the bytes of objects that are in use.
+// heapAfterCollection returns the bytes of live heap objects.
 func heapAfterCollection() int64 {
 	runtime.GC()
 	var memory runtime.MemStats
--- a/entry/wire_test.go
+++ b/entry/wire_test.go
@@ -18,16 +18,15 @@
 	"github.com/thornwalk/thornwalk/state/rollouts"
 )
 
-// Nodes of two versions run side by side while machines are replaced one after the other. What the
-// version of the landing before this one sends and stores is recorded in testdata/previous; it is
-// recorded anew from that version's code with
+// Nodes of two versions run side by side while machines are replaced one after the other. The
+// messages and stored values of the previous version are recorded in testdata/previous, by that
+// version's code, with
 //
 //	go test ./entry -run TestRecord -record DIR
 
-var recordFolder = flag.String("record", "", "folder for what this version sends and stores")
+var recordFolder = flag.String("record", "", "folder to record this version's messages and stored values in")
 
-// shared are the messages between nodes and the values in the store that two versions share, by
-// name, empty.
+// sharedMessages creates, by name, empty messages that nodes of two versions exchange.
 var sharedMessages = map[string]func() any{
 	"beat":          func() any { return &liveness.Heartbeat{} },
 	"place-request": func() any { return &assignRequest{} },
@@ -41,13 +40,13 @@
 	"parts-reply":   func() any { return &dissemination.Reply{} },
 }
 
-// stored are the values in the store, which are JSON.
+// storedValues creates, by name, empty values that two versions share in the store, as JSON.
 var storedValues = map[string]func() any{
 	"rollout-record": func() any { return &rollouts.Record{} },
 	"barred":         func() any { return &[]poisonrecords.Record{} },
 }
 
-// fill gives every field that is sent a value other than zero.
+// fill sets every exported field to a value other than zero.
 func fill(value reflect.Value, depth int) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -85,13 +84,14 @@
 	}
 }
 
-// filled returns the value with everything set.
+// filled returns a new value with every exported field set.
 func filled(create func() any) any {
 	value := create()
 	fill(reflect.ValueOf(value).Elem(), 0)
 	return value
 }
 
+// encodeShared encodes the message or stored value as nodes do.
 func encodeShared(name string, value any) ([]byte, error) {
 	if _, isStored := storedValues[name]; isStored {
 		return json.Marshal(value)
@@ -99,6 +99,7 @@
 	return msgpack.Marshal(value)
 }
 
+// decodeShared decodes the message or stored value as nodes do.
 func decodeShared(name string, content []byte, into any) error {
 	if _, isStored := storedValues[name]; isStored {
 		return json.Unmarshal(content, into)
@@ -106,6 +107,7 @@
 	return msgpack.Unmarshal(content, into)
 }
 
+// forEachShared calls test for every message and stored value.
 func forEachShared(test func(name string, create func() any)) {
 	for _, group := range []map[string]func() any{sharedMessages, storedValues} {
 		for name, create := range group {
@@ -114,7 +116,8 @@
 	}
 }
 
-// What is recorded is read again as it was said.
+// Guards against messages and stored values that change by encoding and decoding, and records them
+// if -record is given.
 func TestRecordSharedMessages(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := *recordFolder
@@ -122,8 +125,8 @@
 		folder = t.TempDir()
 	}
 	forEachShared(func(name string, create func() any) {
-		said, read := filled(create), create()
-		content, err := encodeShared(name, said)
+		sent, read := filled(create), create()
+		content, err := encodeShared(name, sent)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
 		path := filepath.Join(folder, name)
 		g.Expect(os.WriteFile(path, content, 0o600)).To(gomega.Succeed())
@@ -136,15 +139,15 @@
 	})
 }
 
-// generic decodes into maps, lists and plain values.
+// decodeGeneric decodes into maps, lists and plain values.
 func decodeGeneric(g *gomega.WithT, name string, content []byte) any {
 	var value any
 	g.Expect(decodeShared(name, content, &value)).To(gomega.Succeed(), name)
 	return value
 }
 
-// lacks names what of the first value the second one does not hold: a field, an element, or the
-// kind of a value. If exact is true, plain values are compared too.
+// wireDifferences returns what the second value lacks of the first or has of another kind. Missing
+// fields and the contents of plain values are compared only if exact is true.
 func wireDifferences(path string, first, second any, exact bool) []string {
 	switch known := first.(type) {
 	case map[string]any:
@@ -152,28 +155,28 @@
 		if !isMap {
 			return []string{fmt.Sprintf("%s: %T in place of a map", path, second)}
 		}
-		var missing []string
+		var differences []string
 		for key, value := range known {
-			found, has := other[key]
-			if !has {
+			found, isPresent := other[key]
+			if !isPresent {
 				if exact {
-					missing = append(missing, path+"/"+key+" is gone")
+					differences = append(differences, path+"/"+key+" is gone")
 				}
 				continue
 			}
-			missing = append(missing, wireDifferences(path+"/"+key, value, found, exact)...)
+			differences = append(differences, wireDifferences(path+"/"+key, value, found, exact)...)
 		}
-		return missing
+		return differences
 	case []any:
 		other, isList := second.([]any)
 		if !isList || len(other) != len(known) {
 			return []string{fmt.Sprintf("%s: %v in place of %d elements", path, second, len(known))}
 		}
-		var missing []string
+		var differences []string
 		for i, value := range known {
-			missing = append(missing, wireDifferences(fmt.Sprint(path, "/", i), value, other[i], exact)...)
+			differences = append(differences, wireDifferences(fmt.Sprint(path, "/", i), value, other[i], exact)...)
 		}
-		return missing
+		return differences
 	}
 	if wireKind(first) != wireKind(second) || exact && fmt.Sprint(first) != fmt.Sprint(second) {
 		return []string{fmt.Sprintf("%s: %v (%T) in place of %v (%T)", path, second, second, first, first)}
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// kindOfWire puts numbers of all widths together, as decoders do.
+// wireKind returns the kind of a value, with integers of all widths as one, as decoders treat them.
 func wireKind(value any) string {
 	switch reflect.ValueOf(value).Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
@@ -191,14 +194,15 @@
 	}
 }
 
+// readPrevious returns the message or stored value recorded by the previous version.
 func readPrevious(g *gomega.WithT, name string) []byte {
 	content, err := os.ReadFile(filepath.Join("testdata", "previous", name))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	return content
 }
 
-// What the version before sent and stored is read whole, and nothing of it is lost when this
-// version passes it on.
+// Guards against fields of the previous version that this version can't read or drops when it
+// forwards a value.
 func TestPreviousVersionMessagesAreDecodedWithoutLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
 	forEachShared(func(name string, create func() any) {
@@ -211,8 +215,8 @@
 	})
 }
 
-// The version before reads what this one says: each field that it knows is of the kind that it was,
-// or left out, and lists by position have the length that they had.
+// Guards against fields of this version that the previous version can't decode because their kind
+// or, in lists by position, their number changed.
 func TestPreviousVersionCanDecodeCurrentMessages(t *testing.T) {
 	g := gomega.NewWithT(t)
 	forEachShared(func(name string, create func() any) {
@@ -222,7 +226,7 @@
 	})
 }
 
-// The check must see a field whose kind changed, one that went and a list that grew.
+// Guards against a comparison that misses a field whose kind changed, a removed field or a longer list.
 func TestDifferencesBetweenVersionsAreDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	known := map[string]any{"a": int8(1), "b": []any{"x"}, "c": "y"}
@@ -231,7 +235,7 @@
 	g.Expect(wireDifferences("", known, map[string]any{"a": int64(1), "b": []any{"x"}}, true)).To(gomega.HaveLen(1))
 }
 
-// Whatever another version sends is read or refused.
+// FuzzSharedMessages checks that any input is either rejected or decoded to a value that can be encoded.
 func FuzzSharedMessages(f *testing.F) {
 	names := make([]string, 0, len(sharedMessages))
 	for name := range sharedMessages {
