--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -34,7 +34,8 @@
 
 // Bounds of the sends of one request.
 const (
-	// maxSends includes sends that a replica rejected and connects that timed out.
+	// maxSends includes rejected sends, connects that failed without being refused, and assignments
+	// that were returned unused.
 	maxSends = 4
 	// maxRefusedConnects bounds refused connects. They are not counted as sends because they
 	// fail within milliseconds and run nothing.
@@ -77,7 +78,7 @@
 		_ = conn.Close()
 		return resultNotSent, admission.Observation{Left: true}
 	}
-	sent, sentAt := time.Now(), node.now()
+	sentTime, sentAt := time.Now(), node.now()
 	sendContext, cancelSend := c.sendContext()
 	defer cancelSend()
 	answer, err := node.pool.Exchange(sendContext, conn, c.replicaRequest(granted.Replica))
@@ -86,7 +87,7 @@
 	}
 	node.noteZone(granted.Replica.Zone, true)
 	node.reportFirstEvent(granted, c.reportedLoad(answer), node.applyPushback(answer, granted.Replica, sentAt))
-	outcome, observed := c.relay(answer, granted.Replica, sent)
+	outcome, observed := c.relay(answer, granted.Replica, sentTime)
 	switch outcome {
 	case resultAnswered, resultRejected, resultServerError:
 		answer.Done()
@@ -96,7 +97,7 @@
 	if observed.FirstEvent > 0 {
 		node.recordDuration("first_event_ms", observed.FirstEvent)
 	}
-	observed.Duration, observed.Stride = time.Since(sent), c.tokensPerEvent()
+	observed.Duration, observed.Stride = time.Since(sentTime), c.tokensPerEvent()
 	observed.Left = outcome == resultCallerLeft || c.ctx.Err() != nil
 	observed.Failed = observed.Failed || outcome != resultAnswered
 	return outcome, observed
--- a/entry/era.go
+++ b/entry/era.go
@@ -12,8 +12,8 @@
 // A store that was restored from a backup has lost the latest writes and assigns their revisions
 // again; each restore raises its era. Operators and replicas write their entries again within the
 // restore window. Until then the store may list replicas that left and lack ones that joined, so
-// nothing it lists overrides newer state, and replicas missing from it become unconfirmed. What
-// nodes wrote to the store, the active scheduler writes again (poison_sync.go, rollout_restore.go).
+// nothing it lists overrides what nodes know, and replicas missing from it become unconfirmed. The
+// active scheduler rewrites the entries that nodes had written (poison_sync.go, rollout_restore.go).
 
 // restoreWindowDuration is the length of the restore window. It covers the expiry of the entry of
 // a replica that left, three heartbeats after the restore, and the delay of watches and pulls.
--- a/entry/node.go
+++ b/entry/node.go
@@ -82,7 +82,7 @@
 	peerListener  net.Listener
 	ctx           context.Context
 	cancel        context.CancelFunc
-	group         sync.WaitGroup
+	loops         sync.WaitGroup
 	servers       []*http.Server
 	// callerServer is the one of the servers that callers use.
 	callerServer *http.Server
@@ -182,10 +182,10 @@
 }
 
 // New returns a node that is not started.
-func New(settings *Settings, depend Dependencies) *Node {
+func New(settings *Settings, dependencies Dependencies) *Node {
 	n := &Node{
-		deps: depend, log: depend.Log, metrics: metrics.NewRegistry(),
-		pool: replicahttp.NewPool(depend.Network), peers: peer.NewClient(depend.Network, nil),
+		deps: dependencies, log: dependencies.Log, metrics: metrics.NewRegistry(),
+		pool: replicahttp.NewPool(dependencies.Network), peers: peer.NewClient(dependencies.Network, nil),
 		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewTracker(), pushback: pushback.NewTracker(), zones: zones.NewTracker(),
 		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, loggedProblems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
 		parts: dissemination.NewPartStore(), sendLimiter: dissemination.NewSendLimiter(settings.LinkMbps),
@@ -242,7 +242,7 @@
 	}
 	n.callerServer = n.servers[0]
 	for _, loop := range []func(){n.watchLoop, n.readLoop, n.heartbeatLoop, n.receiveHeartbeats, n.zoneLoop, n.housekeeping, n.rolloutLoop, n.poisonSyncLoop, n.slowNodeLoop} {
-		n.group.Go(loop)
+		n.loops.Go(loop)
 	}
 	n.log.Write(eventlog.Event{Kind: "process.start", Detail: peerAddress})
 	return nil
--- a/entry/response.go
+++ b/entry/response.go
@@ -22,7 +22,7 @@
 const maxPlainResponseBytes = 8 << 20
 
 // relay forwards the replica's response to the caller.
-func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
+func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sentTime time.Time) (result, admission.Observation) {
 	names := &c.node.deps.Headers
 	notRun := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
@@ -32,7 +32,7 @@
 	case answer.Header.Get(names.Signature) == "" || success && answer.Header.Get("Content-Encoding") != "":
 		return c.recordIncomplete(replica.ID, nil), admission.Observation{}
 	case success && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStreamType):
-		return c.relayStream(answer, replica, sent)
+		return c.relayStream(answer, replica, sentTime)
 	}
 	return c.relayBuffered(answer, replica, success)
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -126,8 +126,8 @@
 	return isCounted || !n.pushback.IsLimited(incarnation)
 }
 
-// newAssignRequest returns the request for an assignment. Tried are the replicas of earlier sends.
-func (c *call) newAssignRequest(tried []string, repeat bool) *assignRequest {
+// newAssignRequest returns the request for an assignment. Tried are the replicas of earlier ones.
+func (c *call) newAssignRequest(tried []string, isRetry bool) *assignRequest {
 	node := c.node
 	node.mutex.Lock()
 	suspected := append(node.health.Failing(node.now()), node.unreachableZoneReplicas()...)
@@ -141,7 +141,7 @@
 			Deadline: c.remaining(),
 			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.maxQueueWait(),
 		},
-		First: len(tried) == 0, Repeat: repeat, Heard: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
+		First: len(tried) == 0, Repeat: isRetry, Heard: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
 	}
 	if c.tenant != nil {
 		request.Tenant = c.tenant.Name
@@ -199,12 +199,12 @@
 
 // maxQueueWait returns how long the request may be queued.
 func (c *call) maxQueueWait() time.Duration {
-	left := c.remaining()
+	remaining := c.remaining()
 	if c.route.Kind == kindStreaming {
 		silence := max(minSilence, silenceTargetLatencies*c.route.TargetLatency, silenceEventGaps*c.route.TargetEventGap)
-		left = min(left, silence-c.age())
+		remaining = min(remaining, silence-c.age())
 	}
-	return max(time.Duration(float64(left)*queueWaitShare), 0)
+	return max(time.Duration(float64(remaining)*queueWaitShare), 0)
 }
 
 // mayRetry reports whether the request may be sent to another replica.
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -28,13 +28,13 @@
 	n.sendHeartbeats()
 	startedAt := n.now()
 	limit := n.settings.Load().stopGrace() - stopMargin
-	isClosed := false
+	keepAlivesClosed := false
 	for n.now()-startedAt < limit {
-		if n.now()-startedAt > balancerUpdateTime && !isClosed {
+		if n.now()-startedAt > balancerUpdateTime && !keepAlivesClosed {
 			n.callerServer.SetKeepAlivesEnabled(false)
-			isClosed = true
+			keepAlivesClosed = true
 		}
-		if isClosed && n.inFlight.Load() == 0 {
+		if keepAlivesClosed && n.inFlight.Load() == 0 {
 			break
 		}
 		time.Sleep(stopPollInterval)
@@ -57,7 +57,7 @@
 	_ = n.peerListener.Close()
 	_ = n.heartbeatConn.Close()
 	n.peers.Close()
-	n.group.Wait()
+	n.loops.Wait()
 }
 
 // stoppingFor returns for how long the node has been stopping, or zero if it is not.
--- a/entry/store_watchers.go
+++ b/entry/store_watchers.go
@@ -66,8 +66,8 @@
 	return n.storeCallRankAmong(liveness.Heartbeats(reaching))
 }
 
-// isIsolated reports whether no other node was heard from within isolationTimeout. The caller holds
-// the mutex.
+// isIsolated reports whether no heartbeat of another node arrived within isolationTimeout. The caller
+// holds the mutex.
 func (n *Node) isIsolated(now structs.Instant) bool { return now-n.lastContactAt > isolationTimeout }
 
 // watchesStore reports whether this node watches the store, for others or because it is isolated.
@@ -153,7 +153,7 @@
 	}
 }
 
-// hasNoContact reports whether no other node was heard from since the start.
+// hasNoContact reports whether no heartbeat of another node arrived since the start.
 func (n *Node) hasNoContact() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -25,12 +25,12 @@
 
 // relayStream forwards complete events as they arrive. The head is sent with the first event, so
 // that a replica that fails before it can be replaced.
-func (c *call) relayStream(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
+func (c *call) relayStream(answer *replicahttp.Answer, replica replicas.Replica, sentTime time.Time) (result, admission.Observation) {
 	var observed admission.Observation
 	var pending []byte
 	buffer := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(c.writer)
-	last := sent
+	last := sentTime
 	for {
 		c.setEventTimeout(answer, observed.Events)
 		count, err := answer.Body.Read(buffer)
@@ -38,7 +38,7 @@
 		complete := completeEventsLength(pending)
 		if complete > 0 {
 			if observed.Events == 0 {
-				observed.FirstEvent = time.Since(sent)
+				observed.FirstEvent = time.Since(sentTime)
 				c.firstEventDelay = observed.FirstEvent
 			} else {
 				c.maxEventGap = max(c.maxEventGap, time.Since(last))
@@ -164,7 +164,7 @@
 	return ""
 }
 
-// isLaterEventID reports whether the ID is greater than the earlier one, or either is no number.
+// isLaterEventID reports whether the ID is greater than the earlier one or either is not a number.
 func isLaterEventID(id, earlier string) bool {
 	a, errID := strconv.ParseInt(id, 10, 64)
 	b, errEarlier := strconv.ParseInt(earlier, 10, 64)
--- a/entry/wire_test.go
+++ b/entry/wire_test.go
@@ -125,17 +125,17 @@
 		folder = t.TempDir()
 	}
 	forEachShared(func(name string, create func() any) {
-		sent, read := filled(create), create()
+		sent, decoded := filled(create), create()
 		content, err := encodeShared(name, sent)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
 		path := filepath.Join(folder, name)
 		g.Expect(os.WriteFile(path, content, 0o600)).To(gomega.Succeed())
 		recorded, err := os.ReadFile(path)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(decodeShared(name, recorded, read)).To(gomega.Succeed(), name)
-		again, err := encodeShared(name, read)
+		g.Expect(decodeShared(name, recorded, decoded)).To(gomega.Succeed(), name)
+		reencoded, err := encodeShared(name, decoded)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
-		g.Expect(again).To(gomega.Equal(content), name)
+		g.Expect(reencoded).To(gomega.Equal(content), name)
 	})
 }
 
@@ -207,11 +207,11 @@
 	g := gomega.NewWithT(t)
 	forEachShared(func(name string, create func() any) {
 		content := readPrevious(g, name)
-		read := create()
-		g.Expect(decodeShared(name, content, read)).To(gomega.Succeed(), name)
-		again, err := encodeShared(name, read)
+		decoded := create()
+		g.Expect(decodeShared(name, content, decoded)).To(gomega.Succeed(), name)
+		reencoded, err := encodeShared(name, decoded)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), name)
-		g.Expect(wireDifferences(name, decodeGeneric(g, name, content), decodeGeneric(g, name, again), true)).To(gomega.BeEmpty())
+		g.Expect(wireDifferences(name, decodeGeneric(g, name, content), decodeGeneric(g, name, reencoded), true)).To(gomega.BeEmpty())
 	})
 }
 
