--- a/entry/freshness_test.go
+++ b/entry/freshness_test.go
@@ -12,8 +12,8 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// freshnessNode is a node that knows configuration 3 and replicas up to revision 7.
-func freshnessNode(rank int) *Node {
+// newFreshnessNode returns a node with the rank, configuration 3 and replicas up to revision 7.
+func newFreshnessNode(rank int) *Node {
 	n := New(&Settings{Name: "n", LinkMbps: 10}, Dependencies{Log: eventlog.New("n", nil)})
 	n.watchRank, n.storeCallRank = rank, rank
 	n.table.Put(replicas.Replica{ID: "r", Service: "s", Position: 7})
@@ -23,23 +23,23 @@
 	return n
 }
 
-// After a cut of a third of the nodes no node that reached the store felt called to read
-// it for three seconds.
-func TestNodeReadsByItselfOnceAllKnowledgeIsOld(t *testing.T) {
+// Guards against nobody reading the store although the state of every node is stale, as happens
+// when the watching nodes are partitioned from the store.
+func TestNodeReadsStoreWhenAllStateIsStale(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(5)
+	n := newFreshnessNode(5)
 	now := 20 * time.Second
-	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty(), "it never heard of a read; its watch loop makes the first")
+	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty(), "no read is known yet: the watch loop makes the first")
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 400, ConfigurationAgeMS: 400})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.BeEmpty())
 	later := now + staleAfter
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.Equal("all"))
-	g.Expect(dueScope(n, later, later-readCheck, 0)).To(gomega.BeEmpty(), "not twice at once")
+	g.Expect(dueScope(n, later, later-readCheckInterval, 0)).To(gomega.BeEmpty(), "readInterval has not passed")
 	n.storeDown = true
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.BeEmpty())
 }
 
-// dueScope returns what the node should read, or nothing.
+// dueScope returns the scope that the node should read, or "" if no read is due.
 func dueScope(n *Node, now, last, transfer time.Duration) string {
 	n.lastContactAt = now
 	scope, due := n.readDue(now, last, transfer)
@@ -49,33 +49,35 @@
 	return scope.String()
 }
 
-// Large configurations were read by all nodes at the same moment, each for itself,
-// while one copy was on its way to them already.
-func TestALongConfigurationIsNotReadByAllAtOnce(t *testing.T) {
+// Guards against all nodes reading a large configuration at once while one copy is already being
+// disseminated.
+func TestLargeConfigurationIsNotReadByAllNodesAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(40)
+	n := newFreshnessNode(40)
 	now := 20 * time.Second
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 0})
-	later := now + staleAfter + probers*staleStep + spreadTime + time.Millisecond
-	g.Expect(dueScope(n, later, 0, time.Second)).To(gomega.Equal("replicas"), "the configuration takes a second")
+	later := now + staleAfter + probingNodes*staleStepPerRank + staleReadJitter + time.Millisecond
+	g.Expect(dueScope(n, later, 0, time.Second)).To(gomega.Equal("replicas"), "the configuration is not stale yet")
 	n.recordFreshness(later, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 0, ConfigurationAgeMS: 9000})
-	last := now + staleAfter + configurationShare*time.Second + probers*longestStaleStep + spreadTime + longestSpread + time.Millisecond
-	g.Expect(dueScope(n, last, 0, time.Second)).To(gomega.Equal("all"), "but nobody else has it either")
-	g.Expect(n.versionLag.ShouldPull(now, 3, 4, 0)).To(gomega.BeTrue(), "it is being fetched")
-	g.Expect(dueScope(n, last, 0, time.Second)).NotTo(gomega.Equal("all"), "a peer is sending it")
+	last := now + staleAfter + configurationReadFactor*time.Second + probingNodes*maxStaleStepPerRank + staleReadJitter + maxConfigurationReadJitter + time.Millisecond
+	g.Expect(dueScope(n, last, 0, time.Second)).To(gomega.Equal("all"), "the configuration is stale")
+	g.Expect(n.versionPull.ShouldPull(now, 3, 4, 0)).To(gomega.BeTrue(), "a pull starts")
+	g.Expect(dueScope(n, last, 0, time.Second)).NotTo(gomega.Equal("all"), "the configuration is being pulled")
 }
 
-func TestNodeBehindInOneKindOfNewsIsFreshInTheOther(t *testing.T) {
+// Guards against a node that lacks a newer configuration treating its replicas as stale too.
+func TestFreshnessOfReplicasAndConfigurationIsSeparate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(5)
+	n := newFreshnessNode(5)
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 7, ReplicasAgeMS: 100, ConfigurationAgeMS: 100})
 	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(100))
 	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
 }
 
-func TestFreshnessOfAPeerThatKnowsMoreIsNotOurs(t *testing.T) {
+// Guards against recording state as fresh that is older than the peer's.
+func TestFreshnessOfPeerWithNewerStateIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(5)
+	n := newFreshnessNode(5)
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 8, ReplicasAgeMS: 0})
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: -1, ConfigurationAgeMS: -1})
 	g.Expect(n.fresh.Known()).To(gomega.BeFalse())
@@ -84,30 +86,31 @@
 	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(250))
 }
 
-func TestTheReaderTakesATenthOfItsLinkForTheConfiguration(t *testing.T) {
+// Guards against reads of the configuration that fill the reading node's link.
+func TestReadingNodeUsesATenthOfItsLinkForConfiguration(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(0)
-	begun := 20 * time.Second
-	n.freshConfiguration.Observe(begun + time.Millisecond) // a read begins after it was found due
-	g.Expect(dueScope(n, begun+readInterval, begun, 0)).To(gomega.Equal("all"))
-	g.Expect(dueScope(n, begun+readInterval, begun, time.Second)).To(gomega.Equal("replicas"))
-	g.Expect(dueScope(n, begun+configurationShare*time.Second, begun, time.Second)).To(gomega.Equal("all"))
+	n := newFreshnessNode(0)
+	start := 20 * time.Second
+	n.freshConfiguration.Observe(start + time.Millisecond) // a read starts after it became due
+	g.Expect(dueScope(n, start+readInterval, start, 0)).To(gomega.Equal("all"))
+	g.Expect(dueScope(n, start+readInterval, start, time.Second)).To(gomega.Equal("replicas"))
+	g.Expect(dueScope(n, start+configurationReadFactor*time.Second, start, time.Second)).To(gomega.Equal("all"))
 }
 
-func TestFirstNodesReadInAnyCase(t *testing.T) {
+// Guards against a silent watch going unnoticed because the reading node takes its state for fresh.
+func TestFirstRankedNodesReadEvenWhenFresh(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(0)
+	n := newFreshnessNode(0)
 	n.fresh.Observe(20 * time.Second)
 	g.Expect(dueScope(n, 20*time.Second, 20*time.Second-readInterval, time.Second)).To(gomega.Equal("all"))
 }
 
-// A node of the version before knows no eras. In a later era its latest revision reads as old news
-// that this node has long had, and its reads would count as this node's own: it would hear of no
-// change until it was replaced.
-func TestFreshnessOfAPeerThatKnowsNoErasIsNotOurs(t *testing.T) {
+// Guards against merging the freshness of a previous-version peer that sends no era: its positions
+// are lower than all of the present era, so this node would never see its own state as stale.
+func TestFreshnessOfPeerWithoutEraIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n := freshnessNode(5)
-	n.era = era{known: true, present: 1}
+	n := newFreshnessNode(5)
+	n.era = era{isKnown: true, present: 1}
 	now := 20 * time.Second
 	n.fresh.Observe(now - staleAfter - time.Second)
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 10, ConfigurationAgeMS: 10})
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -11,26 +11,25 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Names of the runtime's figures. Reading them does not stop the process.
+// Names of the runtime's metrics, which can be read without stopping the process.
 const (
-	heapFigure     = "/memory/classes/heap/objects:bytes"
-	totalFigure    = "/memory/classes/total:bytes"
-	releasedFigure = "/memory/classes/heap/released:bytes"
+	heapMetric     = "/memory/classes/heap/objects:bytes"
+	totalMetric    = "/memory/classes/total:bytes"
+	releasedMetric = "/memory/classes/heap/released:bytes"
 )
 
-// newsToldFrom is how many bytes of news are being sent when a line tells of it: half of
-// the longest reply with parts of the configuration.
-const newsToldFrom = partsBudget / 2
+// minLoggedSendingBytes is the number of update and configuration bytes being sent from which
+// it is logged.
+const minLoggedSendingBytes = maxReplyPartsBytes / 2
 
-// heapInUse returns the bytes of the heap's objects, those included that the collector
-// has yet to find unused.
-func heapInUse() int64 { return runtimeFigure(heapFigure) }
+// heapBytes returns the bytes of heap objects, including those not yet collected.
+func heapBytes() int64 { return runtimeMetric(heapMetric) }
 
-// memoryHeld returns the bytes that the process holds of the machine's memory.
-func memoryHeld() int64 { return runtimeFigure(totalFigure) - runtimeFigure(releasedFigure) }
+// mappedBytes returns the bytes of memory that the process has mapped and not released.
+func mappedBytes() int64 { return runtimeMetric(totalMetric) - runtimeMetric(releasedMetric) }
 
-// runtimeFigure returns a figure of the runtime, or zero if it has none by the name.
-func runtimeFigure(name string) int64 {
+// runtimeMetric returns the value of a runtime metric, or zero if the runtime has none of the name.
+func runtimeMetric(name string) int64 {
 	sample := []runtimemetrics.Sample{{Name: name}}
 	runtimemetrics.Read(sample)
 	if sample[0].Value.Kind() != runtimemetrics.KindUint64 {
@@ -39,28 +38,28 @@
 	return int64(sample[0].Value.Uint64())
 }
 
-// registerMemory enters what the process holds in the node's metrics.
-func (n *Node) registerMemory(server *peer.Server) {
-	n.newsSending = func() int64 {
+// registerMemoryMetrics registers the gauges of memory and of bytes being sent.
+func (n *Node) registerMemoryMetrics(server *peer.Server) {
+	n.sendingBytes = func() int64 {
 		return server.Sending(peerwire.KindNews) + server.Sending(peerwire.KindConfigurationParts)
 	}
 	for name, value := range map[string]func() int64{
-		"memory.heap_bytes": heapInUse, "memory.held_bytes": memoryHeld, "news.sending_bytes": n.newsSending,
+		"memory.heap_bytes": heapBytes, "memory.held_bytes": mappedBytes, "news.sending_bytes": n.sendingBytes,
 	} {
-		// A node registers once, so that no name is taken.
+		// Registration fails only for a name in use, and a node registers once.
 		_ = n.metrics.Register(name, metrics.NewFunctionalGauge(value))
 	}
 }
 
-// tellMemory writes a line while much news is being sent. It is called at each
-// housekeeping, which bounds the lines.
-func (n *Node) tellMemory() {
-	sending := n.newsSending()
-	if sending < newsToldFrom {
+// logSendingMemory logs the memory in use while many bytes are being sent. Housekeeping calls
+// it, which limits the rate of lines.
+func (n *Node) logSendingMemory() {
+	sending := n.sendingBytes()
+	if sending < minLoggedSendingBytes {
 		return
 	}
 	n.log.Write(eventlog.Event{
 		Kind: "news", Outcome: "sending", Count: int(sending),
-		Detail: "heap " + strconv.FormatInt(heapInUse(), 10) + ", held " + strconv.FormatInt(memoryHeld(), 10),
+		Detail: "heap " + strconv.FormatInt(heapBytes(), 10) + ", held " + strconv.FormatInt(mappedBytes(), 10),
 	})
 }
--- a/entry/response.go
+++ b/entry/response.go
@@ -14,79 +14,79 @@
 )
 
 const (
-	catalogStreaming = catalog.KindStreaming
-	catalogSafe      = catalog.KindSafe
+	kindStreaming = catalog.KindStreaming
+	kindSafe      = catalog.KindSafe
 )
 
-// maximumAnswer bounds the answer of a plain service that is held in memory.
-const maximumAnswer = 8 << 20
+// maxPlainResponseBytes bounds a plain service's response, which is buffered in memory.
+const maxPlainResponseBytes = 8 << 20
 
-// relay passes the replica's answer on to the caller.
-func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sent time.Time) (result, admission.Observation) {
+// relay forwards the replica's response to the caller.
+func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sentTime time.Time) (result, admission.Observation) {
 	names := &c.node.deps.Headers
-	proven := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
+	notRun := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	switch {
-	case proven:
-		return c.rejected(answer, replica)
+	case notRun:
+		return c.handleRejection(answer, replica)
 	case answer.Header.Get(names.Signature) == "" || success && answer.Header.Get("Content-Encoding") != "":
-		return c.broken(replica.ID, nil), admission.Observation{}
-	case success && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream):
-		return c.relayStream(answer, replica, sent)
+		return c.recordIncomplete(replica.ID, nil), admission.Observation{}
+	case success && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStreamType):
+		return c.relayStream(answer, replica, sentTime)
 	}
-	return c.relayWhole(answer, replica, success)
+	return c.relayBuffered(answer, replica, success)
 }
 
-// eventStream is the content type of series of events.
-const eventStream = "text/event-stream"
+// eventStreamType is the content type of event streams.
+const eventStreamType = "text/event-stream"
 
-// rejected handles the proof that the replica did not run the request.
-func (c *call) rejected(answer *replicahttp.Answer, replica replicas.Replica) (result, admission.Observation) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maximumStray))
+// handleRejection handles a response that proves that the replica did not run the request.
+func (c *call) handleRejection(answer *replicahttp.Answer, replica replicas.Replica) (result, admission.Observation) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRejectionBytes))
 	if answer.StatusCode == http.StatusMisdirectedRequest {
-		c.node.noteUnreachable(replica.ID)
+		c.node.recordUnreachable(replica.ID)
 	}
 	return resultRejected, admission.Observation{}
 }
 
-// maximumStray bounds what is read of a rejection.
-const maximumStray = 64 << 10
+// maxRejectionBytes bounds what is read of a rejection.
+const maxRejectionBytes = 64 << 10
 
-// relayWhole reads the whole answer before the caller gets any of it, so that
-// one that is cut short is never passed on.
-func (c *call) relayWhole(answer *replicahttp.Answer, replica replicas.Replica, success bool) (result, admission.Observation) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maximumAnswer))
-	if err != nil || len(body) == maximumAnswer {
-		return c.broken(replica.ID, err), admission.Observation{}
+// relayBuffered reads the complete response before sending any of it, so that a truncated
+// response never reaches the caller.
+func (c *call) relayBuffered(answer *replicahttp.Answer, replica replicas.Replica, success bool) (result, admission.Observation) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlainResponseBytes))
+	if err != nil || len(body) == maxPlainResponseBytes {
+		return c.recordIncomplete(replica.ID, err), admission.Observation{}
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
-	c.node.noteAnswered(replica.ID)
+	c.node.recordSuccess(replica.ID)
 	if failed && !c.headSent && c.route.Repeatable() && c.sends+1 < c.route.MaxAttempts && c.ctx.Err() == nil {
-		return resultFailed, admission.Observation{}
+		return resultServerError, admission.Observation{}
 	}
 	if c.headSent {
-		return resultBroken, admission.Observation{}
+		return resultIncomplete, admission.Observation{}
 	}
-	c.copyHead(answer)
+	c.copyHeader(answer)
 	if len(body) > 0 || c.request.Method != http.MethodHead {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	c.headSent = true
 	c.writer.WriteHeader(answer.StatusCode)
 	if _, err := c.writer.Write(body); err != nil {
-		return resultLeft, admission.Observation{}
+		return resultCallerLeft, admission.Observation{}
 	}
-	c.answered(answer.StatusCode, replica.ID)
+	c.recordAnswer(answer.StatusCode, replica.ID)
 	return resultAnswered, admission.Observation{Failed: failed}
 }
 
-// copyHead sets the headers of the replica's answer.
-func (c *call) copyHead(answer *replicahttp.Answer) {
+// copyHeader sets the caller's response headers to those of the replica's.
+func (c *call) copyHeader(answer *replicahttp.Answer) {
 	header := c.writer.Header()
-	for name, values := range passed(answer.Header) {
+	for name, values := range withoutHopByHop(answer.Header) {
 		header[name] = values
 	}
-	if _, given := answer.Header["Content-Type"]; !given {
+	if _, isSet := answer.Header["Content-Type"]; !isSet {
 		header["Content-Type"] = nil
 	}
 	if c.node.stopping.Load() != 0 {
@@ -94,6 +94,7 @@
 	}
 }
 
+// splitList returns the trimmed elements of a comma-separated list.
 func splitList(value string) []string {
 	parts := strings.Split(value, ",")
 	for i, part := range parts {
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -11,19 +11,19 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// apply takes an update of the directory into force. It returns false for one of an era that is
-// over, which tells nothing.
+// apply applies an update of the directory. It returns false, and does nothing, for an update of an
+// earlier era.
 func (n *Node) apply(update *outside.Update) bool {
 	n.mutex.Lock()
-	present := n.checkEra(update.Revision)
+	isCurrent := n.checkEra(update.Revision)
 	n.mutex.Unlock()
-	if !present {
+	if !isCurrent {
 		return false
 	}
-	n.noteProblems(update)
-	emptied := n.applyEvacuations(update) // first: whoever hears of what follows has heard of it
+	n.logProblems(update)
+	evacuationsChanged := n.applyEvacuations(update) // first: no node may learn the rest without the evacuations
 	if update.Catalog != nil {
-		n.offerCatalog(update.Catalog, "store")
+		n.applyCatalog(update.Catalog, "store")
 	}
 	known := structs.StorePosition(0)
 	if !update.Complete || update.FullSnapshot {
@@ -46,24 +46,23 @@
 		n.handleEntryRemoved(gone)
 	}
 	n.table.SetCompleteTo(update.Revision)
-	n.newsAt = n.now()
+	n.updatedAt = n.now()
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
-		n.replicasChanged()
+		n.handleReplicaChange()
 	}
-	if changed || emptied || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
+	if changed || evacuationsChanged || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
 		n.sendHeartbeats()
 	}
 	return true
 }
 
-// toldProblems bounds what did not parse that a node remembers to have told of.
-const toldProblems = 256
+// maxLoggedProblems bounds the problems that are remembered as logged.
+const maxLoggedProblems = 256
 
-// noteProblems tells of entries that did not parse, of each once: complete reads bring them
-// again and again.
-func (n *Node) noteProblems(update *outside.Update) {
+// logProblems logs entries that failed to parse, each once, as every complete read reports them.
+func (n *Node) logProblems(update *outside.Update) {
 	for _, problem := range update.Problems {
 		text := problem.Error()
 		n.mutex.Lock()
@@ -76,30 +75,29 @@
 	}
 }
 
-// isNewProblem returns whether the problem is told for the first time. The caller holds the mutex.
+// isNewProblem reports whether the problem is new, and remembers it. The caller holds the mutex.
 func (n *Node) isNewProblem(text string) bool {
-	known := n.problems[text]
-	if len(n.problems) >= toldProblems {
-		n.problems = map[string]bool{}
+	known := n.loggedProblems[text]
+	if len(n.loggedProblems) >= maxLoggedProblems {
+		n.loggedProblems = map[string]bool{}
 	}
-	n.problems[text] = true
+	n.loggedProblems[text] = true
 	return !known
 }
 
-// applyReplica enters news of a replica and tells of a change. The caller holds the
-// mutex.
+// applyReplica applies an update of a replica and logs a change. The caller holds the mutex.
 func (n *Node) applyReplica(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
 		return
 	}
-	isNewLife := found && !known.IsSameIncarnation(replica)
-	if isNewLife {
+	isNewIncarnation := found && !known.IsSameIncarnation(replica)
+	if isNewIncarnation {
 		n.resolveDisconnects(known)
 		n.health.Reset(replica.ID)
 		n.pool.Forget(replica.ID)
 	}
-	if found && !isNewLife && known.Draining == replica.Draining && known.Address == replica.Address {
+	if found && !isNewIncarnation && known.Draining == replica.Draining && known.Address == replica.Address {
 		return
 	}
 	outcome := "ready"
@@ -109,86 +107,84 @@
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Position.Revision(), Era: replica.Position.Era(), Detail: replica.Address})
 }
 
-// entryReturnTime is how long after trouble of the store a replica whose entry ran
-// out meanwhile may take to write it again: about two heartbeats of replicas. What is
-// still missing then is gone.
-const entryReturnTime = 2300 * time.Millisecond
+// entryRewriteTime is how long after a store outage a replica whose entry expired may take to write
+// it again, about two of its heartbeats. Entries still missing then are removed.
+const entryRewriteTime = 2300 * time.Millisecond
 
-// handleEntryRemoved handles an entry that is gone. While the store is unwell replicas
-// can't renew their entries, so that it proves little; the replica then stays
-// for as long as the store needs to become well and the replica to come back.
+// handleEntryRemoved handles a removed entry. While the store is unhealthy, replicas can't renew
+// their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
 func (n *Node) handleEntryRemoved(gone outside.Gone) {
-	if _, known := n.table.Get(gone.ID); !known {
+	if _, isKnown := n.table.Get(gone.ID); !isKnown {
 		n.table.Remove(n.now(), gone.ID, gone.Revision)
 		return
 	}
-	if n.storeUnwell() {
+	if n.isStoreUnhealthy() {
 		n.table.MarkUnconfirmed(gone.ID)
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Revision.Revision(), Era: gone.Revision.Era(), Age: (n.now() - n.storeFailedAt).Milliseconds()})
 		return
 	}
-	n.remove(gone.ID, gone.Revision)
+	n.removeReplica(gone.ID, gone.Revision)
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Revision.Revision(), Era: gone.Revision.Era()})
 }
 
-// remove takes the replica out of the table. One that did not say that it leaves has ended.
-// The caller holds the mutex.
-func (n *Node) remove(id string, revision structs.StorePosition) {
+// removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
+// deferred disconnects are resolved. The caller holds the mutex.
+func (n *Node) removeReplica(id string, revision structs.StorePosition) {
 	known, found := n.table.Get(id)
 	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
 		n.resolveDisconnects(known)
 	}
 }
 
-// storeUnwell returns whether the store fails, or failed so lately that replicas
-// which lost their entries need not have written them again. If another node followed
-// it without trouble all the while, only this node was cut off from it. The caller
-// holds the mutex.
-func (n *Node) storeUnwell() bool {
+// isStoreUnhealthy reports whether the store fails, or failed so recently that replicas may not have
+// rewritten expired entries. It returns false if a peer watched the store without failures all the
+// time, as then only this node was partitioned from it. The caller holds the mutex.
+func (n *Node) isStoreUnhealthy() bool {
 	now := n.now()
-	if !n.storeDown && now-n.storeFailedAt >= entryReturnTime {
+	if !n.storeDown && now-n.storeFailedAt >= entryRewriteTime {
 		return false
 	}
 	for _, member := range n.members.Live(now) {
-		if n.isOfEarlierEra(member.Heartbeat) {
-			continue // it doesn't know yet that the store came back from a copy
+		if n.isFromEarlierEra(member.Heartbeat) {
+			continue // it does not know yet that the store was restored
 		}
-		if member.StoreHealthyMS >= n.settings.Load().contact().Milliseconds() {
+		if member.StoreHealthyMS >= n.settings.Load().storeRecoveryWindow().Milliseconds() {
 			return false
 		}
 	}
 	return true
 }
 
-// expireReplicas removes the doubted replicas once the store is well for so long that
-// they would have come back.
-func (n *Node) expireReplicas() {
-	var gone []string
+// removeUnconfirmed removes the unconfirmed replicas once the store has been healthy for long enough
+// for them to rewrite their entries.
+func (n *Node) removeUnconfirmed() {
+	var removed []string
 	n.mutex.Lock()
-	if !n.storeUnwell() {
-		gone = n.table.RemoveUnconfirmed(n.now())
+	if !n.isStoreUnhealthy() {
+		removed = n.table.RemoveUnconfirmed(n.now())
 	}
 	n.table.Forget(n.now())
 	n.mutex.Unlock()
-	for _, id := range gone {
+	for _, id := range removed {
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: id, Outcome: "gone", Reason: "doubt-expired"})
 	}
-	if len(gone) > 0 {
-		n.replicasChanged()
+	if len(removed) > 0 {
+		n.handleReplicaChange()
 	}
 }
 
-// replicasChanged tells the desk and drops what belongs to replicas that left.
-func (n *Node) replicasChanged() {
+// handleReplicaChange gives the replicas to the scheduling service and drops the state of those that
+// were removed.
+func (n *Node) handleReplicaChange() {
 	n.mutex.Lock()
 	all := n.table.All()
 	n.health.Forget(func(id string) bool { _, known := n.table.Get(id); return known })
-	n.pushback.Forget(n.now(), func(life pushback.Incarnation) bool {
-		known, found := n.table.Get(life.Replica)
-		return found && pushback.IncarnationOf(known) == life
+	n.pushback.Forget(n.now(), func(incarnation pushback.Incarnation) bool {
+		known, found := n.table.Get(incarnation.Replica)
+		return found && pushback.IncarnationOf(known) == incarnation
 	})
 	n.mutex.Unlock()
-	n.applyPolicies() // first: a replica that the desk knows and no policy gets requests
+	n.applyPolicies() // first: the scheduler assigns requests to a replica without a policy
 	n.scheduling.update(func(scheduler *admission.Scheduler) { scheduler.SetReplicas(n.now(), all) })
 }
