--- a/state/fingerprint/fingerprint.go
+++ b/state/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint recognises a request that comes again: the same caller asks for the
-// same thing by another try, which has an id of its own.
+// Package fingerprint recognises retries: requests in which the same caller asks for the same thing
+// under a new request ID. It keeps no requests.
 package fingerprint
 
 import (
@@ -10,49 +10,49 @@
 	"io"
 )
 
-// length is the bytes that are kept of the digest: nobody finds a second request with the
-// same 128 bits, so that no caller can have another's request taken for its own.
-const length = 16
+// sizeBytes is the size of a fingerprint. 128 bits make it infeasible to construct a request with
+// the fingerprint of another one.
+const sizeBytes = 16
 
-// Fingerprint is equal for requests that ask for the same. The zero value stands for a
-// request that is not known.
-type Fingerprint [length]byte
+// Fingerprint is equal for requests of one caller that ask for the same thing. The zero value stands
+// for an unknown request.
+type Fingerprint [sizeBytes]byte
 
-// Of returns the fingerprint of what the caller asks for. The caller is part of it: what
-// one sends says nothing of the requests of another. Each part is preceded by its length,
-// so that no two lists of parts give the same bytes.
+// Of returns the fingerprint of a request. It includes the caller, so that requests of one caller do
+// not affect those of another. Each part is prefixed with its length, so that moving bytes between
+// adjacent parts changes the result.
 func Of(caller, method, host, target string, body []byte) Fingerprint {
-	digest := sha256.New()
+	hash := sha256.New()
 	for _, part := range []string{caller, method, host, target} {
-		writeLength(digest, len(part))
-		_, _ = io.WriteString(digest, part) // a digest takes all bytes
+		writeLength(hash, len(part))
+		_, _ = io.WriteString(hash, part) // a hash never returns an error
 	}
-	writeLength(digest, len(body))
-	_, _ = digest.Write(body)
+	writeLength(hash, len(body))
+	_, _ = hash.Write(body)
 	var sum Fingerprint
-	copy(sum[:], digest.Sum(nil))
+	copy(sum[:], hash.Sum(nil))
 	return sum
 }
 
-func writeLength(digest io.Writer, length int) {
+func writeLength(hash io.Writer, length int) {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], uint64(length))
-	_, _ = digest.Write(encoded[:])
+	_, _ = hash.Write(encoded[:])
 }
 
-// IsZero returns whether nothing is known of the request.
+// IsZero reports whether the request is unknown.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// String returns the fingerprint in hexadecimal digits, as it stands in logs.
+// String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// MarshalText implements encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler. It returns the text of String.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. After an error the value of f is undefined.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
-	if hex.DecodedLen(len(text)) != length {
-		return fmt.Errorf("fingerprint %.40q: %d hexadecimal digits are needed", text, 2*length)
+	if hex.DecodedLen(len(text)) != sizeBytes {
+		return fmt.Errorf("parse fingerprint %.40q: want %d hexadecimal digits", text, 2*sizeBytes)
 	}
 	_, err := hex.Decode(f[:], text)
 	return err
--- a/state/fingerprint/fingerprint_test.go
+++ b/state/fingerprint/fingerprint_test.go
@@ -6,7 +6,9 @@
 	"github.com/onsi/gomega"
 )
 
-func TestAFingerprintTellsCallerAndContentApart(t *testing.T) {
+// Guards against requests that share a fingerprint although they differ in one part, or only in
+// where one part ends and the next begins.
+func TestFingerprintsDifferByCallerAndContent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	base := Of("office", "POST", "a.example", "/x", []byte("body"))
 	g.Expect(Of("office", "POST", "a.example", "/x", []byte("body"))).To(gomega.Equal(base))
@@ -20,12 +22,13 @@
 	}
 }
 
-func TestAFingerprintSurvivesItsText(t *testing.T) {
+// Guards against texts that are not read back as the same fingerprint, and against invalid texts.
+func TestFingerprintIsReadBackFromItsText(t *testing.T) {
 	g := gomega.NewWithT(t)
-	given := Of("office", "GET", "a.example", "/x", nil)
-	var read Fingerprint
-	g.Expect(read.UnmarshalText([]byte(given.String()))).To(gomega.Succeed())
-	g.Expect(read).To(gomega.Equal(given))
-	g.Expect(read.UnmarshalText([]byte("12"))).To(gomega.MatchError(gomega.ContainSubstring("32 hexadecimal digits")))
-	g.Expect(read.UnmarshalText([]byte("zz0102030405060708090a0b0c0d0e0f"))).NotTo(gomega.Succeed())
+	original := Of("office", "GET", "a.example", "/x", nil)
+	var parsed Fingerprint
+	g.Expect(parsed.UnmarshalText([]byte(original.String()))).To(gomega.Succeed())
+	g.Expect(parsed).To(gomega.Equal(original))
+	g.Expect(parsed.UnmarshalText([]byte("12"))).To(gomega.MatchError(gomega.ContainSubstring("32 hexadecimal digits")))
+	g.Expect(parsed.UnmarshalText([]byte("zz0102030405060708090a0b0c0d0e0f"))).NotTo(gomega.Succeed())
 }
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -1,5 +1,5 @@
-// Package poisonrecords has what is known of requests under which replicas ended: the records that
-// nodes tell each other and keep in the store. How they are judged is up to coordination/poison.
+// Package poisonrecords holds the records of requests under which replicas crashed, as nodes exchange
+// and store them. It does not decide which requests are blocked: coordination/poison does.
 package poisonrecords
 
 import (
@@ -11,43 +11,43 @@
 	"github.com/thornwalk/thornwalk/state/fingerprint"
 )
 
-// Incarnation names one start of a replica.
+// Incarnation identifies one run of a replica between start and end.
 type Incarnation string
 
-// IncarnationOf names the start of the replica that tells when it was born, in Unix milliseconds;
-// zero if it tells none.
-func IncarnationOf(replica string, born int64) Incarnation {
-	return Incarnation(replica + "/" + strconv.FormatInt(born, 36))
+// IncarnationOf returns the incarnation of the replica that started at startedAt, in Unix milliseconds;
+// zero if the replica reports no start.
+func IncarnationOf(replica string, startedAt int64) Incarnation {
+	return Incarnation(replica + "/" + strconv.FormatInt(startedAt, 36))
 }
 
 const (
-	// MaxIncarnations bounds the lives that are remembered of one request: the largest number of
-	// them after which it may be barred.
+	// MaxIncarnations bounds the incarnations in a record, and thereby the crash threshold that can
+	// block a request.
 	MaxIncarnations = 8
-	// MaxTrials is how often a barred request is sent all the same.
+	// MaxTrials bounds the trials of a blocked request.
 	MaxTrials = 2
 )
 
-// Record is what is known of one request. Of two records of a request the one of the later
-// generation holds; of one generation, both together do.
+// Record is the crash history of one request. Of two records of a request, the one with the higher
+// generation replaces the other; records of the same generation are merged.
 type Record struct {
 	Fingerprint fingerprint.Fingerprint `msgpack:"c" json:"content"`
 	Service     string                  `msgpack:"s" json:"service"`
 	Route       string                  `msgpack:"r" json:"route"`
-	// Generation rises each time that the request is cleared.
+	// Generation is the number of times the record was cleared.
 	Generation uint32 `msgpack:"g" json:"generation"`
-	// Incarnations are those that ended under the request in this generation, in order.
+	// Incarnations are those that crashed under the request in this generation, sorted.
 	Incarnations []Incarnation `msgpack:"l" json:"lives,omitempty"`
-	// Trials counts the times that it was sent although it was barred.
+	// Trials is the number of times the request was sent while it was blocked, in this generation.
 	Trials int `msgpack:"t" json:"trials,omitempty"`
-	// Persistent is true if it was barred in this generation or an earlier one: all nodes and the
-	// store keep such a record, and that it was cleared.
+	// Persistent is true if the request was blocked in this generation or an earlier one. Nodes and
+	// the store keep such a record, also after it was cleared.
 	Persistent bool `msgpack:"k" json:"kept,omitempty"`
-	// Age is for how long nothing was learned of it, in milliseconds, as its teller knows.
+	// Age is the time since the last change in milliseconds, as of when the record was sent.
 	Age int64 `msgpack:"a" json:"-"`
 }
 
-// Merge enters what another record of the request tells, and returns whether that is news.
+// Merge merges another record of the same request, and reports whether r changed.
 func (r *Record) Merge(other *Record) bool {
 	switch {
 	case other.Generation < r.Generation:
@@ -58,70 +58,73 @@
 		r.Service, r.Route = cmp.Or(r.Service, other.Service), cmp.Or(r.Route, other.Route)
 		return true
 	}
-	news := other.Trials > r.Trials || other.Persistent && !r.Persistent
+	changed := other.Trials > r.Trials || other.Persistent && !r.Persistent
 	r.Trials, r.Persistent = max(r.Trials, other.Trials), r.Persistent || other.Persistent
-	for _, life := range other.Incarnations {
-		news = r.Add(life) || news
+	for _, incarnation := range other.Incarnations {
+		changed = r.Add(incarnation) || changed
 	}
-	return news
+	return changed
 }
 
-// Add enters the life, and returns whether it is news. Of too many the first in order stay,
-// so that all nodes keep the same ones.
-func (r *Record) Add(life Incarnation) bool {
-	at, found := slices.BinarySearch(r.Incarnations, life)
-	if found || at >= MaxIncarnations {
+// Add adds the incarnation, and reports whether the record changed. Above MaxIncarnations it keeps the
+// first in sort order, so that all nodes keep the same ones.
+func (r *Record) Add(incarnation Incarnation) bool {
+	index, found := slices.BinarySearch(r.Incarnations, incarnation)
+	if found || index >= MaxIncarnations {
 		return false
 	}
-	r.Incarnations = slices.Insert(r.Incarnations, at, life)
+	r.Incarnations = slices.Insert(r.Incarnations, index, incarnation)
 	r.Incarnations = r.Incarnations[:min(len(r.Incarnations), MaxIncarnations)]
 	return true
 }
 
-// Clear begins a new generation.
+// Clear removes the incarnations and trials and starts a new generation.
 func (r *Record) Clear() {
 	r.Generation++
 	r.Incarnations, r.Trials = nil, 0
 }
 
-// ChangeCount rises with each change of the record.
+// ChangeCount never falls. It rises with each change, except when Add replaces an incarnation of a full
+// record; Digest differs then.
 func (r *Record) ChangeCount() int64 {
-	weight := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
+	count := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
 	if r.Persistent {
-		weight++
+		count++
 	}
-	return weight
+	return count
 }
 
-// Digest differs between records that differ.
+// Digest returns a hash of the record without Service, Route and Age.
 func (r *Record) Digest() uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write(r.Fingerprint[:]) // a digest takes all bytes
-	_, _ = sum.Write(strconv.AppendInt(nil, r.ChangeCount(), 36))
-	for _, life := range r.Incarnations {
-		_, _ = sum.Write([]byte(life))
+	hash := fnv.New64a()
+	_, _ = hash.Write(r.Fingerprint[:]) // a hash never returns an error
+	_, _ = hash.Write(strconv.AppendInt(nil, r.ChangeCount(), 36))
+	for _, incarnation := range r.Incarnations {
+		_, _ = hash.Write([]byte(incarnation))
 	}
-	return sum.Sum64()
+	return hash.Sum64()
 }
 
-// Summary tells nodes that know the same apart from others: Weight rises with all that is
-// learned, and Digest differs between records that differ.
+// Summary compares the records of two nodes without sending them. The node with the lower ChangeCount
+// is behind; with equal counts, different digests mean different records.
 type Summary struct {
+	// ChangeCount is the sum of the records' change counts.
 	ChangeCount int64
-	Digest      uint64
+	// Digest is the XOR of the records' digests.
+	Digest uint64
 }
 
-// SummaryOf returns that of the records.
+// SummaryOf returns the summary of the records, whose order does not matter.
 func SummaryOf(records []Record) Summary {
-	var mark Summary
+	var summary Summary
 	for i := range records {
-		mark.Add(&records[i])
+		summary.Add(&records[i])
 	}
-	return mark
+	return summary
 }
 
-// Add counts the record in.
-func (m *Summary) Add(record *Record) {
-	m.ChangeCount += record.ChangeCount()
-	m.Digest ^= record.Digest()
+// Add includes the record in the summary.
+func (s *Summary) Add(record *Record) {
+	s.ChangeCount += record.ChangeCount()
+	s.Digest ^= record.Digest()
 }
--- a/structs/doc.go
+++ b/structs/doc.go
@@ -1,8 +1,6 @@
-// Package structs holds the types that every layer shares: requests, replicas,
-// load reports, plans and outcomes. It has no behaviour beyond small helpers
-// and imports no other package of this module, so that the scheduler, the
-// daemon and the emulator can exchange values without import cycles.
+// Package structs holds the types that every layer of a node (package node), its scheduler and the
+// emulator share: requests, replicas, load reports, plans, outcomes and store positions. It imports
+// no other package of this module, which prevents import cycles.
 //
-// Times inside the decision code are Instants: monotonic time since the
-// process started. They never cross the wire; deadlines do so as durations.
+// Times are Instants: monotonic and local to one process. Only durations are sent between processes.
 package structs
--- a/structs/store_position.go
+++ b/structs/store_position.go
@@ -2,24 +2,23 @@
 
 import "fmt"
 
-// StorePosition is a point in the history of the store: the era, which rises by one each time the store
-// comes back from a copy, and the revision within it. A store that comes back from a copy gives
-// revisions out again, so that a revision alone tells nothing of what came first: ordered by it,
-// all of 30 requests went to a replica that had left three seconds before.
+// StorePosition is a point in the history of the store: an era and a revision within it. The store's
+// era rises by one each time the store is restored from a backup, after which it assigns revisions
+// again that it had assigned before: revisions of different eras are not comparable.
 //
-// Places are ordered as numbers are, the era first. In era zero, that of a store that tells none,
-// a place is its revision; so nodes of versions that know no eras order all places rightly, too.
+// Positions compare as integers, the era first. In era zero, which stores without eras have, a
+// position equals its revision; nodes of versions without eras therefore compare them correctly.
+// The zero value comes before every change and stands for none.
 type StorePosition int64
 
-// revisionBits is the part of a place that holds the revision: 10^12 of them, at 400 writes a
-// second 87 years. Eight million eras are left.
+// revisionBits is the number of low bits that hold the revision; the other 23 hold the era.
 const revisionBits = 40
 
-// NewStorePosition returns the place of the revision in the era. It fails if either is negative or too
-// large.
+// NewStorePosition returns the position of the revision in the era. It fails if one of them is
+// negative or too large.
 func NewStorePosition(era, revision int64) (StorePosition, error) {
 	if era < 0 || era >= 1<<(63-revisionBits) || revision < 0 || revision >= 1<<revisionBits {
-		return 0, fmt.Errorf("era %d, revision %d: not a place in a store's history", era, revision)
+		return 0, fmt.Errorf("build store position: era %d is not in [0, 2^23) or revision %d is not in [0, 2^40)", era, revision)
 	}
 	return StorePosition(era<<revisionBits | revision), nil
 }
@@ -27,32 +26,34 @@
 // Era returns the era.
 func (p StorePosition) Era() int64 { return int64(p) >> revisionBits }
 
-// Revision returns the revision within the era, which the store knows.
+// Revision returns the store's own revision within the era.
 func (p StorePosition) Revision() int64 { return int64(p) & (1<<revisionBits - 1) }
 
-// String returns both for people.
+// String returns the position as "era.revision".
 func (p StorePosition) String() string { return fmt.Sprintf("%d.%d", p.Era(), p.Revision()) }
 
-// RestoreWindow tells of a store that came back from a copy so lately that its writers need not have
-// written again what it lost. Until they have, what it lists may be older than what is known.
+// RestoreWindow describes the time after the store was restored from a backup, until its writers have
+// written again the entries that it lost. In that time the store may list entries that are older than
+// those a node already has. The zero value means that no restore is in progress.
 type RestoreWindow struct {
-	// Base is the era of before, and Era the present one: equal if nothing is restored.
+	// Base is the last era before the restore, Era the present one; both are equal if the store was
+	// not restored.
 	Base, Era int64
-	// Listed is the revision of the first answer of the present era. Up to there an entry may
-	// be of the copy; what has a later revision was written since.
+	// Listed is the revision of the first response in the present era. Entries up to this revision
+	// may come from the backup; later ones were written after the restore.
 	Listed int64
 }
 
-// OrderingPosition returns the place by which an entry is ordered: one that may be of the copy has the
-// place that its revision had before, so that it takes back nothing that came later.
-func (r RestoreWindow) OrderingPosition(p StorePosition) StorePosition {
-	if p.Era() <= r.Base || p.Era() > r.Era || p.Revision() > r.Listed {
+// OrderingPosition returns the position by which an entry is ordered. An entry that may come from the
+// backup is ordered by its revision in the base era, so that it does not replace a later change.
+func (w RestoreWindow) OrderingPosition(p StorePosition) StorePosition {
+	if p.Era() <= w.Base || p.Era() > w.Era || p.Revision() > w.Listed {
 		return p
 	}
-	return StorePosition(r.Base<<revisionBits | p.Revision())
+	return StorePosition(w.Base<<revisionBits | p.Revision())
 }
 
-// IsBefore returns whether the first place comes before the second.
-func (r RestoreWindow) IsBefore(first, second StorePosition) bool {
-	return r.OrderingPosition(first) < r.OrderingPosition(second)
+// IsBefore reports whether the first position is ordered before the second, by OrderingPosition.
+func (w RestoreWindow) IsBefore(first, second StorePosition) bool {
+	return w.OrderingPosition(first) < w.OrderingPosition(second)
 }
