--- a/state/evacuations/evacuations.go
+++ b/state/evacuations/evacuations.go
@@ -1,9 +1,9 @@
-// Package evacuations is a node's view of the zones that the operators have emptied: nothing is
-// to be sent to the replicas of such a zone until it is taken back. It is a passive table without
-// I/O or clock: news comes from the platform's store and from peers.
+// Package evacuations is a node's table of the zones that operators evacuated: the replicas of such a
+// zone get no requests until the order is lifted. It has no I/O and no clock; callers apply updates
+// from the platform's store and from peers.
 //
-// Guarantee: of two orders for a zone the one with the later place in the store's history holds,
-// whatever older news arrives later.
+// Guarantee: of two orders for a zone, the one with the later store position is active, in whichever
+// sequence they arrive.
 package evacuations
 
 import (
@@ -13,101 +13,101 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Order empties a zone or takes it back.
+// Order evacuates a zone, or lifts its evacuation.
 type Order struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Zone string `json:"zone"`
-	// Position is that of the order in the store's history.
+	// Position is the store position of the order.
 	Position structs.StorePosition `json:"place"`
-	// Lifted is true if the zone may be sent to again.
+	// Lifted is true if the zone may get requests again.
 	Lifted bool `json:"lifted"`
 }
 
-// MaxZones bounds the zones that a table knows. Orders for more are false input: a platform has
-// some ten zones.
+// MaxZones bounds the zones in a table, so that invalid orders can't make it grow without bound.
 const MaxZones = 64
 
-// Table is the set of known orders, the latest of each zone.
+// Table holds the latest order of each zone. It is not safe for concurrent use.
 type Table struct {
 	orders map[string]Order
-	// restored is set while the store has just come back from a copy.
-	restored structs.RestoreWindow
+	// restoreWindow is the zero value unless the store was restored recently.
+	restoreWindow structs.RestoreWindow
 }
 
-// NewTable returns a table that knows no order.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{orders: map[string]Order{}} }
 
-// SetRestoreWindow tells that the store came back from a copy: what it lists takes back no order that
-// came later. It ends with the zero value.
-func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
+// SetRestoreWindow sets by which restore window orders are compared. While it is set, entries from the
+// backup do not replace later orders. The zero value ends it.
+func (t *Table) SetRestoreWindow(window structs.RestoreWindow) { t.restoreWindow = window }
 
-// Put applies an order and returns whether the zone is emptied or taken back by it.
+// Put applies an order, and reports whether it changed whether the zone is evacuated. It ignores an
+// order that is not later than the zone's present one, and one for a new zone in a full table.
 func (t *Table) Put(order Order) bool {
-	known, found := t.orders[order.Zone]
-	if found && !t.restored.IsBefore(known.Position, order.Position) {
+	current, found := t.orders[order.Zone]
+	if found && !t.restoreWindow.IsBefore(current.Position, order.Position) {
 		return false
 	}
-	if !found && !t.makeRoom(order) {
+	if !found && !t.ensureCapacity(order) {
 		return false
 	}
 	t.orders[order.Zone] = order
-	return known.isInForce() != order.isInForce()
+	return current.isActive() != order.isActive()
 }
 
-// makeRoom returns whether one more zone may be known. A zone that was taken back longest ago
-// gives way to one that is emptied.
-func (t *Table) makeRoom(order Order) bool {
+// ensureCapacity reports whether the order of a new zone fits into the table. If the table is full, it
+// makes space for an evacuation by removing the oldest lifted order.
+func (t *Table) ensureCapacity(order Order) bool {
 	if len(t.orders) < MaxZones {
 		return true
 	}
 	if order.Lifted {
 		return false
 	}
-	for _, known := range t.All() {
-		if known.Lifted {
-			delete(t.orders, known.Zone)
+	for _, existing := range t.All() {
+		if existing.Lifted {
+			delete(t.orders, existing.Zone)
 			return true
 		}
 	}
 	return false
 }
 
-// isInForce returns whether the order keeps its zone empty.
-func (o *Order) isInForce() bool { return o.Zone != "" && !o.Lifted }
+// isActive reports whether the order evacuates its zone. The zero value does not.
+func (o *Order) isActive() bool { return o.Zone != "" && !o.Lifted }
 
-// LiftsForUnlisted returns the orders by which the zones are taken back that a complete list as of the
-// place does not name.
-func (t *Table) LiftsForUnlisted(listed []Order, place structs.StorePosition) []Order {
+// LiftsForUnlisted returns orders that lift the evacuations missing from listed, a complete list of the
+// store's orders as of the position. It does not apply them.
+func (t *Table) LiftsForUnlisted(listed []Order, position structs.StorePosition) []Order {
 	var lifts []Order
-	for _, known := range t.All() {
-		isListed := slices.ContainsFunc(listed, func(order Order) bool { return order.Zone == known.Zone })
-		if known.isInForce() && !isListed && t.restored.IsBefore(known.Position, place) {
-			lifts = append(lifts, Order{Zone: known.Zone, Position: place, Lifted: true})
+	for _, existing := range t.All() {
+		isListed := slices.ContainsFunc(listed, func(order Order) bool { return order.Zone == existing.Zone })
+		if existing.isActive() && !isListed && t.restoreWindow.IsBefore(existing.Position, position) {
+			lifts = append(lifts, Order{Zone: existing.Zone, Position: position, Lifted: true})
 		}
 	}
 	return lifts
 }
 
-// IsEvacuated returns whether nothing is to be sent to the zone.
+// IsEvacuated reports whether the zone is evacuated.
 func (t *Table) IsEvacuated(zone string) bool {
 	order := t.orders[zone]
-	return order.isInForce()
+	return order.isActive()
 }
 
-// EvacuatedZones returns the zones that nothing is to be sent to.
+// EvacuatedZones returns the names of the evacuated zones.
 func (t *Table) EvacuatedZones() map[string]bool {
 	zones := map[string]bool{}
 	for zone, order := range t.orders {
-		if order.isInForce() {
+		if order.isActive() {
 			zones[zone] = true
 		}
 	}
 	return zones
 }
 
-// All returns the latest order of each zone, the oldest first.
+// All returns the latest order of each zone, lifts included, sorted by position.
 func (t *Table) All() []Order {
 	orders := make([]Order, 0, len(t.orders))
 	for _, order := range t.orders {
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -1,6 +1,6 @@
-// Package pushback holds what replicas say in their answers to hold requests back: that they
-// leave, the rate that they take from all nodes together, and the time for which one node is to
-// send them nothing. It does no I/O and reads no clock.
+// Package pushback tracks the signals by which replicas limit their load, which they send in responses:
+// that they are leaving, a rate limit over all nodes, and a pause for the node that got the response.
+// It has no I/O and no clock, and does not enforce the signals.
 package pushback
 
 import (
@@ -10,252 +10,256 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// LimitState tells whether a replica names a rate limit.
+// LimitState is whether a replica has a rate limit.
 type LimitState int
 
-// The states of a limit.
 const (
-	// LimitUnknown means that nothing was said, or nothing that can be read.
+	// LimitUnknown means that the replica sent no limit, or an unreadable one.
 	LimitUnknown LimitState = iota
-	// LimitNone means that the replica takes any rate.
+	// LimitNone means that the replica has no limit.
 	LimitNone
-	// LimitSet means that it takes PerSecond.
+	// LimitSet means that the replica accepts Limit.PerSecond.
 	LimitSet
 )
 
-// Limit is the rate that a replica takes from all nodes together.
+// Limit is the rate that a replica accepts from all nodes together.
 type Limit struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	State LimitState
-	// PerSecond is in requests a second.
+	// PerSecond is in requests per second; it counts only with LimitSet.
 	PerSecond float64
 }
 
-// Signals is what one answer says. The zero value says nothing.
+// Signals are the pushback signals of one response. The zero value means that there were none.
 type Signals struct {
-	// Leaving is true if the replica takes no new requests until it ends.
+	// Leaving is true if the replica accepts no new requests until it ends.
 	Leaving bool
 	Limit   Limit
-	// Pause is for how long the node that got the answer is to send nothing.
+	// Pause is the time during which the node that got the response is to send no request.
 	Pause time.Duration
 }
 
-// TimedLimit is a limit with the instant as of which it holds.
+// TimedLimit is a limit and the instant since which it applies.
 type TimedLimit struct {
 	Limit Limit
 	AsOf  structs.Instant
 }
 
-// Update takes the limit over if it is later than the one that is held, and returns whether it is
-// another one. What was never named does not end.
-func (k *TimedLimit) Update(limit Limit, asOf structs.Instant) bool {
-	isFirst := k.Limit.State == LimitUnknown
-	if limit.State == LimitUnknown || isFirst && limit.State == LimitNone || !isFirst && asOf <= k.AsOf {
+// Update replaces the limit by a later one, and reports whether its value changed. It ignores
+// LimitUnknown, and LimitNone as the first limit.
+func (l *TimedLimit) Update(limit Limit, asOf structs.Instant) bool {
+	isFirst := l.Limit.State == LimitUnknown
+	if limit.State == LimitUnknown || isFirst && limit.State == LimitNone || !isFirst && asOf <= l.AsOf {
 		return false
 	}
-	before := k.Limit
-	k.Limit, k.AsOf = limit, asOf
+	before := l.Limit
+	l.Limit, l.AsOf = limit, asOf
 	return limit != before
 }
 
-// IsSet returns whether there is a limit.
-func (k *TimedLimit) IsSet() bool { return k.Limit.State == LimitSet }
+// IsSet reports whether the replica has a limit.
+func (l *TimedLimit) IsSet() bool { return l.Limit.State == LimitSet }
 
-// Incarnation is one start of a replica. One that starts again under its id says nothing of what it said
-// before.
+// Incarnation is one run of a replica between start and end. Signals apply only to the incarnation that
+// sent them.
 type Incarnation struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
+	// Replica is the replica's ID.
 	Replica string
-	// Born is when it started, in Unix milliseconds by its own clock; zero if it tells none.
+	// Born is when the replica started, in Unix milliseconds by its own clock; zero if it reports none.
 	Born int64
 }
 
-// IncarnationOf returns the life of the replica as it is listed.
+// IncarnationOf returns the incarnation of the replica.
 func IncarnationOf(replica replicas.Replica) Incarnation {
 	return Incarnation{Replica: replica.ID, Born: replica.StartedAt}
 }
 
-// Report is what a node tells another one of a replica.
+// Report is a replica's pushback as one node reports it to another.
 type Report struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Life Incarnation
-	// Limit is of so long ago.
+	// Limit applies since Age before the report was sent.
 	Limit Limit
 	Age   time.Duration
-	// Leaving is true if the replica takes no new requests.
+	// Leaving is true if the replica accepts no new requests.
 	Leaving bool
-	// Pause is for how long the node that tells of it sends nothing.
+	// Pause is the remaining time during which the reporting node sends no request.
 	Pause time.Duration
 }
 
-// ReportOf returns what is known of the replica's limit.
-func (k *TimedLimit) ReportOf(now structs.Instant, life Incarnation) Report {
-	return Report{Life: life, Limit: k.Limit, Age: now - k.AsOf}
+// ReportOf returns a report of the limit alone.
+func (l *TimedLimit) ReportOf(now structs.Instant, incarnation Incarnation) Report {
+	return Report{Life: incarnation, Limit: l.Limit, Age: now - l.AsOf}
 }
 
-// record is what one replica said to this node.
-type record struct {
+// replicaState is the pushback of one incarnation.
+type replicaState struct {
 	leaving     bool
 	limit       TimedLimit
 	pausedUntil structs.Instant
-	// isOnTrial is true from a pause on until an answer asks for none; one request at a time, the
-	// last at triedAt, then finds out.
-	isOnTrial bool
-	triedAt   structs.Instant
-	heardAt   structs.Instant
+	// isProbing is true from the start of a pause until a later response asks for none. Once the
+	// pause is over, one request at a time is sent as a probe, the last one at probedAt.
+	isProbing bool
+	probedAt  structs.Instant
+	updatedAt structs.Instant
 }
 
-// pauseLeft returns for how long nothing is to be sent.
-func (r *record) pauseLeft(now structs.Instant) time.Duration {
-	until := r.pausedUntil
-	if r.isOnTrial && r.triedAt >= until {
-		until = r.triedAt + trialTime
+// pauseLeft returns the time until a request may be sent: the rest of the pause or of a probe.
+func (s *replicaState) pauseLeft(now structs.Instant) time.Duration {
+	until := s.pausedUntil
+	if s.isProbing && s.probedAt >= until {
+		until = s.probedAt + probeTimeout
 	}
 	return max(until-now, 0)
 }
 
-// trialTime is how long the answer to a request on trial is waited for before the next one.
-const trialTime = time.Second
+// probeTimeout is the time after which a probe without a response is followed by another one.
+const probeTimeout = time.Second
 
-// Tracker is what replicas said to one node. It is not safe for concurrent use.
+// Tracker holds the pushback of replicas as one node received it. It is not safe for concurrent use.
 type Tracker struct {
-	records map[Incarnation]*record
+	states map[Incarnation]*replicaState
 }
 
-// NewTracker returns an empty book.
-func NewTracker() *Tracker { return &Tracker{records: map[Incarnation]*record{}} }
+// NewTracker returns an empty tracker.
+func NewTracker() *Tracker { return &Tracker{states: map[Incarnation]*replicaState{}} }
 
-// Change is what an answer changed of what the book holds of a replica.
+// Change is what a response changed.
 type Change struct {
-	// StartedLeaving is true if the replica says for the first time that it leaves.
+	// StartedLeaving is true if this is the first response of the incarnation with Leaving.
 	StartedLeaving bool
-	// LimitChanged is true if the limit is another one than before, or ended.
+	// LimitChanged is true if the limit has another value than before, or ended.
 	LimitChanged bool
-	// PauseRequested is true if the replica asks for a pause.
+	// PauseRequested is true if the response asks for a pause.
 	PauseRequested bool
 }
 
-// Observe enters what an answer says that arrived now to a request sent at the given instant. An
-// answer without a limit ends one only if its request was sent after that was heard: answers
-// overtake each other.
-func (b *Tracker) Observe(now, sent structs.Instant, life Incarnation, said Signals) Change {
-	held := b.records[life]
-	if held == nil {
-		if !said.Leaving && said.Pause <= 0 && said.Limit.State != LimitSet {
+// Observe applies the signals of a response that arrives now to a request sent at the given instant.
+// Responses may overtake each other: one without a limit ends a limit only if its request was sent
+// after the limit was received.
+func (t *Tracker) Observe(now, sent structs.Instant, incarnation Incarnation, signals Signals) Change {
+	state := t.states[incarnation]
+	if state == nil {
+		if !signals.Leaving && signals.Pause <= 0 && signals.Limit.State != LimitSet {
 			return Change{}
 		}
-		held = &record{}
-		b.records[life] = held
+		state = &replicaState{}
+		t.states[incarnation] = state
 	}
-	held.heardAt = now
-	change := Change{StartedLeaving: said.Leaving && !held.leaving, PauseRequested: said.Pause > 0}
-	held.leaving = held.leaving || said.Leaving
-	held.hearPause(now, sent, said)
+	state.updatedAt = now
+	change := Change{StartedLeaving: signals.Leaving && !state.leaving, PauseRequested: signals.Pause > 0}
+	state.leaving = state.leaving || signals.Leaving
+	state.updatePause(now, sent, signals)
 	asOf := now
-	if said.Limit.State == LimitNone {
+	if signals.Limit.State == LimitNone {
 		asOf = sent
 	}
-	change.LimitChanged = held.limit.Update(said.Limit, asOf)
+	change.LimitChanged = state.limit.Update(signals.Limit, asOf)
 	return change
 }
 
-// hearPause begins or ends a pause. Answers to requests that were sent before its end say nothing of
-// what comes after.
-func (r *record) hearPause(now, sent structs.Instant, said Signals) {
+// updatePause starts or extends a pause, or ends its probing. Responses without any signal, and those to
+// requests sent before the end of the pause, do not end it.
+func (s *replicaState) updatePause(now, sent structs.Instant, signals Signals) {
 	switch {
-	case said.Pause > 0:
-		r.pausedUntil, r.isOnTrial = max(r.pausedUntil, now+said.Pause), true
-	case sent >= r.pausedUntil && said != (Signals{}):
-		r.isOnTrial = false
+	case signals.Pause > 0:
+		s.pausedUntil, s.isProbing = max(s.pausedUntil, now+signals.Pause), true
+	case sent >= s.pausedUntil && signals != (Signals{}):
+		s.isProbing = false
 	}
 }
 
-// PauseLeft returns for how long this node is to send nothing to the replica.
-func (b *Tracker) PauseLeft(now structs.Instant, life Incarnation) time.Duration {
-	held := b.records[life]
-	if held == nil {
+// PauseLeft returns the time during which this node is to send no request to the replica.
+func (t *Tracker) PauseLeft(now structs.Instant, incarnation Incarnation) time.Duration {
+	state := t.states[incarnation]
+	if state == nil {
 		return 0
 	}
-	return held.pauseLeft(now)
+	return state.pauseLeft(now)
 }
 
-// Sent enters that a request is sent to the replica. After a pause it is the only one for a while, so
-// that not all that were held back come at once.
-func (b *Tracker) Sent(now structs.Instant, life Incarnation) {
-	if held := b.records[life]; held != nil && held.isOnTrial {
-		held.triedAt = now
+// Sent records that a request was sent to the replica. After a pause, PauseLeft then holds back others
+// until the response or a timeout, so that the pending requests are not sent all at once.
+func (t *Tracker) Sent(now structs.Instant, incarnation Incarnation) {
+	if state := t.states[incarnation]; state != nil && state.isProbing {
+		state.probedAt = now
 	}
 }
 
-// MergeLimit enters what another node knows of a replica's limit.
-func (b *Tracker) MergeLimit(now structs.Instant, note Report) {
-	held := b.records[note.Life]
-	if held == nil {
-		if note.Limit.State != LimitSet {
+// MergeLimit merges the limit of another node's report; it ignores Leaving and Pause.
+func (t *Tracker) MergeLimit(now structs.Instant, report Report) {
+	state := t.states[report.Life]
+	if state == nil {
+		if report.Limit.State != LimitSet {
 			return
 		}
-		held = &record{}
-		b.records[note.Life] = held
+		state = &replicaState{}
+		t.states[report.Life] = state
 	}
-	held.heardAt = now
-	held.limit.Update(note.Limit, now-note.Age)
+	state.updatedAt = now
+	state.limit.Update(report.Limit, now-report.Age)
 }
 
-// IsLimited returns whether the replica names a limit.
-func (b *Tracker) IsLimited(life Incarnation) bool {
-	held := b.records[life]
-	return held != nil && held.limit.IsSet()
+// IsLimited reports whether the replica has a limit.
+func (t *Tracker) IsLimited(incarnation Incarnation) bool {
+	state := t.states[incarnation]
+	return state != nil && state.limit.IsSet()
 }
 
-// IsLeaving returns whether the replica said that it leaves.
-func (b *Tracker) IsLeaving(life Incarnation) bool {
-	held := b.records[life]
-	return held != nil && held.leaving
+// IsLeaving reports whether the replica signalled that it is leaving.
+func (t *Tracker) IsLeaving(incarnation Incarnation) bool {
+	state := t.states[incarnation]
+	return state != nil && state.leaving
 }
 
-// Reports returns what the node that schedules has to know of those replicas that are picked.
-func (b *Tracker) Reports(now structs.Instant, picks func(life Incarnation) bool) []Report {
-	var notes []Report
-	for life, held := range b.records {
-		if !held.isWorthTelling(now) || !picks(life) {
+// Reports returns reports for the scheduling node of the incarnations for which include is true, in no
+// order and at most maxReports.
+func (t *Tracker) Reports(now structs.Instant, include func(incarnation Incarnation) bool) []Report {
+	var reports []Report
+	for incarnation, state := range t.states {
+		if !state.needsReport(now) || !include(incarnation) {
 			continue
 		}
-		note := held.limit.ReportOf(now, life)
-		note.Leaving, note.Pause = held.leaving, held.pauseLeft(now)
-		if notes = append(notes, note); len(notes) == mostNotes {
+		report := state.limit.ReportOf(now, incarnation)
+		report.Leaving, report.Pause = state.leaving, state.pauseLeft(now)
+		if reports = append(reports, report); len(reports) == maxReports {
 			break
 		}
 	}
-	return notes
+	return reports
 }
 
-// mostNotes bounds what is told with one request. Places that are given for want of the rest go back.
-const mostNotes = 64
+// maxReports bounds the reports sent with one request. Without the others the scheduling node may grant
+// a slot that this node can't use and returns.
+const maxReports = 64
 
-// isWorthTelling returns whether the record holds requests back, or did until lately: the end of a
-// limit is told for as long as another node may take it for valid.
-func (r *record) isWorthTelling(now structs.Instant) bool {
-	return r.leaving || r.pauseLeft(now) > 0 || r.limit.IsSet() || r.limit.Limit.State == LimitNone && now-r.limit.AsOf < endToldFor
+// needsReport reports whether the replica limits its load, or ended a limit within
+// limitEndReportPeriod.
+func (s *replicaState) needsReport(now structs.Instant) bool {
+	return s.leaving || s.pauseLeft(now) > 0 || s.limit.IsSet() || s.limit.Limit.State == LimitNone && now-s.limit.AsOf < limitEndReportPeriod
 }
 
-// endToldFor is how long the end of a limit is told.
-const endToldFor = 30 * time.Second
+// limitEndReportPeriod is how long the end of a limit is reported, as other nodes may still have the
+// limit.
+const limitEndReportPeriod = 30 * time.Second
 
-// memory is how long the book holds what a replica said that is no longer known. An entry that
-// lapsed while the store was away comes back, and what left does not.
-const memory = 10 * time.Minute
+// retention is how long the state of an unknown incarnation is kept after its last update: its entry
+// may have expired during a store outage and be written again.
+const retention = 10 * time.Minute
 
-// Forget drops replicas that are no longer known, some time after they last said anything.
-func (b *Tracker) Forget(now structs.Instant, isKnown func(life Incarnation) bool) {
-	for life, held := range b.records {
-		if now-held.heardAt > memory && !isKnown(life) {
-			delete(b.records, life)
+// Forget removes the incarnations for which isKnown is false, once their last update is older than the
+// retention.
+func (t *Tracker) Forget(now structs.Instant, isKnown func(incarnation Incarnation) bool) {
+	for incarnation, state := range t.states {
+		if now-state.updatedAt > retention && !isKnown(incarnation) {
+			delete(t.states, incarnation)
 		}
 	}
 }
--- a/state/pushback/pushback_test.go
+++ b/state/pushback/pushback_test.go
@@ -8,65 +8,66 @@
 )
 
 var (
-	life       = Incarnation{Replica: "r", Born: 1}
-	none       = Signals{Limit: Limit{State: LimitNone}}
-	oneASecond = Signals{Limit: Limit{State: LimitSet, PerSecond: 1}}
+	testIncarnation = Incarnation{Replica: "r", Born: 1}
+	noLimit         = Signals{Limit: Limit{State: LimitNone}}
+	onePerSecond    = Signals{Limit: Limit{State: LimitSet, PerSecond: 1}}
 )
 
-// Answers overtake each other: one to a request that was sent before the limit was heard says
-// nothing of it.
-func TestOnlyALaterAnswerEndsALimit(t *testing.T) {
+// Guards against a limit that is ended by a response to a request sent before the limit was received.
+func TestOnlyALaterResponseEndsALimit(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewTracker()
-	g.Expect(b.Observe(1*time.Second, 0, life, none)).To(gomega.BeZero())
-	g.Expect(b.records).To(gomega.BeEmpty(), "nothing is kept of a replica that says nothing")
-	g.Expect(b.Observe(2*time.Second, 1*time.Second, life, oneASecond).LimitChanged).To(gomega.BeTrue())
-	g.Expect(b.Observe(3*time.Second, 1*time.Second, life, none).LimitChanged).To(gomega.BeFalse())
-	g.Expect(b.Observe(4*time.Second, 3*time.Second, life, oneASecond).LimitChanged).To(gomega.BeFalse(), "the same")
-	g.Expect(b.Observe(6*time.Second, 5*time.Second, life, Signals{}).LimitChanged).To(gomega.BeFalse(), "unreadable")
-	g.Expect(b.Observe(7*time.Second, 6*time.Second, life, none).LimitChanged).To(gomega.BeTrue())
-	g.Expect(b.Observe(9*time.Second, 8*time.Second, life, none).LimitChanged).To(gomega.BeFalse())
+	tracker := NewTracker()
+	g.Expect(tracker.Observe(1*time.Second, 0, testIncarnation, noLimit)).To(gomega.BeZero())
+	g.Expect(tracker.states).To(gomega.BeEmpty(), "replicas without signals have no state")
+	g.Expect(tracker.Observe(2*time.Second, 1*time.Second, testIncarnation, onePerSecond).LimitChanged).To(gomega.BeTrue())
+	g.Expect(tracker.Observe(3*time.Second, 1*time.Second, testIncarnation, noLimit).LimitChanged).To(gomega.BeFalse())
+	g.Expect(tracker.Observe(4*time.Second, 3*time.Second, testIncarnation, onePerSecond).LimitChanged).To(gomega.BeFalse(), "the same limit")
+	g.Expect(tracker.Observe(6*time.Second, 5*time.Second, testIncarnation, Signals{}).LimitChanged).To(gomega.BeFalse(), "unreadable")
+	g.Expect(tracker.Observe(7*time.Second, 6*time.Second, testIncarnation, noLimit).LimitChanged).To(gomega.BeTrue())
+	g.Expect(tracker.Observe(9*time.Second, 8*time.Second, testIncarnation, noLimit).LimitChanged).To(gomega.BeFalse())
 }
 
-func TestAReplicaThatLeftOnceLeavesUntilItStartsAgain(t *testing.T) {
+// Guards against a leaving replica that gets requests again before it has started anew.
+func TestLeavingIsKeptForOneIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewTracker()
+	tracker := NewTracker()
 	leaving := Signals{Leaving: true}
-	g.Expect(b.Observe(time.Second, 0, life, leaving).StartedLeaving).To(gomega.BeTrue())
-	g.Expect(b.Observe(2*time.Second, 0, life, leaving).StartedLeaving).To(gomega.BeFalse())
-	g.Expect(b.Observe(3*time.Second, 2*time.Second, life, none).StartedLeaving).To(gomega.BeFalse())
-	g.Expect(b.IsLeaving(life)).To(gomega.BeTrue())
-	g.Expect(b.IsLeaving(Incarnation{Replica: life.Replica, Born: 2})).To(gomega.BeFalse())
+	g.Expect(tracker.Observe(time.Second, 0, testIncarnation, leaving).StartedLeaving).To(gomega.BeTrue())
+	g.Expect(tracker.Observe(2*time.Second, 0, testIncarnation, leaving).StartedLeaving).To(gomega.BeFalse())
+	g.Expect(tracker.Observe(3*time.Second, 2*time.Second, testIncarnation, noLimit).StartedLeaving).To(gomega.BeFalse())
+	g.Expect(tracker.IsLeaving(testIncarnation)).To(gomega.BeTrue())
+	g.Expect(tracker.IsLeaving(Incarnation{Replica: testIncarnation.Replica, Born: 2})).To(gomega.BeFalse())
 }
 
-// An entry that lapsed while the store was away may come back.
-func TestWhatAReplicaSaidOutlivesItsEntryForAWhile(t *testing.T) {
+// Guards against signals that are lost while a replica's entry is missing because of a store outage.
+func TestSignalsOutliveTheEntryForTheRetention(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewTracker()
-	b.Observe(time.Second, 0, life, Signals{Leaving: true})
-	b.Observe(time.Second, 0, Incarnation{Replica: "known"}, Signals{Leaving: true})
-	isKnown := func(life Incarnation) bool { return life.Replica == "known" }
-	b.Forget(memory, isKnown)
-	g.Expect(b.records).To(gomega.HaveLen(2))
-	b.Forget(memory+2*time.Second, isKnown)
-	g.Expect(b.records).To(gomega.HaveLen(1))
+	tracker := NewTracker()
+	tracker.Observe(time.Second, 0, testIncarnation, Signals{Leaving: true})
+	tracker.Observe(time.Second, 0, Incarnation{Replica: "known"}, Signals{Leaving: true})
+	isKnown := func(incarnation Incarnation) bool { return incarnation.Replica == "known" }
+	tracker.Forget(retention, isKnown)
+	g.Expect(tracker.states).To(gomega.HaveLen(2))
+	tracker.Forget(retention+2*time.Second, isKnown)
+	g.Expect(tracker.states).To(gomega.HaveLen(1))
 }
 
-// A pause holds for its time, and then one request at a time finds out whether it is over.
-func TestAfterAPauseOneRequestFindsOut(t *testing.T) {
+// Guards against a pause that is ended by an older response, and against a burst of requests after it:
+// until a probe succeeds, only one request at a time is sent.
+func TestOneRequestAtATimeProbesAfterAPause(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewTracker()
-	pause := Signals{Limit: none.Limit, Pause: 3 * time.Second}
-	g.Expect(b.Observe(time.Second, 0, life, pause).PauseRequested).To(gomega.BeTrue())
-	b.Observe(2*time.Second, 500*time.Millisecond, life, none)
-	g.Expect(b.PauseLeft(2*time.Second, life)).To(gomega.Equal(2*time.Second), "that answer is older")
-	g.Expect(b.PauseLeft(4*time.Second, life)).To(gomega.BeZero())
-	b.Sent(4*time.Second, life)
-	g.Expect(b.PauseLeft(4*time.Second, life)).To(gomega.Equal(trialTime), "another request is on its way")
-	g.Expect(b.Reports(4*time.Second, func(Incarnation) bool { return true })).To(gomega.HaveLen(1))
-	g.Expect(b.PauseLeft(4*time.Second+trialTime, life)).To(gomega.BeZero(), "it has taken too long")
-	b.Sent(6*time.Second, life)
-	b.Observe(6100*time.Millisecond, 6*time.Second, life, none)
-	g.Expect(b.PauseLeft(6100*time.Millisecond, life)).To(gomega.BeZero())
-	g.Expect(b.Reports(6100*time.Millisecond, func(Incarnation) bool { return true })).To(gomega.BeEmpty())
+	tracker := NewTracker()
+	pause := Signals{Limit: noLimit.Limit, Pause: 3 * time.Second}
+	g.Expect(tracker.Observe(time.Second, 0, testIncarnation, pause).PauseRequested).To(gomega.BeTrue())
+	tracker.Observe(2*time.Second, 500*time.Millisecond, testIncarnation, noLimit)
+	g.Expect(tracker.PauseLeft(2*time.Second, testIncarnation)).To(gomega.Equal(2*time.Second), "the response is to an older request")
+	g.Expect(tracker.PauseLeft(4*time.Second, testIncarnation)).To(gomega.BeZero())
+	tracker.Sent(4*time.Second, testIncarnation)
+	g.Expect(tracker.PauseLeft(4*time.Second, testIncarnation)).To(gomega.Equal(probeTimeout), "a probe is in flight")
+	g.Expect(tracker.Reports(4*time.Second, func(Incarnation) bool { return true })).To(gomega.HaveLen(1))
+	g.Expect(tracker.PauseLeft(4*time.Second+probeTimeout, testIncarnation)).To(gomega.BeZero(), "the probe timed out")
+	tracker.Sent(6*time.Second, testIncarnation)
+	tracker.Observe(6100*time.Millisecond, 6*time.Second, testIncarnation, noLimit)
+	g.Expect(tracker.PauseLeft(6100*time.Millisecond, testIncarnation)).To(gomega.BeZero())
+	g.Expect(tracker.Reports(6100*time.Millisecond, func(Incarnation) bool { return true })).To(gomega.BeEmpty())
 }
