--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -1,11 +1,9 @@
-// Package replicas is a node's view of the replicas that may serve requests.
-// It is a passive table without I/O or clock: news comes from the platform's
-// store and from peers, times are passed in.
+// Package replicas is a node's table of the replicas that may serve requests, with tombstones of those
+// that were removed. It has no I/O and no clock; callers apply updates from the platform's store and
+// from peers, and pass in the time. It does not know whether a replica is healthy.
 //
-// Guarantees: a replica that announced its drain, or whose entry disappeared
-// while the store was well, is not offered again in that life, whatever older news
-// arrives later. One that starts again under its id is another life: nothing of the one
-// before holds for it.
+// Guarantee: updates may arrive in any order. A draining replica stays draining for its incarnation, and
+// a removed one does not come back by an older update while its tombstone is kept.
 package replicas
 
 import (
@@ -15,214 +13,222 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Replica is one life of a server of a service.
+// Replica is one incarnation of a server of a service, as its store entry describes it. Package entry
+// uses it; structs.Replica is the back end of package node.
 type Replica struct {
-	// ID names the server; one that starts again has another id or another StartedAt.
+	// ID identifies the server. A server that starts again has another ID or another StartedAt.
 	ID      string `msgpack:"i" json:"id"`
 	Service string `msgpack:"s" json:"service"`
-	// Address is IP and port; it may pass to another service later.
+	// Address is IP and port. A replica of another service may have it later.
 	Address string `msgpack:"a" json:"address"`
 	Zone    string `msgpack:"z" json:"zone"`
-	// Version is that of its software.
+	// Version is the version of the server's software; empty if unknown.
 	Version string `msgpack:"v" json:"version,omitempty"`
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the replica runs concurrently.
 	Slots int `msgpack:"n" json:"slots"`
-	// Draining closes the replica to new work.
+	// Draining is true if the replica gets no new requests.
 	Draining bool `msgpack:"d" json:"draining"`
-	// Position is the place of the entry in the store's history.
+	// Position is the store position of the entry.
 	Position structs.StorePosition `msgpack:"r" json:"revision"`
-	// StartedAt is when it started, in Unix milliseconds by its own clock; zero if it tells none.
-	// One that starts again may take the id that it had.
+	// StartedAt is the start of the incarnation in Unix milliseconds by the server's own clock; zero if
+	// it reports none.
 	StartedAt int64 `msgpack:"b,omitempty" json:"born,omitempty"`
-	// Warmup is for how much longer the replica stayed cold when it wrote the entry.
+	// Warmup is the time for which the replica stays cold after it wrote the entry.
 	Warmup time.Duration `msgpack:"w,omitempty" json:"warmup,omitempty"`
 }
 
-// IsSameIncarnation returns whether both are of one start of the server. Starts are told apart and
-// not put in order: the server's clock may have been set back between them.
+// IsSameIncarnation reports whether both are the same incarnation of the server. Incarnations are not
+// ordered: the server's clock may be set back between two starts.
 func (r *Replica) IsSameIncarnation(other Replica) bool {
 	return r.ID == other.ID && r.StartedAt == other.StartedAt
 }
 
-// removed remembers a replica that must not come back.
-type removed struct {
-	revision structs.StorePosition
-	at       structs.Instant
+// tombstone records the removal of a replica, so that older updates do not add it again.
+type tombstone struct {
+	position  structs.StorePosition
+	removedAt structs.Instant
 }
 
 const (
-	// forgetAfter is how long a removal is remembered.
-	forgetAfter = 120 * time.Second
-	// toldFor is how long a removal is told to every node that asks for news; later only to
-	// those that know of nothing as new. The revision of a removal that follows
-	// from the store's trouble may lie below what an asking node has already; two looks of
-	// the nodes that follow the store are at most 1 s apart, and an asking node's pulls at
-	// most 1.6 s.
-	toldFor = 15 * time.Second
+	// tombstoneRetention is how long a tombstone is kept.
+	tombstoneRetention = 120 * time.Second
+	// tombstoneReportPeriod is how long every pulling node gets a tombstone, also one whose latest
+	// position is past it: a removal after a store outage may have a lower position. It must be longer
+	// than the interval of store reads and pulls.
+	tombstoneReportPeriod = 15 * time.Second
 )
 
-// Table is the set of known replicas.
+// Table holds the known replicas by ID. It is not safe for concurrent use.
 type Table struct {
-	// doubted holds replicas whose entries vanished while the store was unwell.
-	doubted map[string]bool
-	byID    map[string]Replica
-	removed map[string]removed
-	// revision is the store's revision up to which the table is complete.
-	revision structs.StorePosition
-	latest   structs.StorePosition
-	version  uint64
-	// restored is set while the store has just come back from a copy.
-	restored structs.RestoreWindow
+	// unconfirmed holds the IDs of replicas whose entries vanished while the store was unhealthy.
+	unconfirmed map[string]bool
+	byID        map[string]Replica
+	tombstones  map[string]tombstone
+	// completeTo is the position up to which all changes were applied. latest is that of the latest
+	// change that was applied; earlier ones may be missing.
+	completeTo structs.StorePosition
+	latest     structs.StorePosition
+	// changeCount is local to this process and no store position.
+	changeCount uint64
+	// restoreWindow is the zero value unless the store was restored recently.
+	restoreWindow structs.RestoreWindow
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{doubted: map[string]bool{}, byID: map[string]Replica{}, removed: map[string]removed{}}
+	return &Table{unconfirmed: map[string]bool{}, byID: map[string]Replica{}, tombstones: map[string]tombstone{}}
 }
 
-// CompleteTo returns the store's revision up to which the table is complete.
-func (t *Table) CompleteTo() structs.StorePosition { return t.revision }
+// CompleteTo returns the store position up to which all changes were applied.
+func (t *Table) CompleteTo() structs.StorePosition { return t.completeTo }
 
-// ChangeCount rises with each change that matters to placement.
-func (t *Table) ChangeCount() uint64 { return t.version }
+// ChangeCount returns a count that rises with each change of the known replicas. It is meaningful only
+// within this process.
+func (t *Table) ChangeCount() uint64 { return t.changeCount }
 
-// SetCompleteTo records that all changes up to the revision were applied.
-func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.revision = max(t.revision, revision) }
+// SetCompleteTo records that all changes up to the position were applied. A lower position than the
+// present one has no effect.
+func (t *Table) SetCompleteTo(position structs.StorePosition) {
+	t.completeTo = max(t.completeTo, position)
+}
 
-// SetRestoreWindow tells that the store came back from a copy: what it lists brings no replica back
-// that left since the copy was made. It ends with the zero value, when the entry of a replica that
-// left has run out: what is listed then lives.
-func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
+// SetRestoreWindow sets by which restore window entries are compared. While it is set, entries from the
+// backup do not add replicas again that were removed after the backup. The zero value ends it; it must
+// be set only when the entries of removed replicas have expired.
+func (t *Table) SetRestoreWindow(window structs.RestoreWindow) { t.restoreWindow = window }
 
-// Put applies news of one replica and returns whether it changed anything.
+// Put applies an entry, and reports whether the table changed. It ignores an entry that is not later
+// than the replica's present one or its tombstone.
 func (t *Table) Put(replica Replica) bool {
-	if gone, found := t.removed[replica.ID]; found && !t.restored.IsBefore(gone.revision, replica.Position) {
+	if removal, found := t.tombstones[replica.ID]; found && !t.restoreWindow.IsBefore(removal.position, replica.Position) {
 		return false
 	}
-	known, found := t.byID[replica.ID]
-	if found && !t.restored.IsBefore(known.Position, replica.Position) {
+	current, found := t.byID[replica.ID]
+	if found && !t.restoreWindow.IsBefore(current.Position, replica.Position) {
 		return false
 	}
-	if found && known.Draining && known.IsSameIncarnation(replica) {
+	if found && current.Draining && current.IsSameIncarnation(replica) {
 		replica.Draining = true
 	}
 	t.byID[replica.ID] = replica
-	delete(t.doubted, replica.ID)
+	delete(t.unconfirmed, replica.ID)
 	t.latest = max(t.latest, replica.Position)
-	t.version++
+	t.changeCount++
 	return true
 }
 
-// Remove applies news that the replica's entry is gone.
-func (t *Table) Remove(now structs.Instant, id string, revision structs.StorePosition) bool {
-	known, found := t.byID[id]
-	if found && t.restored.IsBefore(revision, known.Position) {
+// Remove applies the removal of a replica's entry at the position, and reports whether the replica was
+// known. It ignores a removal that is earlier than the replica's present entry.
+func (t *Table) Remove(now structs.Instant, id string, position structs.StorePosition) bool {
+	current, found := t.byID[id]
+	if found && t.restoreWindow.IsBefore(position, current.Position) {
 		return false
 	}
-	t.removed[id] = removed{revision: revision, at: now}
+	t.tombstones[id] = tombstone{position: position, removedAt: now}
 	delete(t.byID, id)
-	delete(t.doubted, id)
-	t.latest = max(t.latest, revision)
+	delete(t.unconfirmed, id)
+	t.latest = max(t.latest, position)
 	if found {
-		t.version++
+		t.changeCount++
 	}
 	return found
 }
 
-// MarkUnconfirmed records that the replica's entry vanished while the store was unwell,
-// which need not mean that the replica is gone: it stays until its entry comes back
-// or RemoveUnconfirmed is called.
+// MarkUnconfirmed records that the replica's entry vanished while the store was unhealthy. The replica
+// stays in the table until its entry is written again or RemoveUnconfirmed is called. Draining and
+// unknown replicas are ignored.
 func (t *Table) MarkUnconfirmed(id string) {
-	if known, found := t.byID[id]; found && !known.Draining {
-		t.doubted[id] = true
+	if current, found := t.byID[id]; found && !current.Draining {
+		t.unconfirmed[id] = true
 	}
 }
 
-// RemoveUnconfirmed removes the replicas whose entries did not come back, and returns
-// their ids.
+// RemoveUnconfirmed removes the unconfirmed replicas and returns their IDs, sorted.
 func (t *Table) RemoveUnconfirmed(now structs.Instant) []string {
-	gone := make([]string, 0, len(t.doubted))
-	for id := range t.doubted {
-		gone = append(gone, id)
+	ids := make([]string, 0, len(t.unconfirmed))
+	for id := range t.unconfirmed {
+		ids = append(ids, id)
 	}
-	sort.Strings(gone)
-	for _, id := range gone {
-		t.Remove(now, id, t.RemovalPosition(id, t.revision))
+	sort.Strings(ids)
+	for _, id := range ids {
+		t.Remove(now, id, t.RemovalPosition(id, t.completeTo))
 	}
-	return gone
+	return ids
 }
 
-// RemovalPosition returns the place at which a replica is gone that a complete list as of the revision
-// does not hold: of a store that came back from a copy the revision may come before the entry.
-func (t *Table) RemovalPosition(id string, revision structs.StorePosition) structs.StorePosition {
-	if known := t.byID[id].Position; t.restored.IsBefore(revision, known) {
-		return known
+// RemovalPosition returns the position at which to remove a replica that is missing from a complete
+// list as of the given position. After a restore, that position may be before the replica's entry; then
+// it returns the entry's.
+func (t *Table) RemovalPosition(id string, position structs.StorePosition) structs.StorePosition {
+	if current := t.byID[id].Position; t.restoreWindow.IsBefore(position, current) {
+		return current
 	}
-	return revision
+	return position
 }
 
-// Missing returns the known replicas that a complete list as of the revision
-// does not hold.
-func (t *Table) Missing(list []Replica, revision structs.StorePosition) []string {
+// Missing returns the IDs of the known replicas, sorted, that are missing from a complete list as of the
+// position. Replicas with a later entry are not missing.
+func (t *Table) Missing(list []Replica, position structs.StorePosition) []string {
 	listed := make(map[string]bool, len(list))
 	for _, replica := range list {
 		listed[replica.ID] = true
 	}
-	var gone []string
-	for id, known := range t.byID {
-		if !listed[id] && known.Position <= revision {
-			gone = append(gone, id)
+	var missing []string
+	for id, replica := range t.byID {
+		if !listed[id] && replica.Position <= position {
+			missing = append(missing, id)
 		}
 	}
-	sort.Strings(gone)
-	return gone
+	sort.Strings(missing)
+	return missing
 }
 
-// LatestPosition returns the revision of the latest change that was applied.
+// LatestPosition returns the position of the latest change that was applied. Unlike with CompleteTo,
+// earlier changes may be missing.
 func (t *Table) LatestPosition() structs.StorePosition { return t.latest }
 
-// RemovedSince returns, with their revisions, the removals after the revision and those of
-// the last moments, which may have come late.
-func (t *Table) RemovedSince(now structs.Instant, revision structs.StorePosition) map[string]structs.StorePosition {
-	gone := map[string]structs.StorePosition{}
-	for id, mark := range t.removed {
-		if mark.revision > revision || now-mark.at < toldFor {
-			gone[id] = mark.revision
+// RemovedSince returns the positions of removals by replica ID: those after the given position, and
+// those applied within tombstoneReportPeriod, which may have a lower one.
+func (t *Table) RemovedSince(now structs.Instant, position structs.StorePosition) map[string]structs.StorePosition {
+	removed := map[string]structs.StorePosition{}
+	for id, removal := range t.tombstones {
+		if removal.position > position || now-removal.removedAt < tombstoneReportPeriod {
+			removed[id] = removal.position
 		}
 	}
-	return gone
+	return removed
 }
 
-// Forget drops removals that are too old to matter.
+// Forget drops tombstones older than tombstoneRetention.
 func (t *Table) Forget(now structs.Instant) {
-	for id, gone := range t.removed {
-		if now-gone.at > forgetAfter {
-			delete(t.removed, id)
+	for id, removal := range t.tombstones {
+		if now-removal.removedAt > tombstoneRetention {
+			delete(t.tombstones, id)
 		}
 	}
 }
 
-// Get returns the replica with the id.
+// Get returns the replica with the ID, and whether it is known.
 func (t *Table) Get(id string) (Replica, bool) {
 	replica, found := t.byID[id]
 	return replica, found
 }
 
-// Since returns the known replicas whose entries changed after the revision, by id.
-func (t *Table) Since(revision structs.StorePosition) []Replica {
+// Since returns the replicas whose entries are later than the position, sorted by ID.
+func (t *Table) Since(position structs.StorePosition) []Replica {
 	var changed []Replica
 	for _, replica := range t.All() {
-		if replica.Position > revision {
+		if replica.Position > position {
 			changed = append(changed, replica)
 		}
 	}
 	return changed
 }
 
-// Count returns how many replicas are known.
+// Count returns the number of known replicas.
 func (t *Table) Count() int { return len(t.byID) }
 
-// All returns every known replica by id.
+// All returns all known replicas, unconfirmed and draining ones included, sorted by ID.
 func (t *Table) All() []Replica {
 	all := make([]Replica, 0, len(t.byID))
 	for _, replica := range t.byID {
