--- a/state/evacuations/evacuations.go
+++ b/state/evacuations/evacuations.go
@@ -42,8 +42,8 @@
 // backup do not replace later orders. The zero value ends it.
 func (t *Table) SetRestoreWindow(window structs.RestoreWindow) { t.restoreWindow = window }
 
-// Put applies an order, and reports whether it changed whether the zone is evacuated. It ignores an
-// order that is not later than the zone's present one, and one for a new zone in a full table.
+// Put applies an order, and reports whether the zone's evacuation started or ended. It ignores an order
+// that is not later than the zone's present one, and one for a new zone if the table is full.
 func (t *Table) Put(order Order) bool {
 	current, found := t.orders[order.Zone]
 	if found && !t.restoreWindow.IsBefore(current.Position, order.Position) {
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -111,7 +111,8 @@
 	updatedAt structs.Instant
 }
 
-// pauseLeft returns the time until a request may be sent: the rest of the pause or of a probe.
+// pauseLeft returns the time until a request may be sent: until the pause ends, or the current probe times
+// out.
 func (s *replicaState) pauseLeft(now structs.Instant) time.Duration {
 	until := s.pausedUntil
 	if s.isProbing && s.probedAt >= until {
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -1,6 +1,6 @@
 // Package replicas is a node's table of the replicas that may serve requests, with tombstones of those
 // that were removed. It has no I/O and no clock; callers apply updates from the platform's store and
-// from peers, and pass in the time. It does not know whether a replica is healthy.
+// from peers, and pass in the time. The health of replicas is not part of it.
 //
 // Guarantee: updates may arrive in any order. A draining replica stays draining for its incarnation, and
 // a removed one does not come back by an older update while its tombstone is kept.
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -6,49 +6,52 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Access says how a replica of some version may be used.
+// Access says which new requests the replicas of a version may get.
 type Access uint8
 
-// The uses of a version's replicas.
 const (
-	// AccessUnrestricted: like any other replica.
+	// AccessUnrestricted allows all requests.
 	AccessUnrestricted Access = iota
-	// AccessBudgeted: only for a request that is counted against what the version may get
-	// until it is judged.
+	// AccessBudgeted allows only requests that are counted against the canary budget.
 	AccessBudgeted
-	// AccessDenied: for no new request.
+	// AccessDenied allows no new requests.
 	AccessDenied
 )
 
-// VersionPolicy says which versions of a service's replicas get new requests. The zero
-// value lets all of them. Without a phase only Excluded counts.
+// VersionPolicy restricts which versions of a service's replicas get new requests. The zero value
+// restricts none.
 type VersionPolicy struct {
-	// Service is empty if no roll-out of the service is known.
+	// Service is empty if no version is restricted.
 	Service string
-	// OrderPosition is the revision of the order that the policy follows from.
-	OrderPosition  structs.StorePosition
+	// OrderPosition is the store position of the order from which the policy follows; zero if there is
+	// none.
+	OrderPosition structs.StorePosition
+	// Target and Stable are those of the roll-out's record.
 	Target, Stable string
-	Excluded       []string
-	Phase          Phase
+	// Excluded lists versions that get no new requests, except as the target.
+	Excluded []string
+	// Phase is that of the roll-out; zero if there is none, in which case only Excluded applies.
+	Phase Phase
 }
 
-// Active returns whether any version is restricted.
+// Active reports whether the policy restricts any version.
 func (p *VersionPolicy) Active() bool { return p.Service != "" }
 
-// AccessFor returns how a replica of the version may be used.
+// AccessFor returns the access for replicas of the version.
 func (p *VersionPolicy) AccessFor(version string) Access {
 	switch {
 	case !p.Active():
 		return AccessUnrestricted
 	case p.Phase != 0 && version == p.Target:
-		return p.useOfTarget()
+		return p.targetAccess()
 	case p.Phase == PhaseSwitching || p.Phase == PhaseCompleted || slices.Contains(p.Excluded, version):
 		return AccessDenied
 	}
 	return AccessUnrestricted
 }
 
-func (p *VersionPolicy) useOfTarget() Access {
+// targetAccess returns the access for replicas of the target in a roll-out's phase.
+func (p *VersionPolicy) targetAccess() Access {
 	switch p.Phase {
 	case PhaseSwitching, PhaseCompleted:
 		return AccessUnrestricted
@@ -58,47 +61,45 @@
 	return AccessDenied
 }
 
-// Policy returns the policy for the service. An order that nobody has recorded yet is a
-// roll-out that begins: its target gets nothing but what is counted, unless it is in
-// service already.
-func (t *Table) Policy(service string, inService bool) VersionPolicy {
+// Policy returns the policy of the service; the zero value if no roll-out is known. An order without a
+// record counts as a roll-out that starts, see NewRecord.
+func (t *Table) Policy(service string, isTargetInService bool) VersionPolicy {
 	order, ordered := t.Order(service)
 	record, recorded := t.Record(service)
 	if !ordered && !recorded {
 		return VersionPolicy{}
 	}
 	if !recorded || ordered && record.OrderPosition < order.Position {
-		record = NewRecord(order, record, inService)
+		record = NewRecord(order, record, isTargetInService)
 	}
 	return VersionPolicy{
 		Service: service, OrderPosition: record.OrderPosition, Target: record.Target, Stable: record.Stable, Excluded: record.Excluded, Phase: record.Phase,
 	}
 }
 
-// maximumBarred bounds the versions that a record remembers as not to be used.
-const maximumBarred = 8
+// maxExcluded bounds the excluded versions of a record; the latest ones are kept.
+const maxExcluded = 8
 
-// NewRecord returns the first record of the order, which follows the service's earlier one;
-// that one may be empty. A version whose roll-out did not end well stays barred, and the
-// service goes back to the version that it had before, or to the one that was completed.
-// A target that the service has already, or that had replicas before the order, needs no
-// judgement.
-func NewRecord(order Order, before Record, inService bool) Record {
+// NewRecord returns the first record of the order. before is the record of the service's previous order
+// and may be the zero value: its target becomes the stable version if it got all requests, and is excluded
+// if not. A target that is the stable version needs no canary, and neither does one in service:
+// isTargetInService is true if the target had replicas before the order and no other version has any.
+func NewRecord(order Order, before Record, isTargetInService bool) Record {
 	record := Record{Service: order.Service, OrderPosition: order.Position, Target: order.Target, Stable: before.Stable, Phase: PhaseCanary}
-	barred := slices.Clone(before.Excluded)
+	excluded := slices.Clone(before.Excluded)
 	switch {
 	case before.Target == "":
 	case before.Phase == PhaseCompleted || before.Phase == PhaseSwitching:
 		if before.Stable != "" {
-			barred = append(barred, before.Stable)
+			excluded = append(excluded, before.Stable)
 		}
 		record.Stable = before.Target
 	default:
-		barred = append(barred, before.Target)
+		excluded = append(excluded, before.Target)
 	}
-	barred = slices.DeleteFunc(barred, func(version string) bool { return version == order.Target || version == record.Stable })
-	record.Excluded = barred[max(0, len(barred)-maximumBarred):]
-	if order.Target == record.Stable || inService && !slices.Contains(before.Excluded, order.Target) && order.Target != before.Target {
+	excluded = slices.DeleteFunc(excluded, func(version string) bool { return version == order.Target || version == record.Stable })
+	record.Excluded = excluded[max(0, len(excluded)-maxExcluded):]
+	if order.Target == record.Stable || isTargetInService && !slices.Contains(before.Excluded, order.Target) && order.Target != before.Target {
 		record.Phase = PhaseSwitching
 	}
 	return record
--- a/state/rollouts/rollouts.go
+++ b/state/rollouts/rollouts.go
@@ -1,10 +1,9 @@
-// Package rollouts is a node's view of the operators' roll-outs: which service moves to
-// which version of its replicas, and how far that is. It is a passive table without I/O or
-// clock: news comes from the platform's store and from peers.
+// Package rollouts is a node's table of roll-outs: the operators' orders to move a service to a version,
+// and the records of their progress. It has no I/O and no clock; callers apply updates from the platform's
+// store and from peers. It does not step roll-outs: coordination/rollout does.
 //
-// Guarantees: of two orders for a service the later one by the store's revision holds, and
-// of two records of progress likewise, whatever older news arrives later. A replica of a
-// version that nothing here explains yet is not used (Policy, VersionPolicy.AccessFor).
+// Guarantee: of two orders for a service, or two records, the one with the later store position is
+// kept, in whichever sequence they arrive.
 package rollouts
 
 import (
@@ -18,32 +17,32 @@
 type Order struct {
 	Service string `msgpack:"s" json:"service"`
 	Target  string `msgpack:"t" json:"target_version"`
-	// Duration is the time in which the service is to be moved.
+	// Duration is the time from the order within which the roll-out is to complete.
 	Duration time.Duration `msgpack:"d" json:"duration"`
-	// Position is the store's revision of the order.
+	// Position is the store position of the order; zero means that there is no order.
 	Position structs.StorePosition `msgpack:"r" json:"revision"`
 }
 
-// Phase is how far a roll-out is.
+// Phase is the phase of a roll-out. The zero value means that there is no roll-out.
 type Phase uint8
 
-// The phases of a roll-out, in their order.
+// The phases in their order. A roll-out starts in PhaseCanary, or in PhaseSwitching if it needs no canary
+// (NewRecord), and ends in PhaseCompleted or PhaseRolledBack.
 const (
-	// PhaseCanary: a bounded share of the requests goes to the target version.
+	// PhaseCanary sends the target a bounded share of the requests.
 	PhaseCanary Phase = iota + 1
-	// PhaseSwitching: the target was found good and gets every new request; requests still
-	// run at the other versions.
+	// PhaseSwitching sends the target every new request. Requests may still run at other versions.
 	PhaseSwitching
-	// PhaseCompleted: nothing runs at the other versions, which stop.
+	// PhaseCompleted means that no requests run at the other versions, whose replicas may stop.
 	PhaseCompleted
-	// PhaseRollingBack: the target was found bad or could not be judged and gets no new
-	// request, which not every node may know yet.
+	// PhaseRollingBack means that the target failed the canary analysis, or did not pass it in time, and
+	// gets no new requests. Some nodes may not know that yet.
 	PhaseRollingBack
-	// PhaseRolledBack: no node sends to the target any more.
+	// PhaseRolledBack means that no node sends requests to the target.
 	PhaseRolledBack
 )
 
-// String returns the name of the phase in logs and for operators.
+// String returns the name of the phase as logs and command output contain it.
 func (p Phase) String() string {
 	names := [...]string{"none", "judging", "switching", "completed", "returning", "rolled-back"}
 	if int(p) < len(names) {
@@ -52,12 +51,12 @@
 	return "unknown"
 }
 
-// IsTerminal returns whether nothing is left to do.
+// IsTerminal reports whether the roll-out has ended.
 func (p Phase) IsTerminal() bool { return p == PhaseCompleted || p == PhaseRolledBack }
 
-// Evidence counts the answers on one route while the target was judged.
+// Evidence counts the answers on one route during the canary phase.
 type Evidence struct {
-	// Good and Bad are of the target's answers, BaselineGood and BaselineBad of the others'.
+	// Good and Bad count the answers of the target, BaselineGood and BaselineBad those of other versions.
 	Good         int `msgpack:"g" json:"good"`
 	Bad          int `msgpack:"b" json:"bad"`
 	BaselineGood int `msgpack:"h" json:"old_good"`
@@ -69,129 +68,135 @@
 	return Evidence{Good: e.Good + other.Good, Bad: e.Bad + other.Bad, BaselineGood: e.BaselineGood + other.BaselineGood, BaselineBad: e.BaselineBad + other.BaselineBad}
 }
 
-// Record is the progress of a roll-out as it lies in the store. It is written only under
-// the condition that nobody wrote it since it was read.
+// Record is the progress of a roll-out as the store holds it. It is written only if it has not changed
+// since it was read.
 type Record struct {
 	Service string `msgpack:"s" json:"service"`
-	// OrderPosition is the revision of the order.
+	// OrderPosition is the store position of the order.
 	OrderPosition structs.StorePosition `msgpack:"o" json:"order"`
 	Target        string                `msgpack:"t" json:"target"`
-	// Stable is the version that the service goes back to, and Excluded are versions that
-	// were rolled back or whose roll-out was replaced before its end.
-	Stable   string   `msgpack:"v" json:"stable"`
+	// Stable is the version that a rollback returns to; empty if unknown.
+	Stable string `msgpack:"v" json:"stable"`
+	// Excluded lists versions that get no new requests: targets of roll-outs that were not completed, and
+	// stable versions that were replaced. The latest comes last.
 	Excluded []string `msgpack:"x" json:"barred,omitempty"`
 	Phase    Phase    `msgpack:"p" json:"phase"`
-	// Reason says why the roll-out went the way it did.
+	// Reason is the cause of the last change of phase.
 	Reason string `msgpack:"y" json:"reason,omitempty"`
-	// Requests counts those that reached the service since the order, as far as they were
-	// reported, and Exposed those that may have been sent to the target: it rises before
-	// they are sent.
+	// Requests is the number of requests to the service since the order that nodes have reported.
 	Requests int `msgpack:"n" json:"requests"`
-	Exposed  int `msgpack:"e" json:"exposed"`
-	// Elapsed is the time from the order to the write, at least.
+	// Exposed is the upper bound of the requests sent to the target; it is raised before they are sent.
+	Exposed int `msgpack:"e" json:"exposed"`
+	// Elapsed is a lower bound of the time from the order to the write of this record.
 	Elapsed time.Duration `msgpack:"l" json:"elapsed"`
-	// EvidenceByRoute has the evidence by the name of the route.
+	// EvidenceByRoute holds the evidence by route name.
 	EvidenceByRoute map[string]Evidence `msgpack:"u" json:"routes,omitempty"`
-	// Position is the store's revision of the record; zero means that there is none.
+	// Position is the store position of the record; zero means that there is no record.
 	Position structs.StorePosition `msgpack:"r" json:"-"`
 }
 
-// known is what is known of one service: its latest order and record, and when this process
-// heard of each.
-type known struct {
-	order             Order
-	record            Record
-	orderAt, recordAt structs.Instant
-	// isRenamed is true if the record names the order by a place that the store doesn't have yet.
-	isRenamed bool
+// serviceState is the latest order and record of one service, and when this process received them.
+type serviceState struct {
+	order                             Order
+	record                            Record
+	orderReceivedAt, recordReceivedAt structs.Instant
+	// isRebased is true if the record here has the new position of a recreated order, but the record in
+	// the store does not yet.
+	isRebased bool
 }
 
-// Table is the set of known roll-outs, by service.
+// Table holds the known orders and records by service. It is not safe for concurrent use.
 type Table struct {
-	services map[string]*known
-	// knownTo is the revision up to which all orders and records are known.
-	knownTo structs.StorePosition
-	// restored is set while the store has just come back from a copy.
-	restored structs.RestoreWindow
+	services map[string]*serviceState
+	// completeTo is the position up to which all orders and records were applied.
+	completeTo structs.StorePosition
+	// restoreWindow is the zero value unless the store was restored recently.
+	restoreWindow structs.RestoreWindow
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{services: map[string]*known{}} }
+func NewTable() *Table { return &Table{services: map[string]*serviceState{}} }
 
-// of returns what is known of the service, which may be nothing yet.
-func (t *Table) of(service string) *known {
-	held, found := t.services[service]
+// stateOf returns the state of the service. It adds an empty one if there is none.
+func (t *Table) stateOf(service string) *serviceState {
+	state, found := t.services[service]
 	if !found {
-		held = &known{}
-		t.services[service] = held
+		state = &serviceState{}
+		t.services[service] = state
 	}
-	return held
+	return state
 }
 
-// CompleteTo returns the revision up to which all orders and records are known.
-func (t *Table) CompleteTo() structs.StorePosition { return t.knownTo }
+// CompleteTo returns the store position up to which all orders and records were applied.
+func (t *Table) CompleteTo() structs.StorePosition { return t.completeTo }
 
-// SetCompleteTo records that all changes up to the revision were applied.
-func (t *Table) SetCompleteTo(revision structs.StorePosition) { t.knownTo = max(t.knownTo, revision) }
+// SetCompleteTo records that all changes up to the position were applied. A lower position than the
+// present one has no effect.
+func (t *Table) SetCompleteTo(position structs.StorePosition) {
+	t.completeTo = max(t.completeTo, position)
+}
 
-// SetRestoreWindow tells that the store came back from a copy: what it lists takes back no order or
-// record that came later, and an order like the known one is that one, written again. It ends with
-// the zero value.
-func (t *Table) SetRestoreWindow(restored structs.RestoreWindow) { t.restored = restored }
+// SetRestoreWindow sets by which restore window orders and records are compared. While it is set, entries
+// from the backup do not replace later ones, and an order equal to the present one counts as that order,
+// written again. The zero value ends it.
+func (t *Table) SetRestoreWindow(window structs.RestoreWindow) { t.restoreWindow = window }
 
-// PutOrder applies news of an order and returns whether it was news.
+// PutOrder applies an order, and reports whether the table changed. It ignores an order that is not later
+// than the present one.
 func (t *Table) PutOrder(now structs.Instant, order Order) bool {
-	held := t.of(order.Service)
-	if !t.restored.IsBefore(held.order.Position, order.Position) {
+	state := t.stateOf(order.Service)
+	if !t.restoreWindow.IsBefore(state.order.Position, order.Position) {
 		return false
 	}
-	if t.isWrittenAgain(held.order, order) {
-		held.rename(order.Position)
+	if t.isRecreated(state.order, order) {
+		state.rebase(order.Position)
 		return true
 	}
-	held.order, held.orderAt = order, now
+	state.order, state.orderReceivedAt = order, now
 	return true
 }
 
-// isWrittenAgain returns whether the order is the known one, which its writer wrote again as the
-// store had lost it. Taken for another, it would be judged a second time.
-func (t *Table) isWrittenAgain(known, order Order) bool {
-	return t.restored.Era > t.restored.Base && known.Position > 0 && known.Position.Era() < order.Position.Era() &&
-		known.Target == order.Target && known.Duration == order.Duration
+// isRecreated reports whether the order is the current one, written again after a restore lost it. It
+// must not start another roll-out.
+func (t *Table) isRecreated(current, order Order) bool {
+	return t.restoreWindow.Era > t.restoreWindow.Base && current.Position > 0 && current.Position.Era() < order.Position.Era() &&
+		current.Target == order.Target && current.Duration == order.Duration
 }
 
-// rename gives the order its new place, and its record with it.
-func (k *known) rename(place structs.StorePosition) {
-	if k.record.Position > 0 && k.record.OrderPosition == k.order.Position {
-		k.record.OrderPosition, k.isRenamed = place, true
+// rebase sets the new position of a recreated order, also in its record.
+func (s *serviceState) rebase(position structs.StorePosition) {
+	if s.record.Position > 0 && s.record.OrderPosition == s.order.Position {
+		s.record.OrderPosition, s.isRebased = position, true
 	}
-	k.order.Position = place
+	s.order.Position = position
 }
 
-// PutRecord applies news of a record and returns whether it was news.
+// PutRecord applies a record, and reports whether the table changed. It ignores a record that is not later
+// than the present one.
 func (t *Table) PutRecord(now structs.Instant, record Record) bool {
-	held := t.of(record.Service)
-	if !t.restored.IsBefore(held.record.Position, record.Position) {
+	state := t.stateOf(record.Service)
+	if !t.restoreWindow.IsBefore(state.record.Position, record.Position) {
 		return false
 	}
-	held.record, held.recordAt, held.isRenamed = record, now, false
+	state.record, state.recordReceivedAt, state.isRebased = record, now, false
 	return true
 }
 
-// ServicesToRewrite returns the services whose records the store of that era may lack, by name.
+// ServicesToRewrite returns the services, sorted, whose records the store may have lost or hold with an
+// outdated order position. era is the store's present era.
 func (t *Table) ServicesToRewrite(era int64) []string {
 	var names []string
 	for _, service := range t.Services() {
-		held := t.services[service]
-		if held.record.Position > 0 && (held.isRenamed || held.record.Position.Era() < era) {
+		state := t.services[service]
+		if state.record.Position > 0 && (state.isRebased || state.record.Position.Era() < era) {
 			names = append(names, service)
 		}
 	}
 	return names
 }
 
-// IsOlderThan returns whether the record tells of an earlier state than the other: of an earlier
-// order, or of the same one after a shorter time.
+// IsOlderThan reports whether the record is of an earlier state than the other: of an earlier order, or of
+// an earlier phase or a shorter elapsed time of the same order. It ignores the records' own positions.
 func (r *Record) IsOlderThan(other Record) bool {
 	if r.OrderPosition != other.OrderPosition {
 		return r.OrderPosition < other.OrderPosition
@@ -199,36 +204,36 @@
 	return r.Phase < other.Phase || r.Phase == other.Phase && r.Elapsed < other.Elapsed
 }
 
-// OverwriteRecord takes over what the store itself just said of the record, also if that is
-// older than what was known, or nothing.
+// OverwriteRecord sets the record of its service to the one read from the store, also if that is older than
+// the present one. A record with zero Position removes it.
 func (t *Table) OverwriteRecord(now structs.Instant, record Record) {
-	held := t.of(record.Service)
-	held.record, held.recordAt, held.isRenamed = record, now, false
+	state := t.stateOf(record.Service)
+	state.record, state.recordReceivedAt, state.isRebased = record, now, false
 }
 
-// Order returns the latest order for the service.
+// Order returns the latest order for the service, and whether there is one.
 func (t *Table) Order(service string) (Order, bool) {
-	if held, found := t.services[service]; found {
-		return held.order, held.order.Position > 0
+	if state, found := t.services[service]; found {
+		return state.order, state.order.Position > 0
 	}
 	return Order{}, false
 }
 
-// Record returns the latest record of the service.
+// Record returns the latest record of the service, and whether there is one.
 func (t *Table) Record(service string) (Record, bool) {
-	if held, found := t.services[service]; found {
-		return held.record, held.record.Position > 0
+	if state, found := t.services[service]; found {
+		return state.record, state.record.Position > 0
 	}
 	return Record{}, false
 }
 
-// Elapsed returns the time since the service's order, at least: a process that started
-// later goes by the record, which names the time until it was written.
+// Elapsed returns a lower bound of the time since the service's order. A process that started after the
+// order derives it from the record's Elapsed.
 func (t *Table) Elapsed(now structs.Instant, service string) time.Duration {
-	held := t.of(service)
-	elapsed := now - held.orderAt
-	if held.record.Position > 0 && held.record.OrderPosition == held.order.Position {
-		elapsed = max(elapsed, held.record.Elapsed+now-held.recordAt)
+	state := t.stateOf(service)
+	elapsed := now - state.orderReceivedAt
+	if state.record.Position > 0 && state.record.OrderPosition == state.order.Position {
+		elapsed = max(elapsed, state.record.Elapsed+now-state.recordReceivedAt)
 	}
 	return elapsed
 }
@@ -236,8 +241,8 @@
 // Services returns the services with an order or a record, sorted.
 func (t *Table) Services() []string {
 	names := make([]string, 0, len(t.services))
-	for name, held := range t.services {
-		if held.order.Position > 0 || held.record.Position > 0 {
+	for name, state := range t.services {
+		if state.order.Position > 0 || state.record.Position > 0 {
 			names = append(names, name)
 		}
 	}
@@ -245,27 +250,28 @@
 	return names
 }
 
-// Since returns the orders and records that changed after the revision, by service.
-func (t *Table) Since(revision structs.StorePosition) ([]Order, []Record) {
+// Since returns the orders and the records with a later position, each sorted by service.
+func (t *Table) Since(position structs.StorePosition) ([]Order, []Record) {
 	var orders []Order
 	var records []Record
 	for _, service := range t.Services() {
-		held := t.services[service]
-		if held.order.Position > revision {
-			orders = append(orders, held.order)
+		state := t.services[service]
+		if state.order.Position > position {
+			orders = append(orders, state.order)
 		}
-		if held.record.Position > revision {
-			records = append(records, held.record)
+		if state.record.Position > position {
+			records = append(records, state.record)
 		}
 	}
 	return orders, records
 }
 
-// LatestPosition returns the revision of the latest order or record.
+// LatestPosition returns the position of the latest order or record; zero if there is none. Unlike with
+// CompleteTo, earlier ones may be missing.
 func (t *Table) LatestPosition() structs.StorePosition {
 	latest := structs.StorePosition(0)
-	for _, held := range t.services {
-		latest = max(latest, held.order.Position, held.record.Position)
+	for _, state := range t.services {
+		latest = max(latest, state.order.Position, state.record.Position)
 	}
 	return latest
 }
--- a/structs/replica.go
+++ b/structs/replica.go
@@ -65,7 +65,7 @@
 	// sequence. Zero if the engine does not report them.
 	PrefillRate float64       `msgpack:"p" json:"prefill_rate"`
 	StepTime    time.Duration `msgpack:"d" json:"step_time_ns"`
-	// Leaving is true if the engine takes no new requests.
+	// Leaving is true if the engine accepts no new requests.
 	Leaving bool `msgpack:"l" json:"leaving"`
 	// Models lists the loaded models; one with an adapter is "model:adapter".
 	Models []string `msgpack:"m" json:"models"`
