--- a/state/answer/answer.go
+++ b/state/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer keeps the answers of a node's requests while they arrive and
-// for a time after, so that the caller, a resubmission or a look-up can each
-// read the whole of it at their own pace.
+// Package answer stores the answers of a node's requests while they arrive and
+// for a retention period afterwards, so that several readers (the caller, a
+// resubmission, a lookup) can each read the complete answer at their own pace.
 package answer
 
 import (
@@ -12,76 +12,75 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// ResponseHead is what precedes the content of an answer.
+// ResponseHead is the part of an answer that precedes its content.
 type ResponseHead struct {
-	// Status and Header are those of a plain service; Status is zero for the
-	// answer of an engine.
+	// Status and Header are the HTTP status and header of a plain service's
+	// response. Status is zero for the answer of an engine.
 	Status int
 	Header http.Header
 }
 
 // Answer is the answer to one request. It is safe for concurrent use.
 type Answer struct {
-	// RequestID and Tenant describe the request; they do not change.
+	// RequestID and Tenant are immutable.
 	RequestID string
 	Tenant    string
 
-	mutex   sync.Mutex
-	source  string
-	head    *ResponseHead
-	receipt string
-	parts   [][]byte
-	size    int
-	ended   bool
-	outcome structs.Outcome
-	err     error
-	changed chan struct{}
+	mutex           sync.Mutex
+	sourceRequestID string
+	head            *ResponseHead
+	receipt         string
+	parts           [][]byte
+	size            int
+	ended           bool
+	outcome         structs.Outcome
+	err             error
+	changed         chan struct{}
 }
 
-// New returns an empty answer.
 func New(requestID, tenant string) *Answer {
 	return &Answer{RequestID: requestID, Tenant: tenant, changed: make(chan struct{})}
 }
 
-// wake lets readers look again. The mutex is held.
-func (a *Answer) wake() {
+// notifyReaders wakes all readers that wait for a change. The mutex must be held.
+func (a *Answer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// SetSource records that the answer is that of another request, which holds
-// the same key.
+// SetSource records that the answer comes from another request, which owns the
+// same key.
 func (a *Answer) SetSource(requestID string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.source = requestID
+	a.sourceRequestID = requestID
 }
 
-// SetReceipt records where the request goes, from dispatch on.
+// SetReceipt records the receipt, which names where the request was dispatched.
 func (a *Answer) SetReceipt(receipt string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.receipt = receipt
-	a.wake()
+	a.notifyReaders()
 }
 
-// Receipt returns the receipt, which is empty before dispatch.
+// Receipt returns the receipt. It is empty before dispatch.
 func (a *Answer) Receipt() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.receipt
 }
 
-// SetHead records the head; parts follow it.
+// SetHead records the response head. It must be called before the first Append.
 func (a *Answer) SetHead(head ResponseHead) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.head = &head
-	a.wake()
+	a.notifyReaders()
 }
 
-// Append adds a part: an event of an engine or a piece of a service's body.
-// Parts after the end are dropped.
+// Append adds a part: an event of an engine or a chunk of a service's body.
+// It retains part and ignores it if the answer has ended.
 func (a *Answer) Append(part []byte) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -90,10 +89,10 @@
 	}
 	a.parts = append(a.parts, part)
 	a.size += len(part)
-	a.wake()
+	a.notifyReaders()
 }
 
-// End settles the outcome; the first call counts.
+// End marks the answer as ended. Calls after the first have no effect.
 func (a *Answer) End(outcome structs.Outcome, err error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -101,102 +100,103 @@
 		return
 	}
 	a.ended, a.outcome, a.err = true, outcome, err
-	a.wake()
+	a.notifyReaders()
 }
 
-// Snapshot is the state of an answer at one moment.
+// Snapshot is the state of an answer at one point in time.
 type Snapshot struct {
-	// RequestID is that of the request whose answer this is.
+	// RequestID is the request that produced the answer. It differs from
+	// Answer.RequestID after SetSource.
 	RequestID string
 	Head      *ResponseHead
 	Receipt   string
-	// Parts are those from the number that was asked for.
+	// Parts are the parts from the requested index on.
 	Parts   [][]byte
 	Ended   bool
 	Outcome structs.Outcome
 	Err     error
 }
 
-// Snapshot returns the answer's state, with the parts from the number on, and a
-// channel that is closed at the next change.
-func (a *Answer) Snapshot(from int) (Snapshot, <-chan struct{}) {
+// Snapshot returns the state of the answer, with the parts from index firstPart
+// on, and a channel that is closed at the next change.
+func (a *Answer) Snapshot(firstPart int) (Snapshot, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	source := a.RequestID
-	if a.source != "" {
-		source = a.source
+	requestID := a.RequestID
+	if a.sourceRequestID != "" {
+		requestID = a.sourceRequestID
 	}
 	return Snapshot{
-		RequestID: source, Head: a.head, Receipt: a.receipt, Parts: a.parts[min(from, len(a.parts)):],
+		RequestID: requestID, Head: a.head, Receipt: a.receipt, Parts: a.parts[min(firstPart, len(a.parts)):],
 		Ended: a.ended, Outcome: a.outcome, Err: a.err,
 	}, a.changed
 }
 
-// Await returns once there is a part from the number on or the end; from zero
-// also once there is a head or a receipt, unless known is positive.
-func (a *Answer) Await(ctx context.Context, from, known int) (Snapshot, error) {
+// Await blocks until the answer has a part at index firstPart or has ended. If
+// firstPart is 0 and seen is not positive, a head or a receipt is enough. If ctx
+// is done first, it returns the current snapshot and the error of ctx.
+func (a *Answer) Await(ctx context.Context, firstPart, seen int) (Snapshot, error) {
 	for {
-		view, changed := a.Snapshot(from)
-		if view.Ended || len(view.Parts) > 0 || (from == 0 && known < 1 && (view.Head != nil || view.Receipt != "")) {
-			return view, nil
+		snapshot, changed := a.Snapshot(firstPart)
+		if snapshot.Ended || len(snapshot.Parts) > 0 || (firstPart == 0 && seen < 1 && (snapshot.Head != nil || snapshot.Receipt != "")) {
+			return snapshot, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return view, ctx.Err()
+			return snapshot, ctx.Err()
 		}
 	}
 }
 
-// AwaitEnd returns the whole answer once it has ended.
+// AwaitEnd blocks until the answer has ended and returns all of it. If ctx is
+// done first, it returns the current snapshot and the error of ctx.
 func (a *Answer) AwaitEnd(ctx context.Context) (Snapshot, error) {
 	for {
-		view, changed := a.Snapshot(0)
-		if view.Ended {
-			return view, nil
+		snapshot, changed := a.Snapshot(0)
+		if snapshot.Ended {
+			return snapshot, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return view, ctx.Err()
+			return snapshot, ctx.Err()
 		}
 	}
 }
 
-// Size returns the bytes of the parts.
+// Size returns the total size of the parts in bytes.
 func (a *Answer) Size() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.size
 }
 
-// Store keeps answers by request id. Answers that ended are dropped after the
-// retention, or sooner when they take too much memory, the oldest first. It is
+// Store holds answers by request ID. Sweep evicts answers that have ended. It is
 // safe for concurrent use.
 type Store struct {
 	mutex   sync.Mutex
 	answers map[string]*Answer
-	ended   []endedAnswer
-	bytes   int
+	// ended is ordered by time, oldest first.
+	ended      []endedAnswer
+	endedBytes int
 }
 
 type endedAnswer struct {
-	answer *Answer
-	at     structs.Instant
-	size   int
+	answer  *Answer
+	endedAt structs.Instant
+	size    int
 }
 
-// NewStore returns an empty store.
 func NewStore() *Store { return &Store{answers: map[string]*Answer{}} }
 
-// Add enters an answer that has begun.
+// Add stores an answer under its request ID.
 func (s *Store) Add(answer *Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.answers[answer.RequestID] = answer
 }
 
-// Get returns the answer of the request.
 func (s *Store) Get(requestID string) (*Answer, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -204,27 +204,28 @@
 	return answer, found
 }
 
-// MarkEnded starts the retention of an answer.
+// MarkEnded starts the retention period of an answer, which must not grow any more.
 func (s *Store) MarkEnded(now structs.Instant, answer *Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	size := answer.Size()
-	s.ended = append(s.ended, endedAnswer{answer: answer, at: now, size: size})
-	s.bytes += size
+	s.ended = append(s.ended, endedAnswer{answer: answer, endedAt: now, size: size})
+	s.endedBytes += size
 }
 
-// Sweep drops answers past the retention or over the limit of bytes.
-func (s *Store) Sweep(now structs.Instant, retention time.Duration, limitBytes int) {
+// Sweep evicts ended answers, oldest first, that are past the retention period
+// or exceed maxBytes in total.
+func (s *Store) Sweep(now structs.Instant, retention time.Duration, maxBytes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	dropped := 0
+	evicted := 0
 	for _, entry := range s.ended {
-		if now-entry.at <= retention && s.bytes <= limitBytes {
+		if now-entry.endedAt <= retention && s.endedBytes <= maxBytes {
 			break
 		}
 		delete(s.answers, entry.answer.RequestID)
-		s.bytes -= entry.size
-		dropped++
+		s.endedBytes -= entry.size
+		evicted++
 	}
-	s.ended = s.ended[dropped:]
+	s.ended = s.ended[evicted:]
 }
--- a/state/backend/speed.go
+++ b/state/backend/speed.go
@@ -6,38 +6,39 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Weights of the moving averages. Slow-downs are believed within a few
-// requests, recoveries a little later.
+// Weights of a new sample in the exponential moving averages. Slowdowns are
+// adopted faster than recoveries.
 const (
 	speedGain    = 0.2
 	slowdownGain = 0.35
 	recoveryGain = 0.15
 )
 
-// Bounds of the learned slow-down.
+// Bounds of the learned slowdown.
 const (
-	minimumSlowdown = 0.5
-	maximumSlowdown = 50
+	minSlowdown = 0.5
+	maxSlowdown = 50
 )
 
-// Suspension of a replica after failed connects: doubled each time.
+// Bounds of the suspension after a failed connect; it doubles with each failure.
 const (
-	firstSuspension   = 100 * time.Millisecond
-	longestSuspension = 5 * time.Second
+	initialSuspension = 100 * time.Millisecond
+	maxSuspension     = 5 * time.Second
 )
 
-// Speed is the pace of an engine.
+// Speed is the processing speed of an engine.
 type Speed struct {
-	// PrefillRate is prompt tokens a second.
+	// PrefillRate is in prompt tokens per second.
 	PrefillRate float64
 	// StepTime is the time between tokens of one sequence.
 	StepTime time.Duration
 }
 
-// defaultSpeed serves until a generation has been observed.
+// defaultSpeed is assumed for a hardware generation without reports.
 var defaultSpeed = Speed{PrefillRate: 8000, StepTime: 10 * time.Millisecond}
 
-// Speeds are the paces of hardware generations, learned from reports.
+// Speeds holds the average speed of each hardware generation, learned from load
+// reports.
 type Speeds struct {
 	byGeneration map[string]Speed
 }
@@ -57,11 +58,11 @@
 	s.byGeneration[generation] = speed
 }
 
-// Speed returns the pace to expect of the replica: its report's, else its
-// generation's, else a default; slowed by what its answers showed.
-func (v *Table) Speed(state *ReplicaState) Speed {
+// Speed returns the expected speed of the replica: the reported one, else that of
+// its hardware generation, else a default, divided by its learned slowdown.
+func (t *Table) Speed(state *ReplicaState) Speed {
 	speed := defaultSpeed
-	if learned, known := v.speeds.byGeneration[state.Replica.HardwareGeneration]; known {
+	if learned, known := t.speeds.byGeneration[state.Replica.HardwareGeneration]; known {
 		speed = learned
 	}
 	if state.Report.PrefillRate > 0 {
@@ -75,8 +76,9 @@
 	return speed
 }
 
-// UpdateSlowdown compares an answer with what was expected of it. Both times are from
-// dispatch to end; ratios near one leave the replica's weight as it is.
+// UpdateSlowdown adjusts the slowdown after a request. Both times must cover the
+// same part of the request, and expected must come from Table.Speed, which includes
+// the current slowdown. Times that are not positive are ignored.
 func (s *ReplicaState) UpdateSlowdown(expected, observed time.Duration) {
 	if expected <= 0 || observed <= 0 {
 		return
@@ -87,18 +89,19 @@
 		gain = slowdownGain
 	}
 	s.Slowdown += gain * (ratio - s.Slowdown)
-	s.Slowdown = min(max(s.Slowdown, minimumSlowdown), maximumSlowdown)
+	s.Slowdown = min(max(s.Slowdown, minSlowdown), maxSlowdown)
 }
 
-// RecordConnectFailure suspends the replica for a time that doubles with each failure.
+// RecordConnectFailure suspends the replica. The suspension doubles with each
+// consecutive failure, up to maxSuspension.
 func (s *ReplicaState) RecordConnectFailure(now structs.Instant) {
-	suspension := min(firstSuspension<<min(s.failures, 10), longestSuspension)
-	s.failures++
+	suspension := min(initialSuspension<<min(s.connectFailures, 10), maxSuspension)
+	s.connectFailures++
 	s.SuspendedUntil = now + suspension
 }
 
-// RecordConnectSuccess ends a suspension.
+// RecordConnectSuccess ends the suspension and resets the failure count.
 func (s *ReplicaState) RecordConnectSuccess() {
-	s.failures = 0
+	s.connectFailures = 0
 	s.SuspendedUntil = 0
 }
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,9 +1,7 @@
-// Package catalog holds one version of the configuration by which requests are
-// routed: host and path routes, services, tenants and limits. A Catalog is
-// immutable once compiled; a newer version replaces it as a whole.
-//
-// The package does no I/O. The source of a catalog is an adapter (see package
-// platform) or a peer that relays it, in the form of Document.
+// Package catalog holds one version of the routing configuration: host and path
+// routes, services, tenants and limits. A Catalog is immutable; a newer version
+// replaces all of it. The package does no I/O: a Document comes from an adapter
+// (see package platform) or from a peer that relays it.
 package catalog
 
 import (
@@ -14,24 +12,23 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// RouteKind says what may be repeated.
+// RouteKind determines whether requests of a route may run more than once.
 type RouteKind string
 
-// The kinds of routes.
 const (
 	// KindSafe requests may run more than once.
 	KindSafe RouteKind = "safe"
 	// KindUnsafe requests run at most once.
 	KindUnsafe RouteKind = "unsafe"
-	// KindStreaming answers are series of events; they run at most once unless
-	// the route is resumable.
+	// KindStreaming requests are answered by a stream of events. They run at most
+	// once unless the route is resumable.
 	KindStreaming RouteKind = "streaming"
 )
 
-// WeightedService is a service that a route sends a share of its requests to.
+// WeightedService is a service that receives a share of a route's requests.
 type WeightedService struct {
 	Service string `msgpack:"s"`
-	// Weight is the share, relative to the other backends of the route.
+	// Weight is relative to those of the route's other backends.
 	Weight int `msgpack:"w"`
 }
 
@@ -41,67 +38,68 @@
 	Host       string    `msgpack:"h"`
 	PathPrefix string    `msgpack:"p"`
 	Kind       RouteKind `msgpack:"k"`
-	// Timeout is the longest time that a request is held; zero means no bound.
+	// Timeout bounds the total time of a request; zero means no bound.
 	Timeout time.Duration `msgpack:"t"`
-	// TargetLatency is the time within which an answer earns its full credit.
+	// TargetLatency is the target for the time until the response starts.
 	TargetLatency time.Duration `msgpack:"a"`
-	// TargetEventGap is the longest pause between two events of a stream.
+	// TargetEventGap is the target for the time between two events of a stream.
 	TargetEventGap time.Duration `msgpack:"g"`
-	// Priority orders routes; zero is the most urgent.
+	// Priority 0 is the most urgent; higher values are less urgent.
 	Priority int               `msgpack:"r"`
 	Backends []WeightedService `msgpack:"b"`
-	// MaxAttempts bounds the replicas that may run one request.
+	// MaxAttempts bounds how often one request is sent to a replica.
 	MaxAttempts int  `msgpack:"m"`
 	Public      bool `msgpack:"u"`
 	Sticky      bool `msgpack:"y"`
 	Resumable   bool `msgpack:"e"`
 }
 
-// Repeatable returns whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStreaming && r.Resumable)
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the model engines that run a service.
 type Engine struct {
 	Slots int `msgpack:"s"`
-	// TokensPerEvent is the number of tokens in one event of a stream.
-	TokensPerEvent int  `msgpack:"d"`
-	TokenCapacity  int  `msgpack:"k"`
-	Moves          bool `msgpack:"m"`
-	Backups        bool `msgpack:"b"`
+	// TokensPerEvent is the number of tokens in each event of a stream.
+	TokensPerEvent int `msgpack:"d"`
+	// TokenCapacity is the size of the KV cache in tokens.
+	TokenCapacity int  `msgpack:"k"`
+	Moves         bool `msgpack:"m"`
+	Backups       bool `msgpack:"b"`
 }
 
 // Service is a pool of replicas.
 type Service struct {
 	Name           string `msgpack:"n"`
 	MaxConnections int    `msgpack:"c"`
-	// WarmupTime is how long a replica stays cold after its start, and SlowStartRate the requests a
-	// second that it bears meanwhile; zero means any.
+	// WarmupTime is the time that a replica stays cold after its start.
+	// SlowStartRate bounds its requests per second meanwhile; zero means no bound.
 	WarmupTime    time.Duration `msgpack:"ct,omitempty"`
 	SlowStartRate float64       `msgpack:"cr,omitempty"`
 	// Engine is nil for plain services.
 	Engine *Engine `msgpack:"e"`
 }
 
-// Tenant is a holder of keys with a quota.
+// Tenant is a group of callers that share API keys, a priority and a quota.
 type Tenant struct {
 	Name string   `msgpack:"n"`
 	Keys []string `msgpack:"k"`
-	// Priority replaces that of the route if HasPriority is true.
+	// Priority overrides that of the route if HasPriority is true.
 	Priority    int  `msgpack:"p"`
 	HasPriority bool `msgpack:"h"`
-	// Rate is tokens (or requests) a second and Burst what may come on top;
-	// zero means no limit.
+	// Rate is the quota in tokens or requests per second and Burst the size of the
+	// token bucket; a zero Rate means no limit.
 	Rate  float64 `msgpack:"r"`
 	Burst float64 `msgpack:"b"`
-	// CountTokens is true if the quota counts tokens and false if requests.
+	// CountTokens means that the quota counts tokens instead of requests.
 	CountTokens bool `msgpack:"t"`
-	// DefaultTokens is what a request without a token count stands for.
+	// DefaultTokens is charged for a request without a token count.
 	DefaultTokens int `msgpack:"l"`
 }
 
-// Limits bound what callers may send.
+// Limits bound requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int           `msgpack:"h"`
 	BodyBytes     int64         `msgpack:"b"`
@@ -109,9 +107,9 @@
 	IdleTimeout   time.Duration `msgpack:"i"`
 }
 
-// Document is a configuration as it is relayed between nodes.
+// Document is the form in which nodes exchange a configuration.
 type Document struct {
-	// Version rises with each accepted change; zero means none.
+	// Version increases with each accepted change; zero means no configuration.
 	Version  int64     `msgpack:"v"`
 	Routes   []Route   `msgpack:"r"`
 	Services []Service `msgpack:"s"`
@@ -119,7 +117,8 @@
 	Limits   Limits    `msgpack:"l"`
 }
 
-// Catalog is a compiled document.
+// Catalog is a compiled Document with lookup indexes. It is immutable and safe for
+// concurrent use.
 type Catalog struct {
 	*Document
 	byHost   map[string]*hostRoutes
@@ -128,50 +127,51 @@
 	tenants  map[string]*Tenant
 }
 
-// hostRoutes finds the routes of one host. There may be thousands, so that a request does
-// not look at each.
+// hostRoutes indexes the routes of one host. There may be thousands, so match must
+// not scan all of them.
 type hostRoutes struct {
-	// byPrefix has the routes whose prefix ends with a slash, and partial the others,
-	// longest first, which may end within a segment of a path.
-	byPrefix map[string]*Route
-	partial  []*Route
-	// longest is the length of the longest prefix in byPrefix.
-	longest int
+	// slashPrefixes has the routes whose prefix ends with a slash. otherPrefixes has
+	// the others, longest first; they may match within a path segment.
+	slashPrefixes map[string]*Route
+	otherPrefixes []*Route
+	// maxSlashPrefixBytes is the length of the longest prefix in slashPrefixes.
+	maxSlashPrefixBytes int
 }
 
-// add enters a route. Of several with the same prefix the first counts.
+// add indexes a route. Of several routes with the same prefix the first one wins.
 func (h *hostRoutes) add(route *Route) {
 	if !strings.HasSuffix(route.PathPrefix, "/") {
-		h.partial = append(h.partial, route)
+		h.otherPrefixes = append(h.otherPrefixes, route)
 		return
 	}
-	if _, taken := h.byPrefix[route.PathPrefix]; !taken {
-		h.byPrefix[route.PathPrefix] = route
-		h.longest = max(h.longest, len(route.PathPrefix))
+	if _, exists := h.slashPrefixes[route.PathPrefix]; !exists {
+		h.slashPrefixes[route.PathPrefix] = route
+		h.maxSlashPrefixBytes = max(h.maxSlashPrefixBytes, len(route.PathPrefix))
 	}
 }
 
-// match returns the route with the longest prefix of the path, or nil.
+// match returns the route with the longest prefix of path, or nil.
 func (h *hostRoutes) match(path string) *Route {
-	var longest *Route
-	for end := min(len(path), h.longest); end > 0 && longest == nil; end-- {
+	var best *Route
+	for end := min(len(path), h.maxSlashPrefixBytes); end > 0 && best == nil; end-- {
 		if path[end-1] == '/' {
-			longest = h.byPrefix[path[:end]]
+			best = h.slashPrefixes[path[:end]]
 		}
 	}
-	for _, route := range h.partial {
-		if longest != nil && len(route.PathPrefix) < len(longest.PathPrefix) {
+	for _, route := range h.otherPrefixes {
+		if best != nil && len(route.PathPrefix) < len(best.PathPrefix) {
 			break
 		}
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
 	}
-	return longest
+	return best
 }
 
-// Compile checks the document and builds its indexes. The error is of kind
-// InvalidSettings and names path, value and remedy.
+// Compile validates the document and builds its indexes. The catalog retains the
+// document and sets route.MaxAttempts to at least 1. Errors are of kind
+// InvalidSettings and name the path and, if there is one, the invalid value.
 func Compile(document *Document) (*Catalog, error) {
 	c := &Catalog{
 		Document: document, byHost: map[string]*hostRoutes{}, byKey: map[string]*Tenant{},
@@ -189,7 +189,9 @@
 		}
 	}
 	for _, routes := range c.byHost {
-		sort.SliceStable(routes.partial, func(i, j int) bool { return len(routes.partial[i].PathPrefix) > len(routes.partial[j].PathPrefix) })
+		sort.SliceStable(routes.otherPrefixes, func(i, j int) bool {
+			return len(routes.otherPrefixes[i].PathPrefix) > len(routes.otherPrefixes[j].PathPrefix)
+		})
 	}
 	for i := range document.Tenants {
 		tenant := &document.Tenants[i]
@@ -205,7 +207,7 @@
 	switch route.Kind {
 	case KindSafe, KindUnsafe, KindStreaming:
 	default:
-		return errkind.New(errkind.InvalidSettings, "routes/%s/kind: %q is none of safe, unsafe and streaming", route.Name, route.Kind)
+		return errkind.New(errkind.InvalidSettings, "routes/%s/kind: %q is not one of safe, unsafe and streaming", route.Name, route.Kind)
 	}
 	if !strings.HasPrefix(route.PathPrefix, "/") {
 		return errkind.New(errkind.InvalidSettings, "routes/%s/path_prefix: %q does not begin with a slash", route.Name, route.PathPrefix)
@@ -217,14 +219,15 @@
 	host := strings.ToLower(route.Host)
 	routes, known := c.byHost[host]
 	if !known {
-		routes = &hostRoutes{byPrefix: map[string]*Route{}}
+		routes = &hostRoutes{slashPrefixes: map[string]*Route{}}
 		c.byHost[host] = routes
 	}
 	routes.add(route)
 	return nil
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil.
+// Match returns the route of host with the longest prefix of path, or nil. The case
+// of host and a port in it are ignored.
 func (c *Catalog) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
@@ -237,29 +240,29 @@
 	return routes.match(path)
 }
 
-// TenantOfKey returns the tenant that holds the key, or nil.
+// TenantOfKey returns the tenant that owns the API key, or nil.
 func (c *Catalog) TenantOfKey(key string) *Tenant { return c.byKey[key] }
 
-// Tenant returns the tenant with the name, or nil.
+// Tenant returns the tenant of that name, or nil.
 func (c *Catalog) Tenant(name string) *Tenant { return c.tenants[name] }
 
-// Service returns the service with the name, or nil.
+// Service returns the service of that name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// RequiresKey returns whether requests of the route need a tenant's key.
+// RequiresKey reports whether requests of the route need a tenant's API key.
 func (c *Catalog) RequiresKey(route *Route) bool { return len(c.Tenants) > 0 && !route.Public }
 
-// PickService returns the service for a request, where draw is evenly spread over
-// 0 (included) to 1 (excluded).
+// PickService returns the name of a service, chosen by weight. The caller passes a
+// random number draw that is uniform over [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, backend := range r.Backends {
 		total += max(backend.Weight, 0)
 	}
-	rest := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, backend := range r.Backends {
-		rest -= max(backend.Weight, 0)
-		if rest < 0 {
+		remaining -= max(backend.Weight, 0)
+		if remaining < 0 {
 			return backend.Service
 		}
 	}
--- a/state/catalog/catalog_test.go
+++ b/state/catalog/catalog_test.go
@@ -12,6 +12,7 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
+// document returns a valid document of the routes, with defaults for missing fields.
 func document(routes ...Route) *Document {
 	for i := range routes {
 		if routes[i].Kind == "" {
@@ -24,6 +25,7 @@
 	return &Document{Version: 1, Routes: routes, Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}}}}
 }
 
+// Guards the choice among routes with overlapping prefixes, and the lookup of hosts and keys.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	g := gomega.NewWithT(t)
 	compiled, err := Compile(document(
@@ -39,21 +41,23 @@
 	g.Expect(compiled.TenantOfKey("")).To(gomega.BeNil())
 }
 
-func TestWrongDocumentsAreRefusedWithPathAndValue(t *testing.T) {
+// Guards against errors that don't name the invalid part of a document.
+func TestInvalidDocumentsAreRejectedWithPathAndValue(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for text, wrong := range map[string]*Document{
+	for text, invalid := range map[string]*Document{
 		"version: 0":             {},
 		"routes/r/kind: \"odd\"": document(Route{Name: "r", Kind: "odd", PathPrefix: "/"}),
 		"routes/r/path_prefix":   document(Route{Name: "r", PathPrefix: "x"}),
 		"names no service":       document(Route{Name: "r", PathPrefix: "/", Backends: []WeightedService{}}),
 	} {
-		_, err := Compile(wrong)
+		_, err := Compile(invalid)
 		g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(text)))
 		g.Expect(errors.Is(err, errkind.InvalidSettings)).To(gomega.BeTrue())
 	}
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+// Guards the shares of a route's services, also when all weights are zero.
+func TestPickServiceFollowsTheWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	route := Route{Backends: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	counts := map[string]int{}
@@ -64,8 +68,8 @@
 	g.Expect((&Route{Backends: []WeightedService{{Service: "only"}}}).PickService(0.5)).To(gomega.Equal("only"))
 }
 
-// Any routes and any path: what is found is what looking at each route finds.
-func TestMatchFindsWhatLookingAtEachRouteFinds(t *testing.T) {
+// Guards the route index against results that differ from a scan of all routes.
+func TestMatchAgreesWithALinearSearch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "ab", "b", "", "a b"})
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -82,18 +86,18 @@
 		}
 		compiled, err := Compile(document)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		asked := path("path")
+		requestPath := path("path")
 		var expected *Route
 		for i := range document.Routes {
 			route := &document.Routes[i]
-			if strings.HasPrefix(asked, route.PathPrefix) && (expected == nil || len(route.PathPrefix) > len(expected.PathPrefix)) {
+			if strings.HasPrefix(requestPath, route.PathPrefix) && (expected == nil || len(route.PathPrefix) > len(expected.PathPrefix)) {
 				expected = route
 			}
 		}
 		if expected == nil {
-			g.Expect(compiled.Match("h", asked)).To(gomega.BeNil())
+			g.Expect(compiled.Match("h", requestPath)).To(gomega.BeNil())
 			return
 		}
-		g.Expect(compiled.Match("h", asked).Name).To(gomega.Equal(expected.Name))
+		g.Expect(compiled.Match("h", requestPath).Name).To(gomega.Equal(expected.Name))
 	})
 }
--- a/state/catalog/parts.go
+++ b/state/catalog/parts.go
@@ -12,38 +12,37 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// A version of the configuration travels between nodes in parts that are named by
-// their content, so that a node which has most of it is sent only what it lacks.
-// Routes are cut where their own content says so: adding or changing routes anywhere
-// in the list changes the parts around them and leaves the others as they are.
+// Nodes exchange a configuration in parts that are identified by the hash of their
+// content, so that a node fetches only the parts it lacks. The boundaries between
+// parts of routes are content-defined: a change of a route affects only the parts
+// next to it.
 
 const (
-	// meanRoutes is the number of routes that a part has on average. At some 200 bytes
-	// a route one part is about 6 kB when compressed, which costs 5 ms of a link of 10
-	// Mbit/s, and 5,600 routes make a list of 44 parts.
-	meanRoutes = 128
-	// mostRoutes bounds the routes of a part whose routes name no cut.
-	mostRoutes = 4 * meanRoutes
-	// mostTenants bounds the tenants of a part; a tenant has several keys that do not
-	// compress.
-	mostTenants = 128
-	// MaximumPart bounds a part in bytes before compression: mostRoutes routes of 4 kB.
-	MaximumPart = 2 << 20
+	// meanPartRoutes is the mean number of routes between two content-defined
+	// boundaries. Smaller parts lengthen the manifest, larger ones waste bandwidth.
+	meanPartRoutes = 128
+	// maxPartRoutes bounds the routes of a part without a content-defined boundary.
+	maxPartRoutes = 4 * meanPartRoutes
+	// maxPartTenants bounds the tenants of a part.
+	maxPartTenants = 128
+	// MaxPartBytes bounds the encoded size of a part before compression. It leaves
+	// 4 KiB for each of maxPartRoutes routes.
+	MaxPartBytes = 2 << 20
 )
 
-// Hash names a part by its content.
+// Hash identifies a part by its content.
 type Hash uint64
 
-// Part is a piece of a Document. The pieces of all parts in order make the document.
+// Part is a fragment of a Document. Join restores the document from all parts in order.
 type Part struct {
 	Routes   []Route   `msgpack:"r,omitempty"`
 	Services []Service `msgpack:"s,omitempty"`
 	Tenants  []Tenant  `msgpack:"t,omitempty"`
-	// Limits is set in one part only.
+	// Limits is set in exactly one part of a document.
 	Limits *Limits `msgpack:"l,omitempty"`
 }
 
-// Clone returns a part that shares no list with this one.
+// Clone returns a copy with slices of its own. Their elements and Limits are shared.
 func (p *Part) Clone() Part {
 	return Part{
 		Routes: slices.Clone(p.Routes), Services: slices.Clone(p.Services), Tenants: slices.Clone(p.Tenants),
@@ -51,55 +50,58 @@
 	}
 }
 
-// Manifest lists the parts of one version in order.
+// Manifest lists the hashes of a version's parts in order.
 type Manifest struct {
 	Version int64  `msgpack:"v"`
 	Parts   []Hash `msgpack:"p"`
 }
 
-// CompressedPart is a part as it travels: encoded and compressed. It is immutable.
+// CompressedPart is an encoded and compressed part, as sent to peers. It is immutable.
 type CompressedPart struct {
-	Hash    Hash
+	Hash Hash
+	// Content is compressed.
 	Content []byte
 	// Size is the length of the content before compression, in bytes.
 	Size int
 }
 
-// Split cuts the document into parts, the settings that all routes share first.
+// Split splits the document into parts: services and limits, then tenants, then
+// routes. The parts share memory with the document.
 func Split(document *Document) []Part {
 	limits := document.Limits
 	parts := []Part{{Services: document.Services, Limits: &limits}}
-	for rest := document.Tenants; len(rest) > 0; {
-		count := min(mostTenants, len(rest))
-		parts = append(parts, Part{Tenants: rest[:count]})
-		rest = rest[count:]
+	for remaining := document.Tenants; len(remaining) > 0; {
+		count := min(maxPartTenants, len(remaining))
+		parts = append(parts, Part{Tenants: remaining[:count]})
+		remaining = remaining[count:]
 	}
-	begin := 0
+	start := 0
 	for i := range document.Routes {
-		if i+1-begin >= mostRoutes || endsPart(&document.Routes[i]) {
-			parts = append(parts, Part{Routes: document.Routes[begin : i+1]})
-			begin = i + 1
+		if i+1-start >= maxPartRoutes || isPartBoundary(&document.Routes[i]) {
+			parts = append(parts, Part{Routes: document.Routes[start : i+1]})
+			start = i + 1
 		}
 	}
-	if begin < len(document.Routes) {
-		parts = append(parts, Part{Routes: document.Routes[begin:]})
+	if start < len(document.Routes) {
+		parts = append(parts, Part{Routes: document.Routes[start:]})
 	}
 	return parts
 }
 
-// endsPart returns whether a part ends with the route.
-func endsPart(route *Route) bool {
-	return xxhash.Sum64String(route.Host+route.PathPrefix)%meanRoutes == 0
+// isPartBoundary reports whether the route ends a part. It depends on the route's
+// host and prefix only, so that nodes agree and other changes keep the boundaries.
+func isPartBoundary(route *Route) bool {
+	return xxhash.Sum64String(route.Host+route.PathPrefix)%meanPartRoutes == 0
 }
 
-// Join makes the document of the parts, which share their content with it.
+// Join returns the document that consists of the parts. It shares memory with them.
 func Join(version int64, parts []Part) *Document {
 	document := &Document{Version: version}
-	routes := 0
+	routeCount := 0
 	for i := range parts {
-		routes += len(parts[i].Routes)
+		routeCount += len(parts[i].Routes)
 	}
-	document.Routes = make([]Route, 0, routes)
+	document.Routes = make([]Route, 0, routeCount)
 	for i := range parts {
 		part := &parts[i]
 		document.Routes = append(document.Routes, part.Routes...)
@@ -112,8 +114,8 @@
 	return document
 }
 
-// Encode returns the part's name and its content before compression. Two nodes that
-// have the same part get the same name.
+// Encode returns the encoded part, uncompressed, and its hash. Equal parts have equal
+// hashes on all nodes.
 func (p *Part) Encode() (Hash, []byte, error) {
 	content, err := msgpack.Marshal(p)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return Hash(xxhash.Sum64(content)), content, nil
 }
 
-// Compress compresses the content of a part.
+// Compress compresses the content that Part.Encode returned with the hash.
 func Compress(hash Hash, content []byte) (*CompressedPart, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
@@ -138,21 +140,22 @@
 	return &CompressedPart{Hash: hash, Content: bytes.Clone(buffer.Bytes()), Size: len(content)}, nil
 }
 
-// Decompress checks and decodes what a peer sent. The error is of kind BadFrame for content
-// that is cut short, too long or not a part.
+// Decompress decompresses and decodes a part received from a peer. The compressed
+// bytes are retained. Content that is truncated, longer than MaxPartBytes or not an
+// encoded part gives an error of kind BadFrame.
 func Decompress(compressed []byte) (*CompressedPart, *Part, error) {
 	reader := flate.NewReader(bytes.NewReader(compressed))
-	content, err := io.ReadAll(io.LimitReader(reader, MaximumPart+1))
+	content, err := io.ReadAll(io.LimitReader(reader, MaxPartBytes+1))
 	if err != nil {
 		return nil, nil, errkind.Wrap(errkind.BadFrame, err)
 	}
-	if len(content) > MaximumPart {
-		return nil, nil, errkind.New(errkind.BadFrame, "a part of the configuration is longer than %d bytes", MaximumPart)
+	if len(content) > MaxPartBytes {
+		return nil, nil, errkind.New(errkind.BadFrame, "decompress configuration part: content exceeds the maximum of %d bytes", MaxPartBytes)
 	}
 	part := &Part{}
 	if err := msgpack.Unmarshal(content, part); err != nil {
 		return nil, nil, errkind.Wrap(errkind.BadFrame, err)
 	}
-	packed := &CompressedPart{Hash: Hash(xxhash.Sum64(content)), Content: compressed, Size: len(content)}
-	return packed, part, nil
+	compressedPart := &CompressedPart{Hash: Hash(xxhash.Sum64(content)), Content: compressed, Size: len(content)}
+	return compressedPart, part, nil
 }
--- a/state/catalog/parts_test.go
+++ b/state/catalog/parts_test.go
@@ -11,7 +11,8 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// largeDocument has so many routes with names of usual length that share nothing.
+// largeDocument returns a document with the given number of routes, whose hosts and
+// prefixes are pseudo-random and the same in each call.
 func largeDocument(version int64, routes int) *Document {
 	random := rand.New(rand.NewPCG(7, 11))
 	document := &Document{Version: version, Limits: Limits{BodyBytes: 1 << 20}, Services: []Service{{Name: "engines"}, {Name: "registry"}}}
@@ -27,39 +28,42 @@
 	return document
 }
 
-// names returns the hashes of the document's parts in order, and the length of all of
-// them when compressed.
-func names(t testing.TB, document *Document) (hashes []Hash, compressed int) {
+// encodeParts returns the hashes of the document's parts in order and their total
+// compressed size.
+func encodeParts(t testing.TB, document *Document) (hashes []Hash, compressedBytes int) {
 	for _, part := range Split(document) {
 		hash, content, err := part.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		packed, err := Compress(hash, content)
+		compressedPart, err := Compress(hash, content)
 		if err != nil {
 			t.Fatal(err)
 		}
 		hashes = append(hashes, hash)
-		compressed += len(packed.Content)
+		compressedBytes += len(compressedPart.Content)
 	}
-	return hashes, compressed
+	return hashes, compressedBytes
 }
 
-func lacking(held, wanted []Hash) int {
-	have := map[Hash]bool{}
-	for _, hash := range held {
-		have[hash] = true
+// countMissing returns the number of wanted hashes that are not in available.
+func countMissing(available, wanted []Hash) int {
+	isAvailable := map[Hash]bool{}
+	for _, hash := range available {
+		isAvailable[hash] = true
 	}
 	count := 0
 	for _, hash := range wanted {
-		if !have[hash] {
+		if !isAvailable[hash] {
 			count++
 		}
 	}
 	return count
 }
 
-func TestPartsMakeTheDocumentAgain(t *testing.T) {
+// Guards against content that is lost or reordered on the way through Split, Encode,
+// Compress, Decompress and Join.
+func TestJoinRestoresTheSplitDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		document := largeDocument(5, rapid.IntRange(0, 1500).Draw(t, "routes"))
@@ -69,9 +73,9 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			sent, err := Compress(hash, content)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			packed, got, err := Decompress(sent.Content)
+			compressedPart, got, err := Decompress(sent.Content)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(packed.Hash).To(gomega.Equal(hash))
+			g.Expect(compressedPart.Hash).To(gomega.Equal(hash))
 			parts = append(parts, *got)
 		}
 		joined := Join(5, parts)
@@ -85,65 +89,66 @@
 	})
 }
 
-func TestAChangeTouchesFewParts(t *testing.T) {
+// Guards against small changes of the configuration that make peers fetch many parts.
+func TestAChangeAffectsFewParts(t *testing.T) {
 	g := gomega.NewWithT(t)
-	before, whole := names(t, largeDocument(1, 5600))
-	t.Logf("%d parts, %d bytes compressed", len(before), whole)
-	for _, place := range []int{0, 17, 2800, 5599} {
+	before, compressedBytes := encodeParts(t, largeDocument(1, 5600))
+	t.Logf("%d parts, %d bytes compressed", len(before), compressedBytes)
+	for _, index := range []int{0, 17, 2800, 5599} {
 		changed := largeDocument(2, 5600)
-		changed.Routes[place].MaxAttempts = 3
-		after, _ := names(t, changed)
-		g.Expect(lacking(before, after)).To(gomega.Equal(1), "route %d has other attempts", place)
+		changed.Routes[index].MaxAttempts = 3
+		after, _ := encodeParts(t, changed)
+		g.Expect(countMissing(before, after)).To(gomega.Equal(1), "route %d has a different MaxAttempts", index)
 		removed := largeDocument(3, 5600)
-		removed.Routes = append(removed.Routes[:place], removed.Routes[place+1:]...)
-		after, _ = names(t, removed)
-		g.Expect(lacking(before, after)).To(gomega.BeNumerically("<=", 1), "route %d is gone", place)
+		removed.Routes = append(removed.Routes[:index], removed.Routes[index+1:]...)
+		after, _ = encodeParts(t, removed)
+		g.Expect(countMissing(before, after)).To(gomega.BeNumerically("<=", 1), "route %d is removed", index)
 	}
-	fewer, _ := names(t, largeDocument(4, 4200))
-	g.Expect(lacking(fewer, before)).To(gomega.BeNumerically("<=", len(before)/4+3), "a quarter of the routes is new")
-	same, _ := names(t, largeDocument(9, 5600))
-	g.Expect(lacking(before, same)).To(gomega.BeZero(), "a version that changes nothing has no new part")
+	fewer, _ := encodeParts(t, largeDocument(4, 4200))
+	g.Expect(countMissing(fewer, before)).To(gomega.BeNumerically("<=", len(before)/4+3), "a quarter of the routes is added")
+	same, _ := encodeParts(t, largeDocument(9, 5600))
+	g.Expect(countMissing(before, same)).To(gomega.BeZero(), "a version without changes has no new part")
 }
 
-func TestOnlyWholePartsAreTaken(t *testing.T) {
+// Guards against truncated, foreign and excessively long content from a peer.
+func TestDecompressRejectsMalformedParts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	part := Split(largeDocument(1, 300))[2]
 	hash, content, err := part.Encode()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	packed, err := Compress(hash, content)
+	compressedPart, err := Compress(hash, content)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	for _, bad := range [][]byte{nil, packed.Content[:len(packed.Content)/2], []byte("no compressed part")} {
+	for _, bad := range [][]byte{nil, compressedPart.Content[:len(compressedPart.Content)/2], []byte("no compressed part")} {
 		_, _, err := Decompress(bad)
 		g.Expect(err).To(gomega.MatchError(errkind.BadFrame))
 	}
-	zeros, err := Compress(0, make([]byte, MaximumPart+1))
+	zeros, err := Compress(0, make([]byte, MaxPartBytes+1))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_, _, err = Decompress(zeros.Content)
-	g.Expect(err).To(gomega.MatchError(errkind.BadFrame), "few bytes that stand for very many")
+	g.Expect(err).To(gomega.MatchError(errkind.BadFrame), "a few bytes that decompress to more than the maximum")
 }
 
-// FuzzUnpack feeds any bytes in: they are refused or give a part, and never crash.
-func FuzzUnpack(f *testing.F) {
+// Guards against content from a peer that crashes the decoder or exceeds the maximum.
+func FuzzDecompress(f *testing.F) {
 	part := Split(largeDocument(1, 3))[2]
 	hash, content, err := part.Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
-	packed, err := Compress(hash, content)
+	compressedPart, err := Compress(hash, content)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(packed.Content)
+	f.Add(compressedPart.Content)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		packed, part, err := Decompress(content)
-		if err == nil && (part == nil || packed.Size > MaximumPart) {
+		compressedPart, part, err := Decompress(content)
+		if err == nil && (part == nil || compressedPart.Size > MaxPartBytes) {
 			t.Fatal("neither a part nor an error")
 		}
 	})
 }
 
-// BenchmarkCompile tells what taking a version of 5,600 routes into force costs, with
-// routes of one host and of many.
+// BenchmarkCompile measures compiling 5,600 routes, of one host and of many.
 func BenchmarkCompile(b *testing.B) {
 	for _, hosts := range []int{1, 1000} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -161,7 +166,7 @@
 	}
 }
 
-// BenchmarkMatch tells what finding the route of a request costs among 5,600 of one host.
+// BenchmarkMatch measures finding a request's route among 5,600 routes of one host.
 func BenchmarkMatch(b *testing.B) {
 	document := largeDocument(1, 5600)
 	for i := range document.Routes {
--- a/state/gossip/gossip.go
+++ b/state/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip spreads small items among the nodes of a zone at a rate that
-// does not grow with the zone: each node passes a new item on a limited number
-// of times, to random peers, and forgets it.
+// Package gossip selects the items that a node broadcasts by gossip: each node
+// retransmits a new item a limited number of times and then drops it, so that the
+// load of a node is bounded. The callers choose the peers and send the messages.
 package gossip
 
 import (
@@ -8,81 +8,82 @@
 	"sort"
 )
 
-// Factors of how often a node passes an item on, times the logarithm of the
-// zone's size. RetransmitReliable reaches every node with high probability, for news
-// that is told once. RetransmitMinimal passes an item on a few times only, for values
-// that are soon replaced by newer ones.
+// Retransmit factors: a node sends an item the factor times the binary logarithm
+// of the zone's size, and at least minTransmits times. RetransmitReliable reaches
+// every node with high probability and suits items that are announced once;
+// RetransmitMinimal suits values that newer ones replace soon.
 const (
 	RetransmitReliable = 4
 	RetransmitMinimal  = 0
 )
 
-// onceSends is how often a node passes an item on under RetransmitMinimal.
-const onceSends = 2
+// minTransmits is the least number of times that a node sends an item.
+const minTransmits = 2
 
-// item is something to pass on.
 type item[Key comparable, Value any] struct {
-	key   Key
-	value Value
-	sent  int
-	order uint64
+	key       Key
+	value     Value
+	transmits int
+	sequence  uint64
 }
 
-// BroadcastQueue holds the items that a node still passes on, at most one for a key.
+// BroadcastQueue holds the items that a node still has to send, at most one per key.
 // It is not safe for concurrent use.
 type BroadcastQueue[Key comparable, Value any] struct {
-	items   map[Key]*item[Key, Value]
-	limit   int
-	factor  int
-	counter uint64
+	items            map[Key]*item[Key, Value]
+	maxItems         int
+	retransmitFactor int
+	lastSequence     uint64
 }
 
-// NewBroadcastQueue returns a queue that keeps at most limit items; of more, those that
-// were passed on most often are dropped first. The factor is RetransmitReliable or
+// NewBroadcastQueue returns a queue of at most maxItems items; when it is full, the
+// item sent most often is dropped. The retransmitFactor is RetransmitReliable or
 // RetransmitMinimal.
-func NewBroadcastQueue[Key comparable, Value any](limit, factor int) *BroadcastQueue[Key, Value] {
-	return &BroadcastQueue[Key, Value]{items: map[Key]*item[Key, Value]{}, limit: limit, factor: factor}
+func NewBroadcastQueue[Key comparable, Value any](maxItems, retransmitFactor int) *BroadcastQueue[Key, Value] {
+	return &BroadcastQueue[Key, Value]{items: map[Key]*item[Key, Value]{}, maxItems: maxItems, retransmitFactor: retransmitFactor}
 }
 
-// Put enters a new value for the key, to be passed on afresh.
+// Put queues a value for the key. It replaces an earlier value and resets its
+// transmit count.
 func (q *BroadcastQueue[Key, Value]) Put(key Key, value Value) {
-	q.counter++
-	q.items[key] = &item[Key, Value]{key: key, value: value, order: q.counter}
-	if len(q.items) > q.limit {
-		sorted := q.sorted()
+	q.lastSequence++
+	q.items[key] = &item[Key, Value]{key: key, value: value, sequence: q.lastSequence}
+	if len(q.items) > q.maxItems {
+		sorted := q.sortedItems()
 		delete(q.items, sorted[len(sorted)-1].key)
 	}
 }
 
-// Take returns up to count values, those passed on least often first, for one
-// message in a zone of the given size.
-func (q *BroadcastQueue[Key, Value]) Take(count, members int) []Value {
-	if len(q.items) == 0 || count <= 0 {
+// Take returns up to maxCount values for one message, those sent least often first
+// and newer ones before older, and counts them as sent. The zoneSize is the number
+// of nodes in the zone.
+func (q *BroadcastQueue[Key, Value]) Take(maxCount, zoneSize int) []Value {
+	if len(q.items) == 0 || maxCount <= 0 {
 		return nil
 	}
-	sorted := q.sorted()
-	sorted = sorted[:min(count, len(sorted))]
+	sorted := q.sortedItems()
+	sorted = sorted[:min(maxCount, len(sorted))]
 	values := make([]Value, len(sorted))
 	for i, entry := range sorted {
 		values[i] = entry.value
-		entry.sent++
-		if entry.sent >= max(onceSends, q.factor*bits.Len(uint(members))) {
+		entry.transmits++
+		if entry.transmits >= max(minTransmits, q.retransmitFactor*bits.Len(uint(zoneSize))) {
 			delete(q.items, entry.key)
 		}
 	}
 	return values
 }
 
-func (q *BroadcastQueue[Key, Value]) sorted() []*item[Key, Value] {
+func (q *BroadcastQueue[Key, Value]) sortedItems() []*item[Key, Value] {
 	sorted := make([]*item[Key, Value], 0, len(q.items))
 	for _, entry := range q.items {
 		sorted = append(sorted, entry)
 	}
 	sort.Slice(sorted, func(i, j int) bool {
-		if sorted[i].sent != sorted[j].sent {
-			return sorted[i].sent < sorted[j].sent
+		if sorted[i].transmits != sorted[j].transmits {
+			return sorted[i].transmits < sorted[j].transmits
 		}
-		return sorted[i].order > sorted[j].order
+		return sorted[i].sequence > sorted[j].sequence
 	})
 	return sorted
 }
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -1,7 +1,7 @@
-// Package prefix keeps a bounded view of which replica is thought to hold
-// which prompt prefix. It learns from what was sent, from cache events (late
-// and with gaps) and from the cached-token counts in answers. The view may be
-// wrong in both directions; it steers scores and never correctness.
+// Package prefix keeps a bounded index of the prompt prefixes that replicas have
+// probably cached. It is fed with the prompts sent to replicas and with their cache
+// events, which may be late or lost. The index may be wrong in both directions, so
+// it may affect scores only, never correctness.
 package prefix
 
 import (
@@ -13,94 +13,96 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// maximumHolders bounds the replicas remembered for one block. A block held by
-// more is so common that any of them will do.
-const maximumHolders = 6
+// maxHoldersPerBlock bounds the replicas indexed for one block. Routing does not
+// need all holders of a common block.
+const maxHoldersPerBlock = 6
 
-// Index is what the routing pipeline asks of a view of the prefix caches.
+// Index is the view of the replicas' prefix caches that the routing pipeline uses. A
+// chain is the result of Chain.
 type Index interface {
-	// CachedTokens returns the prompt tokens that the replica is thought to hold.
+	// CachedTokens estimates the number of the prompt's tokens in the replica's cache.
 	CachedTokens(replica structs.ReplicaID, chain []uint64) int
-	// Holders returns replicas thought to hold the longest known part.
+	// Holders returns replicas that probably hold the longest indexed prefix.
 	Holders(chain []uint64) []structs.ReplicaID
-	// Sent records that the replica was sent a prompt with the chain.
+	// Sent records that a prompt with the chain was sent to the replica.
 	Sent(replica structs.ReplicaID, chain []uint64)
 	// Event applies a cache event of the replica.
 	Event(replica structs.ReplicaID, event structs.CacheEvent)
 }
 
-// LRUIndex maps prefix blocks to the replicas thought to hold them.
+// LRUIndex is an Index that evicts the least recently used blocks. It is not safe for
+// concurrent use.
 type LRUIndex struct {
 	blocks *simplelru.LRU[uint64, []structs.ReplicaID]
 }
 
-// NewLRUIndex returns a view of at most capacity blocks.
-func NewLRUIndex(capacity int) *LRUIndex {
-	blocks, err := simplelru.NewLRU[uint64, []structs.ReplicaID](max(capacity, 1), nil)
+// NewLRUIndex returns an index of at most maxBlocks blocks.
+func NewLRUIndex(maxBlocks int) *LRUIndex {
+	blocks, err := simplelru.NewLRU[uint64, []structs.ReplicaID](max(maxBlocks, 1), nil)
 	if err != nil {
 		panic(err) // unreachable: the size is positive
 	}
 	return &LRUIndex{blocks: blocks}
 }
 
-// Len returns the number of blocks in the view.
-func (v *LRUIndex) Len() int { return v.blocks.Len() }
+// Len returns the number of indexed blocks.
+func (l *LRUIndex) Len() int { return l.blocks.Len() }
 
-// Sent records that the replica was sent a prompt with the chain.
-func (v *LRUIndex) Sent(replica structs.ReplicaID, chain []uint64) {
+// Sent records that a prompt with the chain was sent to the replica.
+func (l *LRUIndex) Sent(replica structs.ReplicaID, chain []uint64) {
 	for _, block := range chain {
-		v.add(replica, block)
+		l.add(replica, block)
 	}
 }
 
 // Event applies a cache event of the replica.
-func (v *LRUIndex) Event(replica structs.ReplicaID, event structs.CacheEvent) {
+func (l *LRUIndex) Event(replica structs.ReplicaID, event structs.CacheEvent) {
 	if event.Stored {
-		v.add(replica, event.Block)
+		l.add(replica, event.Block)
 		return
 	}
-	v.remove(replica, event.Block)
+	l.remove(replica, event.Block)
 }
 
-// Forget drops everything known of the replica, such as after it restarted.
-func (v *LRUIndex) Forget(replica structs.ReplicaID) {
-	for _, block := range v.blocks.Keys() {
-		v.remove(replica, block)
+// RemoveReplica removes the replica from all blocks, for instance after a restart.
+func (l *LRUIndex) RemoveReplica(replica structs.ReplicaID) {
+	for _, block := range l.blocks.Keys() {
+		l.remove(replica, block)
 	}
 }
 
-func (v *LRUIndex) add(replica structs.ReplicaID, block uint64) {
-	holders, _ := v.blocks.Get(block)
+func (l *LRUIndex) add(replica structs.ReplicaID, block uint64) {
+	holders, _ := l.blocks.Get(block)
 	if slices.Contains(holders, replica) {
 		return
 	}
-	if len(holders) >= maximumHolders {
+	if len(holders) >= maxHoldersPerBlock {
 		holders = holders[1:]
 	}
-	grown := make([]structs.ReplicaID, 0, len(holders)+1)
-	grown = append(grown, holders...)
-	v.blocks.Add(block, append(grown, replica))
+	updated := make([]structs.ReplicaID, 0, len(holders)+1)
+	updated = append(updated, holders...)
+	l.blocks.Add(block, append(updated, replica))
 }
 
-func (v *LRUIndex) remove(replica structs.ReplicaID, block uint64) {
-	holders, found := v.blocks.Peek(block)
+func (l *LRUIndex) remove(replica structs.ReplicaID, block uint64) {
+	holders, found := l.blocks.Peek(block)
 	if !found || !slices.Contains(holders, replica) {
 		return
 	}
-	kept := slices.DeleteFunc(slices.Clone(holders), func(holder structs.ReplicaID) bool { return holder == replica })
-	if len(kept) == 0 {
-		v.blocks.Remove(block)
+	remaining := slices.DeleteFunc(slices.Clone(holders), func(holder structs.ReplicaID) bool { return holder == replica })
+	if len(remaining) == 0 {
+		l.blocks.Remove(block)
 		return
 	}
-	v.blocks.Add(block, kept)
+	l.blocks.Add(block, remaining)
 }
 
-// CachedTokens returns the prompt tokens that the replica is thought to hold.
-// It looks from the end of the chain: of what other nodes sent only the last
-// block is known, and a block that is held stands for all before it.
-func (v *LRUIndex) CachedTokens(replica structs.ReplicaID, chain []uint64) int {
+// CachedTokens estimates the number of the prompt's tokens in the replica's cache. It
+// searches from the end of the chain, since a cached block implies all blocks before
+// it, and other nodes report only the last block that they sent.
+func (l *LRUIndex) CachedTokens(replica structs.ReplicaID, chain []uint64) int {
 	for index := len(chain) - 1; index >= 0; index-- {
-		holders, known := v.blocks.Peek(chain[index])
+		holders, known := l.blocks.Peek(chain[index])
 		if known && slices.Contains(holders, replica) {
 			return (index + 1) * structs.BlockTokens
 		}
@@ -108,30 +110,29 @@
 	return 0
 }
 
-// Holders returns the replicas thought to hold the longest known part of the
-// chain. The result must not be changed.
-func (v *LRUIndex) Holders(chain []uint64) []structs.ReplicaID {
+// Holders returns the replicas that probably hold the longest indexed prefix of the
+// chain. The caller must not modify the result.
+func (l *LRUIndex) Holders(chain []uint64) []structs.ReplicaID {
 	for index := len(chain) - 1; index >= 0; index-- {
-		if holders, known := v.blocks.Peek(chain[index]); known {
+		if holders, known := l.blocks.Peek(chain[index]); known {
 			return holders
 		}
 	}
 	return nil
 }
 
-// bytesPerToken approximates the length of a token of ordinary text.
+// bytesPerToken approximates the length of a token.
 const bytesPerToken = 4
 
-// Tokens approximates the number of tokens of a text of the given length.
+// Tokens approximates the number of tokens of a text from its length in bytes.
 func Tokens(length int) int { return (length + bytesPerToken - 1) / bytesPerToken }
 
-// Chain returns the hash chain of the whole blocks of a prompt's text. Two
-// prompts share the first n elements if they share the first n blocks. The
-// salt keeps models and adapters apart.
+// Chain returns the hash chain of a prompt's complete blocks: element n identifies
+// the salt and blocks 0 to n. The salt separates the caches of models and adapters.
 func Chain(salt, prompt string) []uint64 {
 	const blockBytes = structs.BlockTokens * bytesPerToken
 	digest := xxhash.New()
-	_, _ = digest.WriteString(salt) // Digest never fails
+	_, _ = digest.WriteString(salt) // xxhash.Digest returns no errors
 	chain := make([]uint64, 0, len(prompt)/blockBytes)
 	for start := 0; start+blockBytes <= len(prompt); start += blockBytes {
 		_, _ = digest.WriteString(prompt[start : start+blockBytes])
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue holds the requests that wait at a node for one pool of
-// replicas. Tiers are strict: a request of a higher tier is always ahead.
-// Inside a tier tenants share by weight (start-time fair queueing), and a
-// request that has waited longer than the aging limit goes ahead of the share.
+// Package queue orders the requests that are queued at a node for one pool of
+// replicas. Tiers have strict priority. Within a tier tenants share by weight
+// (start-time fair queueing), except that requests queued longer than an aging limit
+// come first, oldest first.
 package queue
 
 import (
@@ -12,52 +12,53 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Item is one waiting request.
+// Item is a queued request.
 type Item struct {
 	Request *structs.Request
-	// Work is the estimated engine time that the request takes.
+	// Work is the estimated engine time of the request.
 	Work time.Duration
-	// start is the virtual start time of the item inside its tier.
-	start float64
+	// startTag is the virtual start time of the item within its tier.
+	startTag float64
 }
 
-// Queue is the waiting requests of one pool. It is not safe for concurrent use.
+// Queue holds the queued requests of one pool. It is not safe for concurrent use.
 type Queue struct {
+	// tiers is ordered by rank, highest tier (lowest rank) first.
 	tiers []*tier
 	byID  map[string]*Item
 }
 
-// tier is the waiting requests of one rank.
+// tier holds the queued requests of one rank.
 type tier struct {
 	rank    structs.Rank
-	tenants map[string]*lane
-	// virtual is the virtual time: the start tag of the last item taken.
-	virtual float64
-	count   int
-	work    time.Duration
+	tenants map[string]*tenantQueue
+	// virtualTime is the highest start tag of the removed items.
+	virtualTime float64
+	count       int
+	work        time.Duration
 }
 
-// lane is the waiting requests of one tenant, oldest first.
-type lane struct {
-	items  []*Item
-	finish float64
+// tenantQueue holds the queued requests of one tenant within a tier, oldest first.
+type tenantQueue struct {
+	items []*Item
+	// lastFinishTag is the virtual finish time of the item pushed last.
+	lastFinishTag float64
 }
 
-// New returns an empty queue.
 func New() *Queue { return &Queue{byID: map[string]*Item{}} }
 
-// Len returns the number of waiting requests.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// TierLen returns the number of waiting requests of the rank.
+// TierLen returns the number of queued requests of the rank.
 func (q *Queue) TierLen(rank structs.Rank) int {
-	if t := q.find(rank); t != nil {
+	if t := q.findTier(rank); t != nil {
 		return t.count
 	}
 	return 0
 }
 
-// WorkAhead returns the work of all requests of the rank and above.
+// WorkAhead returns the total work of the requests of the rank and of higher tiers.
 func (q *Queue) WorkAhead(rank structs.Rank) time.Duration {
 	var work time.Duration
 	for _, t := range q.tiers {
@@ -68,60 +69,63 @@
 	return work
 }
 
-// Push adds a request with its estimated work.
+// Push adds a request with its estimated engine time. A weight that is not positive
+// counts as 1.
 func (q *Queue) Push(request *structs.Request, work time.Duration) {
-	t := q.tier(request.Rank)
-	l, found := t.tenants[request.Tenant]
+	t := q.findOrAddTier(request.Rank)
+	tenant, found := t.tenants[request.Tenant]
 	if !found {
-		l = &lane{}
-		t.tenants[request.Tenant] = l
+		tenant = &tenantQueue{}
+		t.tenants[request.Tenant] = tenant
 	}
-	item := &Item{Request: request, Work: work, start: max(t.virtual, l.finish)}
+	item := &Item{Request: request, Work: work, startTag: max(t.virtualTime, tenant.lastFinishTag)}
 	weight := request.Weight
 	if weight <= 0 {
 		weight = 1
 	}
-	l.finish = item.start + work.Seconds()/weight
-	l.items = append(l.items, item)
+	tenant.lastFinishTag = item.startTag + work.Seconds()/weight
+	tenant.items = append(tenant.items, item)
 	t.count++
 	t.work += work
 	q.byID[request.ID] = item
 }
 
-// Order returns up to limit requests in the order in which they should start.
-// The result is in the queue still.
-func (q *Queue) Order(now structs.Instant, agingLimit time.Duration, limit int) []*Item {
+// Order returns up to maxItems items in the order in which they should be dispatched,
+// without removing them.
+func (q *Queue) Order(now structs.Instant, agingLimit time.Duration, maxItems int) []*Item {
 	var items []*Item
 	for _, t := range q.tiers {
-		items = t.order(now, agingLimit, limit, items)
+		items = t.appendOrdered(now, agingLimit, maxItems, items)
 	}
 	return items
 }
 
-// order merges the lanes: first the oldest requests past the aging limit, then
-// by virtual start; equal starts go by id, so that the order is always the same.
-func (t *tier) order(now structs.Instant, agingLimit time.Duration, limit int, items []*Item) []*Item {
-	lanes := make([][]*Item, 0, len(t.tenants))
-	for _, l := range t.tenants {
-		lanes = append(lanes, l.items)
+// appendOrdered appends the tier's items to items, up to maxItems in total, by merging
+// the queues of the tenants.
+func (t *tier) appendOrdered(now structs.Instant, agingLimit time.Duration, maxItems int, items []*Item) []*Item {
+	pending := make([][]*Item, 0, len(t.tenants))
+	for _, tenant := range t.tenants {
+		pending = append(pending, tenant.items)
 	}
-	for len(items) < limit {
+	for len(items) < maxItems {
 		best := -1
-		for i := range lanes {
-			if len(lanes[i]) > 0 && (best < 0 || before(lanes[i][0], lanes[best][0], now, agingLimit)) {
+		for i := range pending {
+			if len(pending[i]) > 0 && (best < 0 || startsBefore(pending[i][0], pending[best][0], now, agingLimit)) {
 				best = i
 			}
 		}
 		if best < 0 {
 			break
 		}
-		items = append(items, lanes[best][0])
-		lanes[best] = lanes[best][1:]
+		items = append(items, pending[best][0])
+		pending[best] = pending[best][1:]
 	}
 	return items
 }
 
-func before(a, b *Item, now structs.Instant, agingLimit time.Duration) bool {
+// startsBefore reports whether a is ahead of b: first the oldest requests past the
+// aging limit, then by start tag; the ID makes the order deterministic.
+func startsBefore(a, b *Item, now structs.Instant, agingLimit time.Duration) bool {
 	agedA, agedB := now-a.Request.Arrived > agingLimit, now-b.Request.Arrived > agingLimit
 	if agedA != agedB {
 		return agedA
@@ -129,13 +133,13 @@
 	if agedA && a.Request.Arrived != b.Request.Arrived {
 		return a.Request.Arrived < b.Request.Arrived
 	}
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.Request.ID < b.Request.ID
 }
 
-// Ranks returns the ranks that have waiting requests, highest tier first.
+// Ranks returns the ranks that have queued requests, highest tier first.
 func (q *Queue) Ranks() []structs.Rank {
 	var ranks []structs.Rank
 	for _, t := range q.tiers {
@@ -146,15 +150,15 @@
 	return ranks
 }
 
-// ByDeadline returns the waiting requests of the rank, earliest deadline first.
+// ByDeadline returns the queued items of the rank, earliest deadline first.
 func (q *Queue) ByDeadline(rank structs.Rank) []*Item {
-	t := q.find(rank)
+	t := q.findTier(rank)
 	if t == nil {
 		return nil
 	}
 	items := make([]*Item, 0, t.count)
-	for _, l := range t.tenants {
-		items = append(items, l.items...)
+	for _, tenant := range t.tenants {
+		items = append(items, tenant.items...)
 	}
 	slices.SortFunc(items, func(a, b *Item) int {
 		return cmp.Or(cmp.Compare(a.Request.Deadline, b.Request.Deadline), cmp.Compare(a.Request.ID, b.Request.ID))
@@ -162,42 +166,43 @@
 	return items
 }
 
-// Remove takes the request out and returns false if it does not wait here.
+// Remove removes the request and reports whether it was queued.
 func (q *Queue) Remove(id string) bool {
 	item, found := q.byID[id]
 	if !found {
 		return false
 	}
 	delete(q.byID, id)
-	t := q.tier(item.Request.Rank)
-	l := t.tenants[item.Request.Tenant]
-	l.items = slices.DeleteFunc(l.items, func(other *Item) bool { return other == item })
-	if len(l.items) == 0 {
+	t := q.findOrAddTier(item.Request.Rank)
+	tenant := t.tenants[item.Request.Tenant]
+	tenant.items = slices.DeleteFunc(tenant.items, func(other *Item) bool { return other == item })
+	if len(tenant.items) == 0 {
 		delete(t.tenants, item.Request.Tenant)
 	}
 	t.count--
 	t.work -= item.Work
-	t.virtual = max(t.virtual, item.start)
+	t.virtualTime = max(t.virtualTime, item.startTag)
 	return true
 }
 
-// LowerTiers returns the waiting requests of ranks greater than the given one,
-// which are lower tiers, lowest first.
+// LowerTiers returns the queued requests of the tiers below the rank, lowest tier
+// first and oldest first within a tier.
 func (q *Queue) LowerTiers(rank structs.Rank) []*structs.Request {
 	var requests []*structs.Request
 	for i := len(q.tiers) - 1; i >= 0 && q.tiers[i].rank > rank; i-- {
-		requests = append(requests, q.tiers[i].requests()...)
+		requests = append(requests, q.tiers[i].byArrival()...)
 	}
 	return requests
 }
 
-// All returns every waiting request, lowest tier first.
+// All returns all queued requests in the order of LowerTiers.
 func (q *Queue) All() []*structs.Request { return q.LowerTiers(-1) }
 
-func (t *tier) requests() []*structs.Request {
+// byArrival returns the tier's requests, oldest first.
+func (t *tier) byArrival() []*structs.Request {
 	var requests []*structs.Request
-	for _, l := range t.tenants {
-		for _, item := range l.items {
+	for _, tenant := range t.tenants {
+		for _, item := range tenant.items {
 			requests = append(requests, item.Request)
 		}
 	}
@@ -207,7 +212,8 @@
 	return requests
 }
 
-func (q *Queue) find(rank structs.Rank) *tier {
+// findTier returns the tier of the rank, or nil.
+func (q *Queue) findTier(rank structs.Rank) *tier {
 	for _, t := range q.tiers {
 		if t.rank == rank {
 			return t
@@ -216,11 +222,12 @@
 	return nil
 }
 
-func (q *Queue) tier(rank structs.Rank) *tier {
-	if t := q.find(rank); t != nil {
+// findOrAddTier returns the tier of the rank and adds it if necessary.
+func (q *Queue) findOrAddTier(rank structs.Rank) *tier {
+	if t := q.findTier(rank); t != nil {
 		return t
 	}
-	t := &tier{rank: rank, tenants: map[string]*lane{}}
+	t := &tier{rank: rank, tenants: map[string]*tenantQueue{}}
 	index, _ := slices.BinarySearchFunc(q.tiers, rank, func(other *tier, r structs.Rank) int { return int(other.rank - r) })
 	q.tiers = slices.Insert(q.tiers, index, t)
 	return t
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the table of keyed requests that a node keeps as owner
-// or backup for its zone. It is soft state: it survives the loss of either of
-// the two, not of both at once. It does no I/O and reads no clock.
+// Package registry is the table of keyed requests that a node keeps as owner or
+// backup for its zone. It is soft state: the loss of one of the two nodes is
+// tolerated, the loss of both is not. It does no I/O and reads no clock.
 package registry
 
 import (
@@ -11,127 +11,131 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Key identifies a keyed request: a key reused by two tenants is two requests.
+// Key identifies a keyed request. Keys of different tenants are independent.
 type Key struct {
 	Tenant string `msgpack:"t"`
 	Key    string `msgpack:"k"`
 }
 
-// Progress is how far a keyed request has come.
+// Progress is the stage that a keyed request has reached.
 type Progress uint8
 
 const (
-	// Registered means that nothing was sent to a back end.
+	// Registered means that nothing was sent to a replica.
 	Registered Progress = iota + 1
-	// Dispatched means that a byte may have been sent.
+	// Dispatched means that the request may have been sent, in full or in part.
 	Dispatched
-	// Ended means that the dispatcher told its caller the outcome.
+	// Ended means that the outcome is known.
 	Ended
 )
 
-// Entry is one keyed request.
+// Entry is the record of one keyed request.
 type Entry struct {
 	Key Key `msgpack:"k"`
-	// BodyHash tells a resubmission from a different request under the key.
+	// BodyHash distinguishes a resubmission from a different request with the key.
 	BodyHash  uint64 `msgpack:"h"`
 	RequestID string `msgpack:"r"`
-	// Node and Process name the process that dispatches the request.
+	// Node and Process identify the process that dispatches the request.
 	Node    string `msgpack:"n"`
 	Process uint64 `msgpack:"p"`
-	// Address is where that process serves callers.
+	// Address is the address at which that process serves callers.
 	Address  string          `msgpack:"a"`
 	Progress Progress        `msgpack:"s"`
 	Outcome  structs.Outcome `msgpack:"o"`
-	// Receipt is set from Dispatched on.
+	// Receipt is empty before Dispatched.
 	Receipt string `msgpack:"c"`
 }
 
-// Table holds entries for a time after their last change. It is bounded:
-// entries of requests that have not ended are never dropped for new ones.
+// Table is a bounded set of entries that expire some time after their last change.
+// Entries of requests that have not ended are not evicted for new ones. It is not
+// safe for concurrent use.
 type Table struct {
-	entries map[Key]*kept
-	// ended lists keys in the order in which they ended; some may have been
-	// taken by new requests or dropped since.
-	ended     []Key
-	limit     int
-	retention time.Duration
-	sweptAt   structs.Instant
+	entries map[Key]*timedEntry
+	// endedKeys lists keys in the order in which their requests ended. Their entries
+	// may have been replaced or removed since.
+	endedKeys  []Key
+	maxEntries int
+	retention  time.Duration
+	lastSweep  structs.Instant
 }
 
-// kept is an entry with the time of its last change.
-type kept struct {
+// timedEntry is an entry with the time of its last change.
+type timedEntry struct {
 	Entry
-	at structs.Instant
+	changedAt structs.Instant
 }
 
-// NewTable returns an empty table.
-func NewTable(limit int, retention time.Duration) *Table {
-	return &Table{entries: map[Key]*kept{}, limit: limit, retention: retention}
+// NewTable returns an empty table. The retention is the time after which entries of
+// ended requests expire.
+func NewTable(maxEntries int, retention time.Duration) *Table {
+	return &Table{entries: map[Key]*timedEntry{}, maxEntries: maxEntries, retention: retention}
 }
 
-// SetLimits takes changed settings into force.
-func (t *Table) SetLimits(limit int, retention time.Duration) {
-	t.limit, t.retention = limit, retention
+// SetLimits changes the limits. Existing entries over maxEntries stay.
+func (t *Table) SetLimits(maxEntries int, retention time.Duration) {
+	t.maxEntries, t.retention = maxEntries, retention
 }
 
 // Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Register enters the request unless its key is taken; it returns the entry in
-// force and whether it is the caller's. Errors: kind KeyReused if the key is
-// taken by a request with another body; Limited if the table is full.
+// Register adds the entry unless another request has its key. It returns the current
+// entry of the key and whether that belongs to the caller's request. Errors are of
+// kind KeyReused if the key's request has another body, and Limited if the table is
+// full.
 func (t *Table) Register(now structs.Instant, entry Entry) (Entry, bool, error) {
 	t.sweep(now)
 	existing, found := t.entries[entry.Key]
 	if found && existing.RequestID == entry.RequestID {
 		if entry.Progress >= existing.Progress {
-			t.entries[entry.Key] = &kept{Entry: entry, at: now}
+			t.entries[entry.Key] = &timedEntry{Entry: entry, changedAt: now}
 		}
 		return t.entries[entry.Key].Entry, true, nil
 	}
 	if found && existing.BodyHash != entry.BodyHash {
-		return Entry{}, false, errkind.New(errkind.KeyReused, "the key belongs to a request with another body")
+		return Entry{}, false, errkind.New(errkind.KeyReused, "the key is already used by a request with a different body")
 	}
-	// A request that ended as not run frees its key: it did not run.
+	// A request that did not run frees its key.
 	if found && !(existing.Progress == Ended && existing.Outcome == structs.OutcomeNotRun) {
 		return existing.Entry, false, nil
 	}
-	if !found && len(t.entries) >= t.limit && !t.dropEnded() {
-		return Entry{}, false, errkind.New(errkind.Limited, "%d keyed requests are open in the registry", len(t.entries))
+	if !found && len(t.entries) >= t.maxEntries && !t.evictEnded() {
+		return Entry{}, false, errkind.New(errkind.Limited, "the registry is full: %d entries, none of them evictable", len(t.entries))
 	}
-	t.entries[entry.Key] = &kept{Entry: entry, at: now}
+	t.entries[entry.Key] = &timedEntry{Entry: entry, changedAt: now}
 	return entry, true, nil
 }
 
-// Update records the progress of the request. It returns false if the key now
-// belongs to another request, in which case this one must not be dispatched.
+// Update records the progress of the request, which never decreases, and adds a
+// missing entry. It returns false if the key belongs to another request; then this
+// one must not be dispatched.
 func (t *Table) Update(now structs.Instant, entry Entry) bool {
 	existing, found := t.entries[entry.Key]
 	if found && existing.RequestID != entry.RequestID {
 		return false
 	}
 	if !found || entry.Progress >= existing.Progress {
-		t.entries[entry.Key] = &kept{Entry: entry, at: now}
+		t.entries[entry.Key] = &timedEntry{Entry: entry, changedAt: now}
 		if entry.Progress == Ended {
-			t.ended = append(t.ended, entry.Key)
+			t.endedKeys = append(t.endedKeys, entry.Key)
 		}
 	}
 	return true
 }
 
-// TakeOver gives the key to a new request if the one that has it was only
-// registered. The caller has established that its process is gone; if that is
-// wrong, the old process learns it from Update before it dispatches.
-func (t *Table) TakeOver(now structs.Instant, old string, entry Entry) bool {
+// TakeOver assigns the key to a new request and returns true, unless the key belongs
+// to a request other than oldRequestID or that one was dispatched. The caller must
+// have found the old process dead; if it is alive, Update keeps it from dispatching.
+func (t *Table) TakeOver(now structs.Instant, oldRequestID string, entry Entry) bool {
 	existing, found := t.entries[entry.Key]
-	if found && (existing.RequestID != old || existing.Progress != Registered) {
+	if found && (existing.RequestID != oldRequestID || existing.Progress != Registered) {
 		return false
 	}
-	t.entries[entry.Key] = &kept{Entry: entry, at: now}
+	t.entries[entry.Key] = &timedEntry{Entry: entry, changedAt: now}
 	return true
 }
 
-// Lookup returns the entry of the key.
+// Lookup returns the entry of the key and whether there is one.
 func (t *Table) Lookup(key Key) (Entry, bool) {
 	existing, found := t.entries[key]
 	if !found {
@@ -142,32 +146,34 @@
 
 const sweepInterval = time.Second
 
-// openRetentionFactor bounds how long an entry that never ended is kept, as a
-// multiple of the retention: its dispatcher died without a successor.
-const openRetentionFactor = 10
+// unfinishedRetentionFactor times the retention is the expiry time of entries whose
+// request has not ended, because its dispatcher died without a successor.
+const unfinishedRetentionFactor = 10
 
+// sweep removes expired entries, at most once per sweepInterval.
 func (t *Table) sweep(now structs.Instant) {
-	if now-t.sweptAt < sweepInterval {
+	if now-t.lastSweep < sweepInterval {
 		return
 	}
-	t.sweptAt = now
-	t.ended = slices.DeleteFunc(t.ended, func(key Key) bool {
+	t.lastSweep = now
+	t.endedKeys = slices.DeleteFunc(t.endedKeys, func(key Key) bool {
 		entry, found := t.entries[key]
 		return !found || entry.Progress != Ended
 	})
 	for key, entry := range t.entries {
-		age := now - entry.at
-		if (entry.Progress == Ended && age > t.retention) || age > openRetentionFactor*t.retention {
+		age := now - entry.changedAt
+		if (entry.Progress == Ended && age > t.retention) || age > unfinishedRetentionFactor*t.retention {
 			delete(t.entries, key)
 		}
 	}
 }
 
-// dropEnded makes room by dropping the entry that ended first.
-func (t *Table) dropEnded() bool {
-	for len(t.ended) > 0 {
-		key := t.ended[0]
-		t.ended = t.ended[1:]
+// evictEnded evicts the entry whose request ended first and reports whether there was
+// one.
+func (t *Table) evictEnded() bool {
+	for len(t.endedKeys) > 0 {
+		key := t.endedKeys[0]
+		t.endedKeys = t.endedKeys[1:]
 		if entry, found := t.entries[key]; found && entry.Progress == Ended {
 			delete(t.entries, key)
 			return true
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses members by highest random weight, so that every
-// node with the same member list makes the same choice, and the loss of one
-// member moves only what that member held.
+// Package rendezvous implements rendezvous hashing (highest random weight): all nodes
+// with the same member list make the same choice, and the loss of a member affects
+// only the keys that were assigned to it.
 package rendezvous
 
 import (
@@ -9,17 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns the weight of the member for the key.
+// Weight returns the weight of the member for the key. The member with the highest
+// weight is chosen.
 func Weight(member string, key uint64) uint64 {
 	var buffer [8]byte
 	binary.LittleEndian.PutUint64(buffer[:], key)
 	return mix(xxhash.Sum64String(member) ^ xxhash.Sum64(buffer[:]))
 }
 
-// WeightHashed is Weight for a member whose hash is known.
+// WeightHashed returns the weight of a member that is given by its Key. Its weights
+// differ from those of Weight.
 func WeightHashed(member, key uint64) uint64 { return mix(member ^ mix(key)) }
 
-// mix is the finaliser of MurmurHash3, which spreads every bit.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
@@ -28,10 +30,11 @@
 	return value ^ value>>33
 }
 
-// Key returns the key of a text.
+// Key returns the hash of text for use as a key or hashed member.
 func Key(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Top returns up to count members, heaviest first.
+// Top returns up to count members with the highest weights for the key, in descending
+// order.
 func Top(members []string, key uint64, count int) []string {
 	if count > len(members) {
 		count = len(members)
@@ -47,12 +50,13 @@
 		if position >= count {
 			continue
 		}
-		chosen, weights = insert(chosen, weights, position, member, weight, count)
+		chosen, weights = insertAt(chosen, weights, position, member, weight, count)
 	}
 	return chosen
 }
 
-func insert(chosen []string, weights []uint64, position int, member string, weight uint64, count int) ([]string, []uint64) {
+// insertAt inserts member and weight at position and drops elements beyond count.
+func insertAt(chosen []string, weights []uint64, position int, member string, weight uint64, count int) ([]string, []uint64) {
 	if len(chosen) < count {
 		chosen = append(chosen, "")
 		weights = append(weights, 0)
--- a/state/settings/compile.go
+++ b/state/settings/compile.go
@@ -8,7 +8,7 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// Sections of the tree.
+// Sections of the tree, which are the first elements of paths.
 const (
 	SectionTiers    = "tiers"
 	SectionTenants  = "tenants"
@@ -18,15 +18,17 @@
 	SectionNode     = "node"
 )
 
-// keyHashLength is the length of a SHA-256 sum in hexadecimal digits.
-const keyHashLength = 64
+// keyHashDigits is the number of hexadecimal digits of a SHA-256 sum.
+const keyHashDigits = 64
 
-// maximumBranches bounds a tree; the target has 1,800 tenants.
-const maximumBranches = 20000
+// maxBranches bounds the branches of a tree.
+const maxBranches = 20000
 
-// Compiled is the resolved, immutable form of a tree.
+// Compiled is a validated tree with inheritance resolved. It is immutable and safe
+// for concurrent use.
 type Compiled struct {
 	Generation uint64
+	// Root and Node are the values at the root and in the node section.
 	Root       Values
 	Node       Values
 	tiers      []Named
@@ -34,33 +36,35 @@
 	byKeyHash  map[string]*Named
 	routes     map[string]*Named
 	routeNames []string
-	models     map[string]*Named
-	services   map[string]*Named
-	zones      map[string]*Named
+	// models is keyed by service/model.
+	models   map[string]*Named
+	services map[string]*Named
+	zones    map[string]*Named
 }
 
-// Named is an object of a section with its values after inheritance. The name
-// is the path below the section.
+// Named is an object of a section with its values after inheritance. Name is the path
+// below the section.
 type Named struct {
 	Name   string
 	Values Values
 }
 
-// Problem is one fault of a tree.
+// Problem is a validation error of a tree. Key and Text are empty if it concerns a
+// branch or the tree.
 type Problem struct {
-	Path, Key, Text, Why string
+	Path, Key, Text, Reason string
 }
 
-// String names the path, the value, the limit and the remedy.
+// String returns the path, the value and the reason.
 func (p Problem) String() string {
 	if p.Key == "" {
-		return fmt.Sprintf("/%s: %s", p.Path, p.Why)
+		return fmt.Sprintf("/%s: %s", p.Path, p.Reason)
 	}
-	return fmt.Sprintf("/%s %s=%s: %s", p.Path, p.Key, p.Text, p.Why)
+	return fmt.Sprintf("/%s %s=%s: %s", p.Path, p.Key, p.Text, p.Reason)
 }
 
-// Compile checks the tree and resolves inheritance. The error is of kind
-// InvalidSettings and lists every problem found.
+// Compile validates the tree and resolves inheritance. The error is of kind
+// InvalidSettings and lists all problems found.
 func (t *Tree) Compile(generation uint64) (*Compiled, error) {
 	problems := t.check()
 	compiled := &Compiled{
@@ -70,7 +74,7 @@
 		services: map[string]*Named{}, zones: map[string]*Named{},
 	}
 	if len(problems) == 0 {
-		problems = compiled.fill(t)
+		problems = compiled.resolveAll(t)
 	}
 	if len(problems) > 0 {
 		texts := make([]string, len(problems))
@@ -82,14 +86,15 @@
 	return compiled, nil
 }
 
+// check validates each branch and setting by itself.
 func (t *Tree) check() []Problem {
 	var problems []Problem
-	if len(t.branches) > maximumBranches {
-		problems = append(problems, Problem{Why: fmt.Sprintf("%d branches exceed %d: merge tenants that share all values", len(t.branches), maximumBranches)})
+	if len(t.branches) > maxBranches {
+		problems = append(problems, Problem{Reason: fmt.Sprintf("%d branches exceed the maximum of %d: merge tenants that share all values", len(t.branches), maxBranches)})
 	}
 	for _, branch := range t.branches {
-		if !knownSection(branch.Path) {
-			problems = append(problems, Problem{Path: branch.Path, Why: "unknown section: use tiers, tenants, routes, services, zones or node"})
+		if !isKnownSection(branch.Path) {
+			problems = append(problems, Problem{Path: branch.Path, Reason: "unknown section: use tiers, tenants, routes, services, zones or node"})
 		}
 		for _, setting := range branch.Settings {
 			problems = append(problems, checkSetting(branch.Path, setting)...)
@@ -102,21 +107,22 @@
 	problem := Problem{Path: path, Key: setting.Key, Text: setting.Text}
 	spec, known := schemaByKey[setting.Key]
 	if !known {
-		problem.Why = "unknown key: see thornwalk config schema" + suggestion(setting.Key)
+		problem.Reason = "unknown key: see thornwalk config schema" + suggestKey(setting.Key)
 		return []Problem{problem}
 	}
 	if _, err := spec.parse(setting.Text); err != nil {
-		problem.Why = err.Error()
+		problem.Reason = err.Error()
 		return []Problem{problem}
 	}
 	if setting.Key == "key_hash" && setting.Text != "" && !isHexadecimal(setting.Text) {
-		problem.Why = "not a SHA-256 sum: write the 64 hexadecimal digits of the key's hash, never the key"
+		problem.Reason = "not a SHA-256 sum: write the 64 hexadecimal digits of the key's hash, never the key"
 		return []Problem{problem}
 	}
 	return nil
 }
 
-func suggestion(key string) string {
+// suggestKey returns a hint that names a key similar to key, or "".
+func suggestKey(key string) string {
 	for _, spec := range schema {
 		if strings.HasPrefix(spec.Key, key) || strings.HasPrefix(key, spec.Key) {
 			return "; did you mean " + spec.Key + "?"
@@ -126,10 +132,10 @@
 }
 
 func isHexadecimal(text string) bool {
-	return len(text) == keyHashLength && strings.Trim(text, "0123456789abcdef") == ""
+	return len(text) == keyHashDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
 
-func knownSection(path string) bool {
+func isKnownSection(path string) bool {
 	section, _, _ := strings.Cut(path, "/")
 	switch section {
 	case "", SectionTiers, SectionTenants, SectionRoutes, SectionServices, SectionZones, SectionNode:
@@ -138,11 +144,11 @@
 	return false
 }
 
-// Resolve returns the values in force at the path, with inheritance.
-// Values that do not parse are passed over; Compile reports them.
+// Resolve returns the values at the path, with inheritance. Values that do not parse
+// are ignored; Compile reports them.
 func (t *Tree) Resolve(path string) Values {
-	values := defaults()
-	for _, ancestor := range ancestors(cleanPath(path)) {
+	values := defaultValues()
+	for _, ancestor := range pathAndAncestors(cleanPath(path)) {
 		branch, found := t.Branch(ancestor)
 		if !found {
 			continue
@@ -164,7 +170,7 @@
 	}
 }
 
-func defaults() Values {
+func defaultValues() Values {
 	var values Values
 	for i := range schema {
 		value, err := schema[i].parse(schema[i].Default)
@@ -175,26 +181,27 @@
 	return values
 }
 
-// ancestors returns "", the section, and so on down to the path itself.
-func ancestors(path string) []string {
-	result := []string{""}
+// pathAndAncestors returns "", the section and so on down to the path itself.
+func pathAndAncestors(path string) []string {
+	paths := []string{""}
 	for i := range path {
 		if path[i] == '/' {
-			result = append(result, path[:i])
+			paths = append(paths, path[:i])
 		}
 	}
 	if path != "" {
-		result = append(result, path)
+		paths = append(paths, path)
 	}
-	return result
+	return paths
 }
 
-func (c *Compiled) fill(tree *Tree) []Problem {
+// resolveAll resolves the values of all objects and returns the problems between them.
+func (c *Compiled) resolveAll(tree *Tree) []Problem {
 	c.Root = tree.Resolve("")
 	c.Node = tree.Resolve(SectionNode)
 	for _, branch := range tree.branches {
-		section, name, below := strings.Cut(branch.Path, "/")
-		if !below {
+		section, name, isObject := strings.Cut(branch.Path, "/")
+		if !isObject {
 			continue
 		}
 		c.add(section, &Named{Name: name, Values: tree.Resolve(branch.Path)})
@@ -228,12 +235,13 @@
 	}
 }
 
+// checkReferences validates values that depend on other objects or settings.
 func (c *Compiled) checkReferences() []Problem {
 	var problems []Problem
 	ranks := map[int]string{}
 	for _, tier := range c.tiers {
-		if other, taken := ranks[tier.Values.Rank]; taken {
-			problems = append(problems, Problem{Path: SectionTiers + "/" + tier.Name, Key: "rank", Text: fmt.Sprint(tier.Values.Rank), Why: "tier " + other + " has this rank: give each tier its own"})
+		if other, isDuplicate := ranks[tier.Values.Rank]; isDuplicate {
+			problems = append(problems, Problem{Path: SectionTiers + "/" + tier.Name, Key: "rank", Text: fmt.Sprint(tier.Values.Rank), Reason: "tier " + other + " has this rank: give each tier its own"})
 		}
 		ranks[tier.Values.Rank] = tier.Name
 	}
@@ -242,7 +250,7 @@
 	}
 	problems = append(problems, c.checkKeyHashes()...)
 	if node := c.Node; node.SuspectAfter >= node.DeadAfter {
-		problems = append(problems, Problem{Path: SectionNode, Key: "suspect_after", Text: node.SuspectAfter.String(), Why: "not below dead_after " + node.DeadAfter.String() + ": lower it"})
+		problems = append(problems, Problem{Path: SectionNode, Key: "suspect_after", Text: node.SuspectAfter.String(), Reason: "not below dead_after " + node.DeadAfter.String() + ": lower it"})
 	}
 	return problems
 }
@@ -251,43 +259,43 @@
 	var problems []Problem
 	path := SectionRoutes + "/" + name
 	if _, found := c.Tier(values.Tier); !found {
-		problems = append(problems, Problem{Path: path, Key: "tier", Text: values.Tier, Why: "no such tier: add the branch tiers/" + values.Tier + " or name one that exists"})
+		problems = append(problems, Problem{Path: path, Key: "tier", Text: values.Tier, Reason: "no such tier: add the branch tiers/" + values.Tier + " or name one that exists"})
 	}
 	if _, found := c.services[values.Service]; !found {
-		problems = append(problems, Problem{Path: path, Key: "service", Text: values.Service, Why: "no such service: add the branch services/" + values.Service + " or name one that exists"})
+		problems = append(problems, Problem{Path: path, Key: "service", Text: values.Service, Reason: "no such service: add the branch services/" + values.Service + " or name one that exists"})
 	}
 	return problems
 }
 
-// checkKeyHashes refuses two tenants with one key, since a request could then
-// belong to either. A key inherited by branches below belongs to the ancestor.
+// checkKeyHashes reports tenants with the same key, since their requests could not be
+// distinguished. A key that branches inherit belongs to the ancestor that sets it.
 func (c *Compiled) checkKeyHashes() []Problem {
 	names := make([]string, 0, len(c.tenants))
 	for name := range c.tenants {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	owner := map[string]string{}
+	owners := map[string]string{}
 	var problems []Problem
 	for _, name := range names {
 		hash := c.tenants[name].Values.KeyHash
 		if hash == "" {
 			continue
 		}
-		first, taken := owner[hash]
-		if !taken {
-			owner[hash] = name
+		first, isDuplicate := owners[hash]
+		if !isDuplicate {
+			owners[hash] = name
 			c.byKeyHash[hash] = c.tenants[name]
 			continue
 		}
 		if !strings.HasPrefix(name, first+"/") {
-			problems = append(problems, Problem{Path: SectionTenants + "/" + name, Key: "key_hash", Text: hash[:8] + "…", Why: "tenant " + first + " has this key: give each tenant its own"})
+			problems = append(problems, Problem{Path: SectionTenants + "/" + name, Key: "key_hash", Text: hash[:8] + "…", Reason: "tenant " + first + " has this key: give each tenant its own"})
 		}
 	}
 	return problems
 }
 
-// Tier returns the tier with the name.
+// Tier returns the tier and whether it exists.
 func (c *Compiled) Tier(name string) (*Named, bool) {
 	for i := range c.tiers {
 		if c.tiers[i].Name == name {
@@ -297,37 +305,39 @@
 	return nil, false
 }
 
-// Tiers returns all tiers, highest first.
+// Tiers returns all tiers, highest first. The caller must not modify the result.
 func (c *Compiled) Tiers() []Named { return c.tiers }
 
-// Tenant returns the tenant with the name.
+// Tenant returns the tenant and whether it exists.
 func (c *Compiled) Tenant(name string) (*Named, bool) {
 	tenant, found := c.tenants[name]
 	return tenant, found
 }
 
-// TenantByKeyHash returns the tenant whose bearer key has the SHA-256 sum.
+// TenantByKeyHash returns the tenant whose bearer key has the SHA-256 sum, in
+// hexadecimal digits, and whether there is one.
 func (c *Compiled) TenantByKeyHash(hash string) (*Named, bool) {
 	tenant, found := c.byKeyHash[hash]
 	return tenant, found
 }
 
-// Route returns the route with the name.
+// Route returns the route and whether it exists.
 func (c *Compiled) Route(name string) (*Named, bool) {
 	route, found := c.routes[name]
 	return route, found
 }
 
-// Routes returns the names of all routes in order.
+// Routes returns the names of all routes, sorted. The caller must not modify the
+// result.
 func (c *Compiled) Routes() []string { return c.routeNames }
 
-// Service returns the service with the name.
+// Service returns the service and whether it exists.
 func (c *Compiled) Service(name string) (*Named, bool) {
 	service, found := c.services[name]
 	return service, found
 }
 
-// Services returns the names of all services in order.
+// Services returns the names of all services, sorted.
 func (c *Compiled) Services() []string {
 	names := make([]string, 0, len(c.services))
 	for name := range c.services {
@@ -337,11 +347,11 @@
 	return names
 }
 
-// Models returns the values of each model of a service by model name.
+// Models returns the models of the service, sorted by name.
 func (c *Compiled) Models(service string) []Named {
 	var models []Named
 	for name, object := range c.models {
-		if model, isOne := strings.CutPrefix(name, service+"/"); isOne {
+		if model, isModel := strings.CutPrefix(name, service+"/"); isModel {
 			models = append(models, Named{Name: model, Values: object.Values})
 		}
 	}
@@ -349,18 +359,19 @@
 	return models
 }
 
-// Lookup returns the text of a value in force at the path and where it comes
-// from. The error is of kind InvalidSettings for a key that the schema lacks.
+// Lookup returns the text of the key's value at the path and its origin: the path of
+// the branch that sets it, or "default". An unknown key gives an error of kind
+// InvalidSettings.
 func (t *Tree) Lookup(path, key string) (text, origin string, err error) {
 	spec, known := schemaByKey[key]
 	if !known {
-		return "", "", errkind.New(errkind.InvalidSettings, "unknown key %q%s", key, suggestion(key))
+		return "", "", errkind.New(errkind.InvalidSettings, "unknown key %q%s", key, suggestKey(key))
 	}
 	text, origin = spec.Default, "default"
-	for _, ancestor := range ancestors(cleanPath(path)) {
+	for _, ancestor := range pathAndAncestors(cleanPath(path)) {
 		if branch, found := t.Branch(ancestor); found {
-			if set, has := branch.Get(key); has {
-				text, origin = set, "/"+ancestor
+			if value, isSet := branch.Get(key); isSet {
+				text, origin = value, "/"+ancestor
 			}
 		}
 	}
--- a/state/settings/settings_test.go
+++ b/state/settings/settings_test.go
@@ -16,6 +16,7 @@
 	ginkgo.RunSpecs(t, "settings")
 }
 
+// base is a valid tree that the tests change.
 const base = `
 branches:
   /: {deadline: 20s}
@@ -30,15 +31,16 @@
   /tenants/city/couriers: {weight: 3}
 `
 
-func parse(text string) *Tree {
+func mustParse(text string) *Tree {
 	tree, err := ParseYAML([]byte(text))
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	return tree
 }
 
+// Guards inheritance, validation and the YAML form of trees.
 var _ = ginkgo.Describe("a tree", func() {
-	ginkgo.It("inherits along the path unless a branch overrides", func() {
-		compiled, err := parse(base).Compile(7)
+	ginkgo.It("inherits values along the path unless a branch overrides", func() {
+		compiled, err := mustParse(base).Compile(7)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		route, found := compiled.Route("slow/urgent")
 		gomega.Expect(found).To(gomega.BeTrue())
@@ -50,66 +52,68 @@
 		gomega.Expect(tenant.Values.Weight).To(gomega.Equal(3.0))
 	})
 
-	ginkgo.It("inherits again after a value is unset", func() {
-		tree := parse(base).Unset("routes/slow", "deadline")
+	ginkgo.It("inherits a value after it is unset", func() {
+		tree := mustParse(base).Unset("routes/slow", "deadline")
 		gomega.Expect(tree.Resolve("routes/slow").Deadline).To(gomega.Equal(20 * time.Second))
 		text, origin, err := tree.Lookup("routes/slow", "deadline")
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		gomega.Expect([]string{text, origin}).To(gomega.Equal([]string{"20s", "/"}))
 	})
 
-	ginkgo.It("survives its YAML form", func() {
-		tree := parse(base)
+	ginkgo.It("is unchanged after encoding and decoding as YAML", func() {
+		tree := mustParse(base)
 		text, err := FormatYAML(tree)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		gomega.Expect(Diff(tree, parse(string(text)))).To(gomega.BeEmpty())
+		gomega.Expect(Diff(tree, mustParse(string(text)))).To(gomega.BeEmpty())
 	})
 
-	ginkgo.DescribeTable("is refused with path, value and remedy", func(path, key, text, wanted string) {
-		_, err := parse(base).Set(path, key, text).Compile(1)
-		gomega.Expect(err).To(gomega.MatchError(gomega.And(gomega.ContainSubstring("/"+path), gomega.ContainSubstring(text), gomega.ContainSubstring(wanted))))
+	ginkgo.DescribeTable("is rejected with path, value and remedy", func(path, key, text, expected string) {
+		_, err := mustParse(base).Set(path, key, text).Compile(1)
+		gomega.Expect(err).To(gomega.MatchError(gomega.And(gomega.ContainSubstring("/"+path), gomega.ContainSubstring(text), gomega.ContainSubstring(expected))))
 	},
 		ginkgo.Entry("out of range", "tiers/first", "rank", "99", "choose a value in that range"),
 		ginkgo.Entry("wrong type", "routes/slow", "deadline", "soon", "write a number with a unit"),
 		ginkgo.Entry("unknown key", "routes/slow", "deadlin", "3s", "did you mean deadline"),
 		ginkgo.Entry("missing tier", "routes/slow", "tier", "third", "add the branch tiers/third"),
 		ginkgo.Entry("missing service", "routes/slow", "service", "gone", "add the branch services/gone"),
-		ginkgo.Entry("rank twice", "tiers/second", "rank", "0", "give each tier its own"),
+		ginkgo.Entry("duplicate rank", "tiers/second", "rank", "0", "give each tier its own"),
 		ginkgo.Entry("unknown section", "zebra/0", "rank", "0", "unknown section"),
 		ginkgo.Entry("a key instead of its hash", "tenants/city", "key_hash", "secret", "64 hexadecimal digits"),
-		ginkgo.Entry("times that exclude each other", "node", "suspect_after", "30s", "lower it"),
+		ginkgo.Entry("contradictory times", "node", "suspect_after", "30s", "lower it"),
 		ginkgo.Entry("not a number", "tenants/city", "weight", "NaN", "is not a number"),
 	)
 
-	ginkgo.DescribeTable("is refused as YAML with the place", func(text, wanted string) {
+	ginkgo.DescribeTable("is rejected as YAML with the position", func(text, expected string) {
 		_, err := ParseYAML([]byte(text))
-		gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(wanted)))
+		gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(expected)))
 	},
 		ginkgo.Entry("syntax", "branches:\n  /a: {b: [", "["),
 		ginkgo.Entry("an unknown field", "branchs: {}", "branchs"),
-		ginkgo.Entry("a branch twice", "branches:\n  /a/: {}\n  /a: {}\n", "stands twice"),
+		ginkgo.Entry("a duplicate branch", "branches:\n  /a/: {}\n  /a: {}\n", "defined twice"),
 		ginkgo.Entry("a nested branch", "branches:\n  /a: {b: {c: 1}}\n", "path of its own"),
-		ginkgo.Entry("a list as branch", "branches:\n  /a: [1]\n", "not a set of values"),
+		ginkgo.Entry("a list as branch", "branches:\n  /a: [1]\n", "is not a mapping"),
 	)
 
-	ginkgo.It("refuses two tenants with one key", func() {
-		hash := strings.Repeat("a", keyHashLength)
-		_, err := parse(base).Set("tenants/city", "key_hash", hash).Set("tenants/other", "key_hash", hash).Compile(1)
+	ginkgo.It("rejects two tenants with the same key", func() {
+		hash := strings.Repeat("a", keyHashDigits)
+		_, err := mustParse(base).Set("tenants/city", "key_hash", hash).Set("tenants/other", "key_hash", hash).Compile(1)
 		gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("give each tenant its own")))
 	})
 })
 
+// Guards against YAML that crashes the parser or the compiler.
 func FuzzParseYAML(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte("branches: {/a: {b: [1, 2]}}"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		tree, err := ParseYAML(text)
 		if err == nil {
-			_, _ = tree.Compile(1) // must not crash; most trees are refused
+			_, _ = tree.Compile(1) // most trees are invalid
 		}
 	})
 }
 
+// BenchmarkLookup measures finding a tenant by key hash among 1,800 tenants.
 func BenchmarkLookup(b *testing.B) {
 	var branches []Branch
 	for number := range 1800 {
@@ -127,12 +131,13 @@
 	}
 }
 
+// Guards against a settings reference that was not regenerated after a schema change.
 func TestReferenceIsUpToDate(t *testing.T) {
 	content, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(content) != Reference() {
-		t.Fatal("docs/SETTINGS.md is old: write it again with go run ./cmd/thornwalk config reference")
+		t.Fatal("docs/SETTINGS.md is out of date: regenerate it with go run ./cmd/thornwalk config reference")
 	}
 }
--- a/state/settings/tree.go
+++ b/state/settings/tree.go
@@ -8,19 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Setting is one value that a branch sets itself.
+// Setting is a value that a branch sets, as text.
 type Setting struct {
 	Key  string `json:"key" msgpack:"k"`
 	Text string `json:"text" msgpack:"t"`
 }
 
-// Branch is one node of the tree: a path and the values set there, ordered by key.
+// Branch is a node of the tree: a path and the settings of that path, ordered by key.
 type Branch struct {
 	Path     string    `json:"path" msgpack:"p"`
 	Settings []Setting `json:"settings" msgpack:"s"`
 }
 
-// Get returns the text that the branch itself sets for the key.
+// Get returns the text that the branch sets for the key, without inheritance, and
+// whether it sets the key.
 func (b Branch) Get(key string) (string, bool) {
 	for _, setting := range b.Settings {
 		if setting.Key == key {
@@ -30,7 +31,7 @@
 	return "", false
 }
 
-// Hash identifies the content of the branch.
+// Hash returns a hash of the branch's path and settings.
 func (b Branch) Hash() uint64 {
 	digest := xxhash.New()
 	write := func(text string) { fmt.Fprintf(digest, "%d:%s", len(text), text) }
@@ -47,8 +48,9 @@
 	branches []Branch
 }
 
-// NewTree returns a tree of the branches. A path that occurs twice is merged,
-// the later value winning. The result is not checked; see Tree.Compile.
+// NewTree returns a tree of the branches. Branches with the same path are merged; of
+// several values for a key the last one wins. The tree is not validated; see
+// Tree.Compile.
 func NewTree(branches ...Branch) *Tree {
 	sorted := make([]Branch, len(branches))
 	for i, branch := range branches {
@@ -62,33 +64,34 @@
 			branch.Settings = append(append([]Setting(nil), tree.branches[last].Settings...), branch.Settings...)
 			tree.branches = tree.branches[:last]
 		}
-		tree.branches = append(tree.branches, Branch{Path: branch.Path, Settings: normalise(branch.Settings)})
+		tree.branches = append(tree.branches, Branch{Path: branch.Path, Settings: sortAndDeduplicate(branch.Settings)})
 	}
 	return tree
 }
 
-// normalise orders settings by key; of a key that occurs twice the later counts.
-func normalise(settings []Setting) []Setting {
+// sortAndDeduplicate orders settings by key. Of several with the same key the last one
+// wins.
+func sortAndDeduplicate(settings []Setting) []Setting {
 	if len(settings) == 0 {
 		return nil
 	}
 	ordered := append([]Setting(nil), settings...)
 	sort.SliceStable(ordered, func(i, j int) bool { return ordered[i].Key < ordered[j].Key })
-	kept := ordered[:0]
+	unique := ordered[:0]
 	for _, setting := range ordered {
-		if last := len(kept) - 1; last >= 0 && kept[last].Key == setting.Key {
-			kept[last] = setting
+		if last := len(unique) - 1; last >= 0 && unique[last].Key == setting.Key {
+			unique[last] = setting
 			continue
 		}
-		kept = append(kept, setting)
+		unique = append(unique, setting)
 	}
-	return kept
+	return unique
 }
 
-// Branches returns the branches in the order of their paths.
+// Branches returns the branches, ordered by path.
 func (t *Tree) Branches() []Branch { return append([]Branch(nil), t.branches...) }
 
-// Branch returns the branch at the path.
+// Branch returns the branch at the path and whether it exists.
 func (t *Tree) Branch(path string) (Branch, bool) {
 	index, found := t.find(cleanPath(path))
 	if !found {
@@ -97,7 +100,8 @@
 	return t.branches[index], true
 }
 
-// Set returns a tree in which the branch sets the key.
+// Set returns a tree in which the branch at the path sets the key to text. The branch
+// is added if necessary.
 func (t *Tree) Set(path, key, text string) *Tree {
 	path = cleanPath(path)
 	branch, _ := t.Branch(path)
@@ -112,8 +116,8 @@
 	return t.withBranch(changed)
 }
 
-// Unset returns a tree in which the branch inherits the key. A branch without
-// values of its own stays, so that an object can live on inherited values.
+// Unset returns a tree in which the branch at the path inherits the key. The branch
+// stays even without settings, since an object may consist of inherited values.
 func (t *Tree) Unset(path, key string) *Tree {
 	branch, found := t.Branch(path)
 	if !found {
@@ -128,7 +132,7 @@
 	return t.withBranch(changed)
 }
 
-// Remove returns a tree without the branch at the path; branches below it stay.
+// Remove returns a tree without the branch at the path. Branches below it stay.
 func (t *Tree) Remove(path string) *Tree {
 	index, found := t.find(cleanPath(path))
 	if !found {
@@ -140,6 +144,7 @@
 	return result
 }
 
+// withBranch returns a tree that contains branch instead of the branch at its path.
 func (t *Tree) withBranch(branch Branch) *Tree {
 	index, found := t.find(branch.Path)
 	result := &Tree{branches: make([]Branch, 0, len(t.branches)+1)}
@@ -152,18 +157,21 @@
 	return result
 }
 
+// find returns the index of the branch at the path, or the index at which to insert
+// it, and whether it exists.
 func (t *Tree) find(path string) (int, bool) {
 	index := sort.Search(len(t.branches), func(i int) bool { return t.branches[i].Path >= path })
 	return index, index < len(t.branches) && t.branches[index].Path == path
 }
 
-// cleanPath drops surrounding and doubled slashes; the root is "".
+// cleanPath removes surrounding and repeated slashes. The root is "".
 func cleanPath(path string) string {
-	parts := strings.FieldsFunc(path, func(r rune) bool { return r == '/' })
-	return strings.Join(parts, "/")
+	elements := strings.FieldsFunc(path, func(r rune) bool { return r == '/' })
+	return strings.Join(elements, "/")
 }
 
-// Change is one difference between two trees.
+// Change is a difference between two trees. Before or After is empty if the branch
+// does not set the key in that tree.
 type Change struct {
 	Path   string `json:"path"`
 	Key    string `json:"key"`
@@ -171,13 +179,14 @@
 	After  string `json:"after"`
 }
 
-// Diff lists the values set in one tree and not, or otherwise, in the other.
+// Diff returns the settings that differ between the trees, ordered by path. Inherited
+// values are not compared, and branches without settings give no change.
 func Diff(before, after *Tree) []Change {
 	var changes []Change
-	visit := func(path string) {
-		old, _ := before.Branch(path)
-		new, _ := after.Branch(path)
-		changes = append(changes, diffBranch(old, new, path)...)
+	compare := func(path string) {
+		oldBranch, _ := before.Branch(path)
+		newBranch, _ := after.Branch(path)
+		changes = append(changes, diffBranch(oldBranch, newBranch, path)...)
 	}
 	seen := map[string]bool{}
 	for _, branch := range append(before.Branches(), after.Branches()...) {
@@ -185,7 +194,7 @@
 			continue
 		}
 		seen[branch.Path] = true
-		visit(branch.Path)
+		compare(branch.Path)
 	}
 	sort.SliceStable(changes, func(i, j int) bool { return changes[i].Path < changes[j].Path })
 	return changes
--- a/state/settings/yaml.go
+++ b/state/settings/yaml.go
@@ -11,15 +11,15 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// file is the YAML form of a tree: paths to values.
-type file struct {
+// yamlFile is the YAML form of a tree, which maps paths to settings.
+type yamlFile struct {
 	Branches yaml.MapSlice `yaml:"branches"`
 }
 
-// ParseYAML reads a tree. The error is of kind InvalidSettings and names the
-// line, or the path and value, that is wrong. The result is not compiled.
+// ParseYAML decodes a tree without validating it; see Tree.Compile. The error is of
+// kind InvalidSettings and names the line or the path and value.
 func ParseYAML(text []byte) (*Tree, error) {
-	var content file
+	var content yamlFile
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
 	if err := decoder.Decode(&content); err != nil && !errors.Is(err, io.EOF) {
 		return nil, errkind.New(errkind.InvalidSettings, "%s", yaml.FormatError(err, false, false))
@@ -31,12 +31,12 @@
 		if !isText {
 			return nil, errkind.New(errkind.InvalidSettings, "branches: %v is not a path: write it as text", item.Key)
 		}
-		branch, err := yamlBranch(cleanPath(path), item.Value)
+		branch, err := branchFromYAML(cleanPath(path), item.Value)
 		if err != nil {
 			return nil, err
 		}
 		if seen[branch.Path] {
-			return nil, errkind.New(errkind.InvalidSettings, "/%s: stands twice: merge the two", branch.Path)
+			return nil, errkind.New(errkind.InvalidSettings, "/%s: defined twice: merge the two definitions", branch.Path)
 		}
 		seen[branch.Path] = true
 		branches = append(branches, branch)
@@ -44,7 +44,9 @@
 	return NewTree(branches...), nil
 }
 
-func yamlBranch(path string, value any) (Branch, error) {
+// branchFromYAML returns the branch at the path. The value is nil or a mapping of keys
+// to scalars or lists.
+func branchFromYAML(path string, value any) (Branch, error) {
 	branch := Branch{Path: path}
 	var settings yaml.MapSlice
 	switch typed := value.(type) {
@@ -52,12 +54,12 @@
 	case yaml.MapSlice:
 		settings = typed
 	case map[string]any:
-		settings = sortedItems(typed)
+		settings = mapItems(typed)
 	default:
-		return branch, errkind.New(errkind.InvalidSettings, "/%s: %v is not a set of values: write key: value lines below the path", path, value)
+		return branch, errkind.New(errkind.InvalidSettings, "/%s: %v is not a mapping: write key: value lines below the path", path, value)
 	}
 	for _, item := range settings {
-		text, err := scalarText(item.Value)
+		text, err := valueText(item.Value)
 		if err != nil {
 			return branch, errkind.New(errkind.InvalidSettings, "/%s %v: %v", path, item.Key, err)
 		}
@@ -66,7 +68,7 @@
 	return branch, nil
 }
 
-func sortedItems(values map[string]any) yaml.MapSlice {
+func mapItems(values map[string]any) yaml.MapSlice {
 	var items yaml.MapSlice
 	for key, value := range values {
 		items = append(items, yaml.MapItem{Key: key, Value: value})
@@ -74,7 +76,9 @@
 	return items
 }
 
-func scalarText(value any) (string, error) {
+// valueText returns the text of a scalar, or of a list as its elements separated by
+// commas.
+func valueText(value any) (string, error) {
 	switch typed := value.(type) {
 	case nil:
 		return "", nil
@@ -90,14 +94,14 @@
 		}
 		return text, nil
 	case map[string]any, yaml.MapSlice:
-		return "", errors.New("is a set of values: a branch below this one needs a path of its own under branches")
+		return "", errors.New("value is a mapping: a nested branch needs a path of its own under branches")
 	}
 	return fmt.Sprint(value), nil
 }
 
-// FormatYAML returns the tree in the form that ParseYAML reads.
+// FormatYAML encodes the tree in the form that ParseYAML decodes.
 func FormatYAML(tree *Tree) ([]byte, error) {
-	var content file
+	var content yamlFile
 	for _, branch := range tree.branches {
 		settings := yaml.MapSlice{}
 		for _, setting := range branch.Settings {
