--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -1,13 +1,12 @@
-// Package claims makes requests that must not run twice run at most once, by a
-// claim in the platform's store before dispatch. Claims of one shard share a
-// page, and many are committed by one compare-and-swap, so that writes grow
-// with the number of zones and not with requests.
+// Package claims prevents requests that must not run twice from being dispatched
+// twice, by a claim in the store before dispatch. Claims of one shard share a
+// page, which is written in batches by compare-and-swap.
 //
-// Guarantee: of all requests under one tenant's key, in all zones that share
-// the store and over all processes, at most one is ever granted. It rests on
-// compare-and-swap alone: no node owns a shard. A write whose answer was lost
-// is settled by reading the page; an absent claim proves nothing, since the
-// write may still land, until a later write of one's own to the page succeeded.
+// Of all requests under one tenant's key, over all nodes that share the store,
+// at most one holds the claim; until it releases the claim, no other gets it.
+// The guarantee relies on compare-and-swap alone: any node may write any page.
+// If a write has an unknown outcome, the page is read again and the write
+// retried; a claim missing from the page may still be written by the lost call.
 package claims
 
 import (
@@ -23,21 +22,21 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// maximumBatch bounds the claims of one write.
-const maximumBatch = 256
+// maxBatchOperations bounds the claims and releases of one write.
+const maxBatchOperations = 256
 
-// attemptPause is the time between tries of a batch after a failure.
-const attemptPause = 20 * time.Millisecond
+// retryDelay is the time between attempts to commit a batch after a failure.
+const retryDelay = 20 * time.Millisecond
 
-// Result is the answer to a claim.
+// Result is the result of a claim.
 type Result struct {
 	// Granted is true if the request holds the claim.
 	Granted bool
-	// Holder is the claim in force if it is another's.
+	// Holder is the existing claim if another request holds it.
 	Holder Claim
 }
 
-// operation is one claim or release that waits for its batch.
+// operation is one claim or release to be committed.
 type operation struct {
 	claim   Claim
 	release bool
@@ -50,58 +49,65 @@
 	err    error
 }
 
-// Settings of a committer, read for each batch.
+// Settings are the settings of a committer. They may change between calls.
 type Settings struct {
-	Shards    int
-	Window    time.Duration
+	// Shards is the number of pages over which keys of one bucket are spread.
+	Shards int
+	// Window is how long operations are collected before a batch is written.
+	Window time.Duration
+	// Retention is the age up to which dated keys are accepted.
 	Retention time.Duration
 }
 
-// Committer groups the claims of a node. It is safe for concurrent use.
+// Committer writes the claims of a node in batches, one batch per page at a
+// time. It is safe for concurrent use.
 type Committer struct {
 	store    outside.Store
 	settings func() Settings
 	wallTime func() time.Time
 	ctx      context.Context
 
-	mutex   sync.Mutex
-	pending map[Page][]*operation
-	running map[Page]bool
-	cache   *simplelru.LRU[Page, outside.Value]
-	leases  *simplelru.LRU[int64, outside.LeaseID]
-	group   sync.WaitGroup
+	mutex      sync.Mutex
+	pending    map[Page][]*operation
+	running    map[Page]bool
+	pages      *simplelru.LRU[Page, outside.Value]
+	leases     *simplelru.LRU[int64, outside.LeaseID]
+	committers sync.WaitGroup
 }
 
-// NewCommitter returns a committer that works until the context ends.
+// NewCommitter returns a committer that runs until the context ends.
 func NewCommitter(ctx context.Context, store outside.Store, settings func() Settings, wallTime func() time.Time) *Committer {
-	// The sizes are positive, so that no error is possible.
-	cache, _ := simplelru.NewLRU[Page, outside.Value](cachedPages, nil)
-	leases, _ := simplelru.NewLRU[int64, outside.LeaseID](cachedPages, nil)
+	// NewLRU fails only if the size isn't positive.
+	pages, _ := simplelru.NewLRU[Page, outside.Value](maxCachedPages, nil)
+	leases, _ := simplelru.NewLRU[int64, outside.LeaseID](maxCachedPages, nil)
 	return &Committer{
 		store: store, settings: settings, wallTime: wallTime, ctx: ctx,
-		pending: map[Page][]*operation{}, running: map[Page]bool{}, cache: cache, leases: leases,
+		pending: map[Page][]*operation{}, running: map[Page]bool{}, pages: pages, leases: leases,
 	}
 }
 
-// cachedPages bounds the pages remembered between batches.
-const cachedPages = 32
+// maxCachedPages bounds the pages and leases cached between batches.
+const maxCachedPages = 32
 
-// futureLimit is how far ahead of this machine's clock a key may be dated.
-const futureLimit = 5 * time.Minute
+// maxFutureSkew is how far ahead of this machine's clock the creation time of a
+// key may be.
+const maxFutureSkew = 5 * time.Minute
 
-// Claim asks for the right to dispatch the request under the tenant's key.
-// Errors: KeyExpired if the key carries a date older than the retention;
-// NoClaim if the store does not settle it in time, after which the claim may
-// exist, so that the request must not be dispatched; ClaimPageFull; KeyReused
-// if the key was claimed for another body.
+// Claim requests the right to dispatch the request under the tenant's key. It
+// blocks until the store has confirmed the write or the context ends.
+//
+// Errors: KeyExpired if the key is older than the retention; BadRequest if it was
+// created in the future; KeyReused if it was claimed for another body;
+// ClaimPageFull; NoClaim if the outcome is unknown. After NoClaim the claim may
+// exist, and the request must not be dispatched.
 func (c *Committer) Claim(ctx context.Context, tenant, key string, claim Claim) (Result, error) {
-	if made, dated := KeyTime(key); dated {
-		age := c.wallTime().Sub(made)
+	if createdAt, dated := KeyCreatedAt(key); dated {
+		age := c.wallTime().Sub(createdAt)
 		if age > c.settings().Retention {
-			return Result{}, errkind.New(errkind.KeyExpired, "the key was made at %s", made.UTC().Format(time.RFC3339))
+			return Result{}, errkind.New(errkind.KeyExpired, "claiming the key: it was created at %s, longer ago than claims are retained", createdAt.UTC().Format(time.RFC3339))
 		}
-		if age < -futureLimit {
-			return Result{}, errkind.New(errkind.BadRequest, "the key is dated %s, which is in the future", made.UTC().Format(time.RFC3339))
+		if age < -maxFutureSkew {
+			return Result{}, errkind.New(errkind.BadRequest, "claiming the key: it was created at %s, further in the future than the tolerated clock skew", createdAt.UTC().Format(time.RFC3339))
 		}
 	}
 	claim.KeyHash = HashKey(tenant, key)
@@ -109,8 +115,9 @@
 	return c.submit(ctx, page, &operation{claim: claim, done: make(chan outcome, 1), ctx: ctx})
 }
 
-// Release gives a claim back whose request certainly did not run. It is best
-// effort: a claim that stays makes a later resubmission end as unknown.
+// Release removes the claim of a request that certainly did not run. If it fails,
+// the claim may remain, and a resubmission under the key ends with an unknown
+// outcome.
 func (c *Committer) Release(ctx context.Context, tenant, key, requestID string) error {
 	claim := Claim{KeyHash: HashKey(tenant, key), RequestID: requestID}
 	page := PageOf(tenant, key, c.settings().Shards)
@@ -118,29 +125,30 @@
 	return err
 }
 
+// submit queues the operation for the page's next batch and waits for the result.
 func (c *Committer) submit(ctx context.Context, page Page, op *operation) (Result, error) {
 	c.mutex.Lock()
 	c.pending[page] = append(c.pending[page], op)
 	if !c.running[page] {
 		c.running[page] = true
-		c.group.Go(func() { c.commitPage(page) })
+		c.committers.Go(func() { c.commitPage(page) })
 	}
 	c.mutex.Unlock()
 	select {
-	case settled := <-op.done:
-		return settled.result, settled.err
+	case committed := <-op.done:
+		return committed.result, committed.err
 	case <-ctx.Done():
-		return Result{}, errkind.New(errkind.NoClaim, "the store did not settle the claim in time")
+		return Result{}, errkind.New(errkind.NoClaim, "committing the claim: the store did not confirm the write in time")
 	case <-c.ctx.Done():
-		return Result{}, errkind.New(errkind.NoClaim, "the node is stopping")
+		return Result{}, errkind.New(errkind.NoClaim, "committing the claim: the node is stopping")
 	}
 }
 
-// Wait returns when no batch is under way; the context of the committer must
+// Wait blocks until no batch is being committed. The committer's context must
 // have ended.
-func (c *Committer) Wait() { c.group.Wait() }
+func (c *Committer) Wait() { c.committers.Wait() }
 
-// commitPage commits batches until nothing waits.
+// commitPage commits batches until no operation is pending for the page.
 func (c *Committer) commitPage(page Page) {
 	for {
 		if !wait.For(c.ctx, c.settings().Window) {
@@ -150,16 +158,18 @@
 		if len(batch) == 0 {
 			return
 		}
-		c.commit(page, batch)
+		c.commitBatch(page, batch)
 	}
 }
 
+// takeBatch removes the next batch from the pending operations. If there is none,
+// it returns an empty batch and allows a new commitPage to start.
 func (c *Committer) takeBatch(page Page) []*operation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	waiting := c.pending[page]
-	batch := waiting[:min(len(waiting), maximumBatch)]
-	c.pending[page] = waiting[len(batch):]
+	pending := c.pending[page]
+	batch := pending[:min(len(pending), maxBatchOperations)]
+	c.pending[page] = pending[len(batch):]
 	if len(batch) == 0 {
 		delete(c.running, page)
 		delete(c.pending, page)
@@ -167,43 +177,45 @@
 	return batch
 }
 
-// commit repeats one batch until the store settles it or nobody waits for it.
-func (c *Committer) commit(page Page, batch []*operation) {
+// commitBatch retries one batch until it is committed, rejected or all its
+// callers have given up.
+func (c *Committer) commitBatch(page Page, batch []*operation) {
 	for c.ctx.Err() == nil {
-		batch = stillWanted(batch)
+		batch = dropCanceled(batch)
 		if len(batch) == 0 {
 			return
 		}
-		settled, err := c.attempt(page, batch)
-		if settled {
+		done, err := c.tryCommit(page, batch)
+		if done {
 			return
 		}
-		if !errors.Is(err, errkind.Conflict) && !wait.For(c.ctx, attemptPause) {
+		if !errors.Is(err, errkind.Conflict) && !wait.For(c.ctx, retryDelay) {
 			return
 		}
 	}
 }
 
-// stillWanted drops operations whose callers gave up. A claim that an earlier
-// attempt may have written is then left in the page; it grants nothing.
-func stillWanted(batch []*operation) []*operation {
-	var wanted []*operation
+// dropCanceled drops operations whose callers gave up. A claim that an earlier
+// attempt wrote stays in the page although its caller got NoClaim.
+func dropCanceled(batch []*operation) []*operation {
+	var remaining []*operation
 	for _, op := range batch {
 		if op.ctx.Err() == nil {
-			wanted = append(wanted, op)
+			remaining = append(remaining, op)
 		}
 	}
-	return wanted
+	return remaining
 }
 
-// attempt applies the batch to the page as last read and swaps it. Any failure
-// drops the cached page, so that the next attempt reads it again.
-func (c *Committer) attempt(page Page, batch []*operation) (bool, error) {
-	lease, err := c.lease(page)
+// tryCommit applies the batch to the page as last read and swaps it in. It
+// returns whether the operations got their results. A failed swap evicts the
+// cached page, so that the next attempt reads it again.
+func (c *Committer) tryCommit(page Page, batch []*operation) (bool, error) {
+	lease, err := c.leaseFor(page)
 	if err != nil {
 		return false, err
 	}
-	current, err := c.read(page)
+	current, err := c.readPage(page)
 	if err != nil {
 		return false, err
 	}
@@ -211,30 +223,30 @@
 	if err != nil {
 		return false, err
 	}
-	outcomes := apply(&content, batch)
+	outcomes := applyBatch(&content, batch)
 	data, err := content.encode()
 	if err != nil {
 		return false, err
 	}
-	if len(data) > MaximumPage {
-		refuseBatch(batch, outcomes)
+	if len(data) > MaxPageBytes {
+		rejectNewClaims(batch, outcomes)
 		return true, nil
 	}
 	revision, err := c.store.Swap(c.ctx, page.Key(), current.Revision, data, lease)
 	if err != nil {
-		c.forget(page)
+		c.evictPage(page)
 		return false, err
 	}
-	c.remember(page, outside.Value{Data: data, Revision: revision})
+	c.cachePage(page, outside.Value{Data: data, Revision: revision})
 	for i, op := range batch {
 		op.done <- outcomes[i]
 	}
 	return true, nil
 }
 
-// apply enters the batch in the page. A claim found under one's own request id
-// is one's own earlier write with an unknown outcome: it counts as granted.
-func apply(content *claimPage, batch []*operation) []outcome {
+// applyBatch applies the operations to the page. An existing claim with the same
+// request id is an earlier write with an unknown outcome and counts as granted.
+func applyBatch(content *claimPage, batch []*operation) []outcome {
 	outcomes := make([]outcome, len(batch))
 	for i, op := range batch {
 		if op.release {
@@ -249,7 +261,7 @@
 		case existing.RequestID == op.claim.RequestID:
 			outcomes[i].result.Granted = true
 		case existing.BodyHash != op.claim.BodyHash:
-			outcomes[i].err = errkind.New(errkind.KeyReused, "the key was claimed for a request with another body")
+			outcomes[i].err = errkind.New(errkind.KeyReused, "claiming the key: it was claimed before for a request with another body")
 		default:
 			outcomes[i].result.Holder = existing
 		}
@@ -257,20 +269,20 @@
 	return outcomes
 }
 
-// refuseBatch answers when the page has no room: claims held by others are
-// still told, new ones are refused.
-func refuseBatch(batch []*operation, outcomes []outcome) {
+// rejectNewClaims ends a batch that does not fit into the page: new claims get
+// ClaimPageFull, the others their results.
+func rejectNewClaims(batch []*operation, outcomes []outcome) {
 	for i, op := range batch {
 		if outcomes[i].result.Granted {
-			outcomes[i] = outcome{err: errkind.New(errkind.ClaimPageFull, "the page of claims is full")}
+			outcomes[i] = outcome{err: errkind.New(errkind.ClaimPageFull, "claiming the key: its claim page has reached the maximum size")}
 		}
 		op.done <- outcomes[i]
 	}
 }
 
-func (c *Committer) read(page Page) (outside.Value, error) {
+func (c *Committer) readPage(page Page) (outside.Value, error) {
 	c.mutex.Lock()
-	cached, found := c.cache.Get(page)
+	cached, found := c.pages.Get(page)
 	c.mutex.Unlock()
 	if found {
 		return cached, nil
@@ -278,28 +290,28 @@
 	return c.store.Get(c.ctx, page.Key())
 }
 
-func (c *Committer) remember(page Page, value outside.Value) {
+func (c *Committer) cachePage(page Page, value outside.Value) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cache.Add(page, value)
+	c.pages.Add(page, value)
 }
 
-func (c *Committer) forget(page Page) {
+func (c *Committer) evictPage(page Page) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cache.Remove(page)
+	c.pages.Remove(page)
 	c.leases.Remove(page.Bucket / bucketsPerLease)
 }
 
-// leaseMargin is how much longer than its keys are accepted a page is kept.
-const leaseMargin = 10 * time.Minute
+// leaseMarginAfterRetention is how long a page is kept after its keys expired.
+const leaseMarginAfterRetention = 10 * time.Minute
 
-// bucketsPerLease is how many times of keys share a lease of a writer.
+// bucketsPerLease is the number of successive buckets whose pages share a lease.
 const bucketsPerLease = 300
 
-// lease returns the lease under which a page of dated keys is written, so that
-// it vanishes after its keys are refused. Pages of undated keys have none.
-func (c *Committer) lease(page Page) (outside.LeaseID, error) {
+// leaseFor returns the lease under which a page of dated keys is written, which
+// removes the page after its keys expired. Pages of undated keys have no lease.
+func (c *Committer) leaseFor(page Page) (outside.LeaseID, error) {
 	if page.Bucket == 0 {
 		return 0, nil
 	}
@@ -310,8 +322,8 @@
 	if found {
 		return lease, nil
 	}
-	end := time.Unix((period+1)*bucketsPerLease*int64(BucketLength/time.Second), 0)
-	lease, err := c.store.Grant(c.ctx, max(0, end.Sub(c.wallTime()))+c.settings().Retention+leaseMargin)
+	end := time.Unix((period+1)*bucketsPerLease*int64(BucketDuration/time.Second), 0)
+	lease, err := c.store.Grant(c.ctx, max(0, end.Sub(c.wallTime()))+c.settings().Retention+leaseMarginAfterRetention)
 	if err != nil {
 		return 0, err
 	}
--- a/coordination/claims/page.go
+++ b/coordination/claims/page.go
@@ -13,38 +13,36 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// MaximumPage bounds an encoded page in bytes; the store holds a megabyte.
-const MaximumPage = 900_000
+// MaxPageBytes bounds an encoded page; the store accepts values of one megabyte.
+const MaxPageBytes = 900_000
 
-// BucketLength is the time of keys that share pages. A dated key is looked for
-// in the pages of its own time only, so that old pages are never written again
-// and vanish as wholes. Each write sends a whole page to the store: short times
-// keep that small, and move the writing from node to node.
-const BucketLength = time.Second
+// BucketDuration is the range of creation times of the keys in one bucket. Since
+// a dated key belongs to the pages of its own bucket, old pages are no longer
+// written and expire. Each write sends a complete page, so buckets are short.
+const BucketDuration = time.Second
 
-// Claim is the right to dispatch one not-repeatable request. It takes about 80
-// bytes in a page.
+// Claim is the right to dispatch one request that must not run twice.
 type Claim struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// KeyHash identifies tenant and key.
+	// KeyHash identifies the tenant and key.
 	KeyHash [16]byte
-	// BodyHash tells a resubmission from another request under the key.
+	// BodyHash distinguishes a resubmission from another request under the key.
 	BodyHash uint64
-	// RequestID names the request that may be dispatched; it carries the node
-	// and process of the claimant and is never used twice.
+	// RequestID identifies the request that may be dispatched. It contains the
+	// claiming node and process and is never reused.
 	RequestID string
-	// Address is where the request went, or will go, and Engine is true if its
-	// answer can be read again there.
+	// Address is the replica that the request is sent to, and Engine is true if
+	// its answer can be read again there.
 	Address string
 	Engine  bool
 }
 
-// Page names a page in the store.
+// Page identifies a page in the store.
 type Page struct {
-	// Bucket is the number of the keys' time; zero is that of undated keys,
-	// whose claims are never removed.
+	// Bucket is the keys' creation time divided by BucketDuration. It is zero for
+	// undated keys, whose claims don't expire.
 	Bucket int64
 	Shard  int
 }
@@ -56,8 +54,8 @@
 func PageOf(tenant, key string, shards int) Page {
 	hash := HashKey(tenant, key)
 	page := Page{Shard: int(binary.BigEndian.Uint64(hash[:8]) % uint64(max(1, shards)))}
-	if made, dated := KeyTime(key); dated {
-		page.Bucket = made.Unix() / int64(BucketLength/time.Second)
+	if createdAt, dated := KeyCreatedAt(key); dated {
+		page.Bucket = createdAt.Unix() / int64(BucketDuration/time.Second)
 	}
 	return page
 }
@@ -71,7 +69,7 @@
 func HashKey(tenant, key string) [16]byte {
 	var hash [16]byte
 	digest := xxhash.New()
-	_, _ = digest.WriteString(tenant) // Digest never fails
+	_, _ = digest.WriteString(tenant) // a Digest never returns an error
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(key)
 	binary.BigEndian.PutUint64(hash[:8], digest.Sum64())
@@ -80,8 +78,9 @@
 	return hash
 }
 
-// KeyTime returns when a key was made, if the key is a UUID of version 7.
-func KeyTime(key string) (time.Time, bool) {
+// KeyCreatedAt returns when a key was created. It returns false unless the key is
+// a version 7 UUID.
+func KeyCreatedAt(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
@@ -90,6 +89,8 @@
 	return time.Unix(seconds, nanoseconds), true
 }
 
+// decodePage decodes a stored page; no data is an empty page. The error is of
+// kind StoreUnavailable.
 func decodePage(data []byte) (claimPage, error) {
 	var content claimPage
 	if len(data) == 0 {
@@ -108,6 +109,7 @@
 	return Claim{}, false
 }
 
+// remove removes the claim if the same request holds it.
 func (p *claimPage) remove(claim Claim) {
 	kept := p.Claims[:0]
 	for _, other := range p.Claims {
--- a/coordination/limits/limits.go
+++ b/coordination/limits/limits.go
@@ -1,12 +1,12 @@
 // Package limits enforces the tenants' rate and concurrency limits over the
-// nodes of a zone. An owner, chosen by rendezvous, hands out slices by demand;
-// each node enforces its slice alone, so that a request costs no message. A
-// node that hears no owner falls back to its equal share.
+// nodes of a zone. A tenant's owner, chosen by rendezvous hashing, allocates
+// parts of the limit to nodes by their demand; each node enforces its allocation
+// locally, and uses an equal share of the limit while it has no grant.
 //
-// Guarantee: slices granted by one owner never add up to more than the limit,
-// since a slice grows only out of what is not granted, and a grant lapses
-// before the owner gives its part to others. While two nodes both believe to be
-// owner, up to twice the limit may be admitted.
+// The allocations that one owner counts as granted never add up to more than the
+// limit: an allocation grows only from the unallocated part, and a grant expires
+// at the node before the owner reuses it. With two owners at once, up to twice
+// the limit may be admitted.
 package limits
 
 import (
@@ -19,33 +19,36 @@
 )
 
 const (
-	// ReportInterval is the time between a node's demands to an owner.
+	// ReportInterval is the time between a node's reports to an owner.
 	ReportInterval = 500 * time.Millisecond
-	// grantLease is how long a node uses a slice, and ownerLease how long the
-	// owner counts it as given; the difference covers the message's way.
+	// grantLease is how long a node uses an allocation, and ownerLease how long
+	// the owner counts it as allocated; the difference allows for message delay.
 	grantLease = 2 * time.Second
 	ownerLease = 3 * time.Second
-	// demandGain weighs a new measurement of the demand.
+	// demandGain is the weight of a new measurement in the moving average.
 	demandGain = 0.5
-	// headroom is the part of a rate slice that a node gets whatever its demand.
-	headroom = 0.1
+	// minEqualShareFraction is the fraction of its equal share of the rate that a
+	// node is allocated whatever its demand.
+	minEqualShareFraction = 0.1
 )
 
-// Limit is the settings of a tenant; zero values mean no limit.
+// Limit holds the limits of a tenant. No rate or no concurrency means unlimited.
 type Limit struct {
+	// Rate is in requests per second.
 	Rate        float64
 	Burst       float64
 	Concurrency int
 }
 
-// Demand is what a node would use of a tenant's limit.
+// Demand is the use that a node would make of a tenant's limit: the rate of
+// arrivals per second and the requests in flight.
 type Demand struct {
-	Tenant string  `msgpack:"t"`
-	Rate   float64 `msgpack:"r"`
-	Open   int     `msgpack:"o"`
+	Tenant   string  `msgpack:"t"`
+	Rate     float64 `msgpack:"r"`
+	InFlight int     `msgpack:"o"`
 }
 
-// Report is a node's demands of the tenants of one owner.
+// Report lists a node's demands for the tenants of one owner.
 type Report struct {
 	From    string   `msgpack:"f"`
 	Demands []Demand `msgpack:"d"`
@@ -60,161 +63,168 @@
 
 // Grant answers a Report.
 type Grant struct {
-	Slices []Allocation `msgpack:"s"`
+	Allocations []Allocation `msgpack:"s"`
 }
 
-// Owner divides limits among nodes. It is not safe for concurrent use.
+// Owner allocates limits to nodes. It is not safe for concurrent use.
 type Owner struct {
-	tenants map[string]map[string]*share
+	// allocations is keyed by tenant and node.
+	allocations map[string]map[string]*nodeAllocation
 }
 
-// share is a node's demand and what it was given.
-type share struct {
-	demand Demand
-	slice  Allocation
-	at     structs.Instant
+// nodeAllocation is a node's last demand and the allocation it was granted.
+type nodeAllocation struct {
+	demand     Demand
+	allocation Allocation
+	reportedAt structs.Instant
 }
 
-// NewOwner returns an owner that has given nothing.
-func NewOwner() *Owner { return &Owner{tenants: map[string]map[string]*share{}} }
+// NewOwner returns an owner without allocations.
+func NewOwner() *Owner { return &Owner{allocations: map[string]map[string]*nodeAllocation{}} }
 
-// Allocate records the report and returns the slices of its sender.
+// Allocate records the report and returns the sender's new allocations.
 func (o *Owner) Allocate(now structs.Instant, report Report, limit func(tenant string) Limit) Grant {
 	var grant Grant
 	for _, demand := range report.Demands {
-		shares, found := o.tenants[demand.Tenant]
+		byNode, found := o.allocations[demand.Tenant]
 		if !found {
-			shares = map[string]*share{}
-			o.tenants[demand.Tenant] = shares
+			byNode = map[string]*nodeAllocation{}
+			o.allocations[demand.Tenant] = byNode
 		}
-		grant.Slices = append(grant.Slices, divide(now, shares, report.From, demand, limit(demand.Tenant)))
+		grant.Allocations = append(grant.Allocations, allocate(now, byNode, report.From, demand, limit(demand.Tenant)))
 	}
 	return grant
 }
 
-// divide gives the node its part by demand, out of what is not given to others.
-func divide(now structs.Instant, shares map[string]*share, from string, demand Demand, limit Limit) Allocation {
-	for name, other := range shares {
-		if now-other.at > ownerLease {
-			delete(shares, name)
+// allocate returns the node's allocation: its share by demand, at most the part
+// of the limit that is not allocated to other nodes.
+func allocate(now structs.Instant, byNode map[string]*nodeAllocation, from string, demand Demand, limit Limit) Allocation {
+	for name, other := range byNode {
+		if now-other.reportedAt > ownerLease {
+			delete(byNode, name)
 		}
 	}
-	mine := &share{demand: demand, at: now}
-	var givenRate, wantedRate float64
-	var givenOpen, wantedOpen int
-	for name, other := range shares {
+	own := &nodeAllocation{demand: demand, reportedAt: now}
+	var othersRate, othersDemandRate float64
+	var othersConcurrency, othersDemandConcurrency int
+	for name, other := range byNode {
 		if name == from {
 			continue
 		}
-		givenRate += other.slice.Rate
-		wantedRate += other.demand.Rate
-		givenOpen += other.slice.Concurrency
-		wantedOpen += other.demand.Open + 1
+		othersRate += other.allocation.Rate
+		othersDemandRate += other.demand.Rate
+		othersConcurrency += other.allocation.Concurrency
+		othersDemandConcurrency += other.demand.InFlight + 1
 	}
-	nodes := float64(len(shares))
-	if _, known := shares[from]; !known {
+	nodes := float64(len(byNode))
+	if _, known := byNode[from]; !known {
 		nodes++
 	}
-	even := limit.Rate / nodes
-	wanted := headroom*even + (1-headroom)*limit.Rate*fraction(demand.Rate, demand.Rate+wantedRate, nodes)
-	mine.slice = Allocation{
+	equalShare := limit.Rate / nodes
+	demandShare := minEqualShareFraction*equalShare + (1-minEqualShareFraction)*limit.Rate*demandFraction(demand.Rate, demand.Rate+othersDemandRate, nodes)
+	own.allocation = Allocation{
 		Tenant: demand.Tenant,
-		Rate:   max(0, min(wanted, limit.Rate-givenRate)),
+		Rate:   max(0, min(demandShare, limit.Rate-othersRate)),
 	}
-	wantedShare := float64(limit.Concurrency) * fraction(float64(demand.Open+1), float64(demand.Open+1+wantedOpen), nodes)
-	mine.slice.Concurrency = max(0, min(int(wantedShare+0.5), limit.Concurrency-givenOpen))
-	shares[from] = mine
-	return mine.slice
+	concurrencyShare := float64(limit.Concurrency) * demandFraction(float64(demand.InFlight+1), float64(demand.InFlight+1+othersDemandConcurrency), nodes)
+	own.allocation.Concurrency = max(0, min(int(concurrencyShare+0.5), limit.Concurrency-othersConcurrency))
+	byNode[from] = own
+	return own.allocation
 }
 
-func fraction(part, whole, nodes float64) float64 {
-	if whole <= 0 {
+// demandFraction returns part of total, or an equal share if total is zero.
+func demandFraction(part, total, nodes float64) float64 {
+	if total <= 0 {
 		return 1 / nodes
 	}
-	return part / whole
+	return part / total
 }
 
-// Member enforces this node's slices. It is not safe for concurrent use.
+// Member enforces this node's allocations. It is not safe for concurrent use.
 type Member struct {
-	tenants map[string]*bucket
-	// liveNodes divides limits while no owner is heard.
+	buckets map[string]*bucket
+	// liveNodes is the number of equal shares while there is no grant.
 	liveNodes int
 }
 
-// bucket is one tenant at this node.
+// bucket is the state of one tenant at this node.
 type bucket struct {
-	limiter   *rate.Limiter
-	open      int
-	arrivals  float64
-	demand    float64
-	slice     Allocation
-	grantedAt structs.Instant
-	granted   bool
-	usedAt    structs.Instant
+	limiter  *rate.Limiter
+	inFlight int
+	// arrivals counts the requests since the last report.
+	arrivals float64
+	// demandRate is a moving average of arrivals per second.
+	demandRate float64
+	allocation Allocation
+	grantedAt  structs.Instant
+	granted    bool
+	usedAt     structs.Instant
 }
 
-// NewMember returns a member with no slices.
-func NewMember() *Member { return &Member{tenants: map[string]*bucket{}, liveNodes: 1} }
+// NewMember returns a member without allocations.
+func NewMember() *Member { return &Member{buckets: map[string]*bucket{}, liveNodes: 1} }
 
-// SetLiveNodes tells the number of nodes for the equal share.
+// SetLiveNodes sets the number of nodes that the equal share is computed for.
 func (m *Member) SetLiveNodes(count int) { m.liveNodes = max(1, count) }
 
-// Admit takes one request of the tenant from its slice. It returns the reason
-// of a refusal, or ReasonNone. Each admitted request must be released.
+// Admit charges one request to the tenant's allocation. It returns the reason of
+// the rejection, or ReasonNone. Each admitted request must be released.
 func (m *Member) Admit(now structs.Instant, tenant string, limit Limit) structs.Reason {
 	if limit.Rate <= 0 && limit.Concurrency <= 0 {
 		return structs.ReasonNone
 	}
-	entry := m.bucket(now, tenant, limit)
+	entry := m.bucketFor(now, tenant, limit)
 	entry.arrivals++
 	entry.usedAt = now
-	allowed := m.effective(now, entry, limit)
-	if limit.Concurrency > 0 && entry.open >= allowed.Concurrency {
+	allowed := m.activeAllocation(now, entry, limit)
+	if limit.Concurrency > 0 && entry.inFlight >= allowed.Concurrency {
 		return structs.ReasonConcurrency
 	}
 	if limit.Rate > 0 {
-		entry.limiter.SetLimitAt(wall(now), rate.Limit(allowed.Rate))
-		entry.limiter.SetBurstAt(wall(now), max(1, int(limit.Burst/float64(m.liveNodes))))
-		if !entry.limiter.AllowN(wall(now), 1) {
+		entry.limiter.SetLimitAt(toTime(now), rate.Limit(allowed.Rate))
+		entry.limiter.SetBurstAt(toTime(now), max(1, int(limit.Burst/float64(m.liveNodes))))
+		if !entry.limiter.AllowN(toTime(now), 1) {
 			return structs.ReasonRate
 		}
 	}
-	entry.open++
+	entry.inFlight++
 	return structs.ReasonNone
 }
 
 // Release ends an admitted request.
 func (m *Member) Release(tenant string) {
-	if entry, found := m.tenants[tenant]; found && entry.open > 0 {
-		entry.open--
+	if entry, found := m.buckets[tenant]; found && entry.inFlight > 0 {
+		entry.inFlight--
 	}
 }
 
-func (m *Member) bucket(now structs.Instant, tenant string, limit Limit) *bucket {
-	entry, found := m.tenants[tenant]
+func (m *Member) bucketFor(now structs.Instant, tenant string, limit Limit) *bucket {
+	entry, found := m.buckets[tenant]
 	if !found {
 		entry = &bucket{limiter: rate.NewLimiter(rate.Limit(limit.Rate/float64(m.liveNodes)), max(1, int(limit.Burst/float64(m.liveNodes))))}
-		entry.limiter.AllowN(wall(now), 0)
-		m.tenants[tenant] = entry
+		entry.limiter.AllowN(toTime(now), 0)
+		m.buckets[tenant] = entry
 	}
 	return entry
 }
 
-// effective is the slice in force: the owner's while it is fresh, else the
-// equal share, but never less than one open request in all nodes but few.
-func (m *Member) effective(now structs.Instant, entry *bucket, limit Limit) Allocation {
+// activeAllocation returns the granted allocation until its lease expires, then
+// the equal share. The concurrency of the equal share is rounded up, so that each
+// node may run at least one request.
+func (m *Member) activeAllocation(now structs.Instant, entry *bucket, limit Limit) Allocation {
 	if entry.granted && now-entry.grantedAt <= grantLease {
-		return entry.slice
+		return entry.allocation
 	}
 	return Allocation{Rate: limit.Rate / float64(m.liveNodes), Concurrency: (limit.Concurrency + m.liveNodes - 1) / m.liveNodes}
 }
 
-// Reports returns the demands by owner since the last call.
+// Reports returns the reports to send, by owner. It is to be called once per
+// ReportInterval and removes the state of tenants without recent requests.
 func (m *Member) Reports(now structs.Instant, self string, owner func(tenant string) string) map[string]Report {
-	names := make([]string, 0, len(m.tenants))
-	for name, entry := range m.tenants {
-		if entry.open == 0 && now-entry.usedAt > ownerLease {
-			delete(m.tenants, name)
+	names := make([]string, 0, len(m.buckets))
+	for name, entry := range m.buckets {
+		if entry.inFlight == 0 && now-entry.usedAt > ownerLease {
+			delete(m.buckets, name)
 			continue
 		}
 		names = append(names, name)
@@ -222,26 +232,26 @@
 	sort.Strings(names)
 	reports := map[string]Report{}
 	for _, name := range names {
-		entry := m.tenants[name]
-		entry.demand += demandGain * (entry.arrivals/ReportInterval.Seconds() - entry.demand)
+		entry := m.buckets[name]
+		entry.demandRate += demandGain * (entry.arrivals/ReportInterval.Seconds() - entry.demandRate)
 		entry.arrivals = 0
-		to := owner(name)
-		report := reports[to]
+		recipient := owner(name)
+		report := reports[recipient]
 		report.From = self
-		report.Demands = append(report.Demands, Demand{Tenant: name, Rate: entry.demand, Open: entry.open})
-		reports[to] = report
+		report.Demands = append(report.Demands, Demand{Tenant: name, Rate: entry.demandRate, InFlight: entry.inFlight})
+		reports[recipient] = report
 	}
 	return reports
 }
 
-// Apply takes granted slices into force.
+// Apply activates the granted allocations; their leases start now.
 func (m *Member) Apply(now structs.Instant, grant Grant) {
-	for _, slice := range grant.Slices {
-		if entry, found := m.tenants[slice.Tenant]; found {
-			entry.slice, entry.granted, entry.grantedAt = slice, true, now
+	for _, allocation := range grant.Allocations {
+		if entry, found := m.buckets[allocation.Tenant]; found {
+			entry.allocation, entry.granted, entry.grantedAt = allocation, true, now
 		}
 	}
 }
 
-// wall maps an Instant to the time type of the rate limiter.
-func wall(now structs.Instant) time.Time { return time.Unix(0, int64(now)) }
+// toTime converts an Instant to the time type of the rate limiter.
+func toTime(now structs.Instant) time.Time { return time.Unix(0, int64(now)) }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,12 +1,11 @@
-// Package placement orders engines to load models. One coordinator per zone
-// and service acts, elected by a lease in the platform's store, whose revision
-// is the fence that each order carries.
+// Package placement orders engines to load models. Per zone and service there is
+// one coordinator, elected by a lease in the store; the revision of the lease key
+// is the fencing token of its orders.
 //
-// Guarantees: an engine that checks fences never follows an older coordinator
-// after a newer one. To an engine that does not, an order is sent only while
-// the lease has more time left than an order can take with the longest pause
-// tolerated, and a new coordinator waits out that time before its first order.
-// With the store down nobody orders; serving goes on.
+// An engine that checks fences never follows an older coordinator after a newer
+// one. An engine that doesn't gets orders only while the lease has at least
+// MinUnfencedLease left, and only once the coordinator has held it for as long.
+// During an outage of the store no orders are sent; requests are still served.
 package placement
 
 import (
@@ -20,33 +19,35 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Times of the lease. An order to an engine that does not check fences has to
-// be done OrderTimeout after it was begun, and its sender may have been paused
-// for up to ToleratedPause in between.
 const (
-	LeaseTTL       = 10 * time.Second
-	RenewInterval  = 2 * time.Second
-	OrderTimeout   = time.Second
-	ClockMargin    = 500 * time.Millisecond
-	ToleratedPause = 2 * time.Second
-	// SafeRemainder is the lease time that must be left for an unfenced order.
-	SafeRemainder = OrderTimeout + ClockMargin + ToleratedPause
+	LeaseTTL      = 10 * time.Second
+	RenewInterval = 2 * time.Second
+	OrderTimeout  = time.Second
+	// ClockMargin allows for clocks of node and store that run differently.
+	ClockMargin = 500 * time.Millisecond
+	// ToleratedSuspension is how long the process may be suspended while it sends
+	// an order.
+	ToleratedSuspension = 2 * time.Second
+	// MinUnfencedLease is the remaining lease time that an order to an engine
+	// without fence check requires.
+	MinUnfencedLease = OrderTimeout + ClockMargin + ToleratedSuspension
 )
 
-// Order asks an engine to load a model.
+// Order requests that an engine load a model.
 type Order struct {
 	Replica structs.Replica `json:"replica"`
 	Model   string          `json:"model"`
-	Fence   int64           `json:"fence"`
+	// Fence increases with each coordinator that acquires the lease.
+	Fence int64 `json:"fence"`
 }
 
-// Sender carries orders out. An error of kind StaleFence means that a newer
-// coordinator is known to the engine.
+// Sender sends orders to engines. An error of kind StaleFence means that the
+// engine has received an order of a newer coordinator.
 type Sender interface {
 	Send(ctx context.Context, order Order) error
 }
 
-// Demand is the wish that a model be held by a number of engines.
+// Demand is the number of engines that should have a model loaded.
 type Demand struct {
 	Model    string
 	Replicas int
@@ -55,42 +56,46 @@
 // Engine is the coordinator's view of one engine.
 type Engine struct {
 	Replica structs.Replica
-	Models  []string
+	// Models lists the loaded models.
+	Models []string
+	// Running is the number of running requests.
 	Running int
 }
 
-// ClusterState is what a coordinator sees when it plans. It is taken anew each time.
+// ClusterState is a snapshot of the demands and engines of a zone and service.
 type ClusterState struct {
 	Demands []Demand
 	Engines []Engine
-	// ReadRate is the loads a second that the weight store allows the zone.
+	// ReadRate is the maximum number of loads per second from the weight store;
+	// zero means unlimited.
 	ReadRate float64
 }
 
-// Plan returns the orders that bring the engines nearer to the demands: each
-// model goes to the usable engines with the least running work that lack it.
-func Plan(world ClusterState, pending map[string]time.Duration) []Order {
+// Plan returns the orders that the demands require. Each model goes to the
+// engines without it that run the fewest requests and are not leaving. Pending
+// orders, keyed by engine and model, count as loaded.
+func Plan(cluster ClusterState, pendingOrders map[string]time.Duration) []Order {
 	var orders []Order
-	for _, demand := range world.Demands {
-		holders := 0
-		var free []Engine
-		for _, engine := range world.Engines {
-			_, ordered := pending[pendingKey(engine.Replica.ID, demand.Model)]
+	for _, demand := range cluster.Demands {
+		loaded := 0
+		var candidates []Engine
+		for _, engine := range cluster.Engines {
+			_, ordered := pendingOrders[pendingKey(engine.Replica.ID, demand.Model)]
 			switch {
 			case engine.Replica.Leaving:
 			case contains(engine.Models, demand.Model) || ordered:
-				holders++
+				loaded++
 			default:
-				free = append(free, engine)
+				candidates = append(candidates, engine)
 			}
 		}
-		sort.Slice(free, func(i, j int) bool {
-			if free[i].Running != free[j].Running {
-				return free[i].Running < free[j].Running
+		sort.Slice(candidates, func(i, j int) bool {
+			if candidates[i].Running != candidates[j].Running {
+				return candidates[i].Running < candidates[j].Running
 			}
-			return free[i].Replica.ID < free[j].Replica.ID
+			return candidates[i].Replica.ID < candidates[j].Replica.ID
 		})
-		for _, engine := range free[:min(len(free), max(0, demand.Replicas-holders))] {
+		for _, engine := range candidates[:min(len(candidates), max(0, demand.Replicas-loaded))] {
 			orders = append(orders, Order{Replica: engine.Replica, Model: demand.Model})
 		}
 	}
@@ -108,69 +113,74 @@
 	return false
 }
 
-// Coordinator is one node's candidacy for one zone and service.
+// Coordinator is one node's candidate for coordinating one zone and service. It
+// is not safe for concurrent use.
 type Coordinator struct {
 	Store   outside.Store
 	Sender  Sender
 	Zone    string
 	Service string
 	Node    string
-	// Now is monotonic time, which goes on while the process is paused.
+	// Now returns monotonic time that advances while the process is suspended.
 	Now          func() time.Duration
 	ClusterState func() ClusterState
 	Faults       faultpoint.Injector
-	// Log is told each order and its result.
+	// Log is called with each order sent and its result; nil disables it.
 	Log func(Order, error)
 
-	lease     outside.LeaseID
-	fence     int64
-	expires   time.Duration
-	heldSince time.Duration
-	pending   map[string]time.Duration
-	lastOrder time.Duration
+	// lease is zero while another node may be the coordinator.
+	lease          outside.LeaseID
+	fence          int64
+	leaseExpiresAt time.Duration
+	acquiredAt     time.Duration
+	// pendingOrders maps engine and model to when the order was sent.
+	pendingOrders map[string]time.Duration
+	lastOrderAt   time.Duration
 }
 
-// pendingTimeout is how long an order may take to show in reports.
-const pendingTimeout = 2 * time.Minute
+// pendingOrderTimeout is how long an order counts as pending until an engine
+// reports the model.
+const pendingOrderTimeout = 2 * time.Minute
 
 // LeaseKey returns the store key of the coordinator's lease.
 func LeaseKey(zone, service string) string { return "thornwalk/placement/" + zone + "/" + service }
 
-// Step acquires or renews the lease and sends the orders that are due.
+// Step acquires or renews the lease and sends the orders that are due. It does
+// nothing if another node holds the lease.
 func (c *Coordinator) Step(ctx context.Context) {
-	if c.pending == nil {
-		c.pending = map[string]time.Duration{}
+	if c.pendingOrders == nil {
+		c.pendingOrders = map[string]time.Duration{}
 	}
-	if err := c.hold(ctx); err != nil {
+	if err := c.ensureLease(ctx); err != nil {
 		return
 	}
-	world := c.ClusterState()
-	c.expirePending(world)
-	for _, order := range Plan(world, c.pending) {
-		if c.lastOrder != 0 && world.ReadRate > 0 && c.Now()-c.lastOrder < time.Duration(float64(time.Second)/world.ReadRate) {
+	cluster := c.ClusterState()
+	c.expirePending(cluster)
+	for _, order := range Plan(cluster, c.pendingOrders) {
+		if c.lastOrderAt != 0 && cluster.ReadRate > 0 && c.Now()-c.lastOrderAt < time.Duration(float64(time.Second)/cluster.ReadRate) {
 			return
 		}
 		order.Fence = c.fence
-		if err := c.order(ctx, order); err != nil {
+		if err := c.sendOrder(ctx, order); err != nil {
 			return
 		}
 	}
 }
 
-// hold renews the lease, or acquires it if nobody holds it.
-func (c *Coordinator) hold(ctx context.Context) error {
+// ensureLease renews the lease, or acquires it if no node holds it.
+func (c *Coordinator) ensureLease(ctx context.Context) error {
 	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.OrderLease, c.Node); err != nil {
 		return err
 	}
-	begun := c.Now()
-	if c.lease != 0 && begun < c.expires {
+	startedAt := c.Now()
+	if c.lease != 0 && startedAt < c.leaseExpiresAt {
 		if err := c.Store.Renew(ctx, c.lease); err != nil {
 			if errkind.Of(err) == errkind.StaleFence {
 				c.lease = 0
 			}
 			return err
 		}
-		c.expires = begun + LeaseTTL
+		c.leaseExpiresAt = startedAt + LeaseTTL
 		return nil
 	}
 	c.lease = 0
@@ -180,35 +190,34 @@
 	}
 	fence, err := c.Store.Swap(ctx, LeaseKey(c.Zone, c.Service), 0, []byte(c.Node), lease)
 	if err != nil {
-		// The lease may hold the key if the answer was lost; without the fence
-		// it is of no use, so it is given back or runs out.
+		// If the response was lost, the key may exist, but its revision and so the
+		// fence are unknown: revoke the lease or let it expire.
 		_ = c.Store.Revoke(ctx, lease)
 		return err
 	}
 	c.lease, c.fence = lease, fence
-	c.expires = begun + LeaseTTL
-	c.heldSince = c.Now()
+	c.leaseExpiresAt = startedAt + LeaseTTL
+	c.acquiredAt = c.Now()
 	return nil
 }
 
-// order sends one order if the lease still allows it. The check comes after
-// anything that may have taken long, and is repeated for each order.
-func (c *Coordinator) order(ctx context.Context, order Order) error {
+// sendOrder sends one order if the lease still allows it. It checks the lease for
+// each order, after every operation that may take long.
+func (c *Coordinator) sendOrder(ctx context.Context, order Order) error {
 	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.OrderCheck, string(order.Replica.ID)); err != nil {
 		return err
 	}
-	if err := c.mayOrder(order); err != nil {
+	if err := c.checkLease(order); err != nil {
 		return err
 	}
 	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.OrderSend, string(order.Replica.ID)); err != nil {
 		return err
 	}
-	// A pause may have come between the check and here; the remainder covers a
-	// tolerated one, and a second look stops after a longer one.
-	if err := c.mayOrder(order); err != nil {
+	// The process may have been suspended since the first check.
+	if err := c.checkLease(order); err != nil {
 		return err
 	}
-	c.lastOrder = c.Now()
+	c.lastOrderAt = c.Now()
 	orderContext, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	err := c.Sender.Send(orderContext, order)
@@ -220,38 +229,39 @@
 		return err
 	}
 	if err == nil {
-		c.pending[pendingKey(order.Replica.ID, order.Model)] = c.Now()
+		c.pendingOrders[pendingKey(order.Replica.ID, order.Model)] = c.Now()
 	}
 	return faultpoint.Reach(ctx, c.Faults, faultpoint.OrderDone, string(order.Replica.ID))
 }
 
-func (c *Coordinator) mayOrder(order Order) error {
+// checkLease returns an error of kind StaleFence unless the order may be sent.
+func (c *Coordinator) checkLease(order Order) error {
 	now := c.Now()
-	if c.lease == 0 || now >= c.expires {
-		return errkind.New(errkind.StaleFence, "the lease has run out")
+	if c.lease == 0 || now >= c.leaseExpiresAt {
+		return errkind.New(errkind.StaleFence, "ordering a model load: the coordinator's lease has expired")
 	}
 	if order.Replica.ChecksFence {
 		return nil
 	}
-	if c.expires-now < SafeRemainder {
-		return errkind.New(errkind.StaleFence, "%s checks no fence and the lease ends in %s", order.Replica.ID, c.expires-now)
+	if c.leaseExpiresAt-now < MinUnfencedLease {
+		return errkind.New(errkind.StaleFence, "ordering a model load on %s, which checks no fence: the lease expires too soon, in %s", order.Replica.ID, c.leaseExpiresAt-now)
 	}
-	if now-c.heldSince < SafeRemainder {
-		return errkind.New(errkind.StaleFence, "%s checks no fence and an earlier coordinator may still order", order.Replica.ID)
+	if now-c.acquiredAt < MinUnfencedLease {
+		return errkind.New(errkind.StaleFence, "ordering a model load on %s, which checks no fence: an earlier coordinator may still send orders", order.Replica.ID)
 	}
 	return nil
 }
 
-// expirePending drops orders that took effect or had their time.
-func (c *Coordinator) expirePending(world ClusterState) {
-	for key, at := range c.pending {
-		if c.Now()-at > pendingTimeout {
-			delete(c.pending, key)
+// expirePending drops orders that timed out or whose engine reports the model.
+func (c *Coordinator) expirePending(cluster ClusterState) {
+	for key, sentAt := range c.pendingOrders {
+		if c.Now()-sentAt > pendingOrderTimeout {
+			delete(c.pendingOrders, key)
 		}
 	}
-	for _, engine := range world.Engines {
+	for _, engine := range cluster.Engines {
 		for _, model := range engine.Models {
-			delete(c.pending, pendingKey(engine.Replica.ID, model))
+			delete(c.pendingOrders, pendingKey(engine.Replica.ID, model))
 		}
 	}
 }
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -1,7 +1,5 @@
-// Package routing is the decision pipeline: candidates are taken from a view
-// of the replicas, filtered, scored and one is chosen. It is free of side
-// effects: time and randomness are passed in, and the caller reserves the
-// choice in the ledger with package reserve.
-//
-// The daemon, the emulator and the tests run this same code.
+// Package routing chooses a replica for a request: it collects candidates,
+// filters them, scores them and returns them ranked. It has no side effects
+// beyond its buffers: time and randomness are passed in, and the caller records
+// the choice with package reserve.
 package routing
--- a/coordination/routing/filter/filter.go
+++ b/coordination/routing/filter/filter.go
@@ -1,5 +1,6 @@
-// Package filter rules replicas out that must not or cannot serve a request.
-// A filter says no for reasons that hold whatever the load; load is scored.
+// Package filter rejects replicas that must not or cannot serve a request.
+// Filters don't depend on load, except that an engine with queued requests and
+// nearly full KV memory is rejected; package score accounts for load.
 package filter
 
 import (
@@ -9,36 +10,36 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Rejection says why a replica was ruled out; None means that it may serve.
+// Rejection is the reason why a replica is not eligible.
 type Rejection string
 
-// The causes.
 const (
-	None      Rejection = ""
-	Leaving   Rejection = "leaving"
-	Closed    Rejection = "closed"
-	Suspended Rejection = "suspended"
-	NoModel   Rejection = "model"
-	WrongRole Rejection = "role"
-	OtherZone Rejection = "zone"
-	Memory    Rejection = "memory"
-	Excluded  Rejection = "excluded"
+	// None means that the replica is eligible.
+	None        Rejection = ""
+	Leaving     Rejection = "leaving"
+	Closed      Rejection = "closed"
+	Suspended   Rejection = "suspended"
+	NoModel     Rejection = "model"
+	WrongRole   Rejection = "role"
+	OtherZone   Rejection = "zone"
+	LowKVMemory Rejection = "memory"
+	Excluded    Rejection = "excluded"
 )
 
-// minimumKVFree is the share of KV memory below which an engine that already
-// queues would have to evict running work to take more.
-const minimumKVFree = 0.02
+// minKVFreeFraction is the free fraction of KV memory below which an engine
+// with queued requests would have to evict running requests.
+const minKVFreeFraction = 0.02
 
-// Context is what filters need beside the replica and the request.
+// Context is the input of the filters besides the replica and the request.
 type Context struct {
 	Now structs.Instant
-	// Zones lists the zones whose replicas may be used.
+	// Zones lists the zones whose replicas may be used; empty means all.
 	Zones []string
-	// Excluded lists replicas that already refused to connect for the request.
+	// Excluded lists replicas that failed to connect for this request.
 	Excluded []structs.ReplicaID
 }
 
-// Check returns the first cause that rules the replica out.
+// Check returns the first reason why the replica is not eligible, or None.
 func Check(state *backend.ReplicaState, request *structs.Request, context *Context) Rejection {
 	switch {
 	case state.Replica.Leaving:
@@ -65,13 +66,13 @@
 		return NoModel
 	case report.Role == structs.RolePrefill:
 		return WrongRole
-	case report.KVFree < minimumKVFree && report.Waiting > 0:
-		return Memory
+	case report.KVFree < minKVFreeFraction && report.Waiting > 0:
+		return LowKVMemory
 	}
 	return None
 }
 
-// modelName is the name under which engines list a model with its adapter.
+// modelName returns the name under which engines list a model with its adapter.
 func modelName(request *structs.Request) string {
 	if request.Adapter == "" {
 		return request.Model
--- a/coordination/routing/pipeline.go
+++ b/coordination/routing/pipeline.go
@@ -14,149 +14,155 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// prefixHomes is the number of replicas that a prefix is spread over by
-// rendezvous before anything is known of where it is cached.
-const prefixHomes = 2
+// affinityReplicaCount is the number of replicas that rendezvous hashing
+// assigns to a prefix, so that requests with the same prefix share caches
+// before the prefix index has entries for it.
+const affinityReplicaCount = 2
 
-// homeDepth is the element of the prefix chain that chooses the homes: deep
-// enough to pass a prompt that a whole route shares, and the same for every
+// affinityChainIndex is the element of the prefix chain that is hashed: beyond
+// a system prompt that all requests of a route share, and the same for every
 // turn of one conversation.
-const homeDepth = 12
+const affinityChainIndex = 12
 
-// Pipeline chooses replicas. It is not safe for concurrent use: it keeps
-// buffers between decisions to save allocations.
+// Pipeline chooses replicas. It is not safe for concurrent use: it reuses
+// buffers between calls.
 type Pipeline struct {
 	View     *backend.Table
 	Prefixes prefix.Index
 	Weights  score.Weights
-	// SampleSize is the number of replicas sampled beside the prefix homes.
+	// SampleSize is the number of random replicas considered besides the prefix
+	// holders and affinity replicas.
 	SampleSize int
 	Random     *rand.Rand
 
-	candidates []*backend.ReplicaState
-	estimates  []structs.Candidate
+	eligible   []*backend.ReplicaState
+	candidates []structs.Candidate
 }
 
 // Choice is the result of one decision.
 type Choice struct {
-	// Found is false if the filters ruled out every replica.
+	// Found is false if the filters rejected every replica.
 	Found bool
 	Best  structs.Candidate
-	// Idle is the completion at an idle replica of the best one's kind.
-	Idle time.Duration
-	// Candidates lists what was weighed, best first.
+	// IdleCompletion is the shortest predicted completion among the candidates
+	// if they had no other requests.
+	IdleCompletion time.Duration
+	// Candidates lists all scored replicas, best first.
 	Candidates []structs.Candidate
 }
 
-// Query is one request to place.
+// Query describes the request to choose a replica for.
 type Query struct {
-	Request      *structs.Request
+	Request *structs.Request
+	// OutputTokens is the predicted length of the answer.
 	OutputTokens int
-	MeanWork     time.Duration
+	// MeanSlotTime is the mean time that a request occupies a slot.
+	MeanSlotTime time.Duration
 	Context      filter.Context
 }
 
-// Choose runs the pipeline. The candidates of the choice are valid until the
-// next call.
-func (p *Pipeline) Choose(question *Query) Choice {
-	p.gather(question)
+// Choose runs the pipeline. Choice.Candidates is valid until the next call.
+func (p *Pipeline) Choose(query *Query) Choice {
+	p.collectCandidates(query)
 	input := score.Input{
-		Now: question.Context.Now, Request: question.Request, OutputTokens: question.OutputTokens,
-		MeanWork: question.MeanWork, Prefixes: p.Prefixes, Weights: p.Weights,
+		Now: query.Context.Now, Request: query.Request, OutputTokens: query.OutputTokens,
+		MeanSlotTime: query.MeanSlotTime, Prefixes: p.Prefixes, Weights: p.Weights,
 	}
-	p.estimates = p.estimates[:0]
-	choice := Choice{Idle: time.Duration(1<<63 - 1)}
-	for _, state := range p.candidates {
+	p.candidates = p.candidates[:0]
+	choice := Choice{IdleCompletion: time.Duration(1<<63 - 1)}
+	for _, state := range p.eligible {
 		estimate := score.Predict(p.View, state, &input)
-		choice.Idle = min(choice.Idle, estimate.Idle)
-		p.estimates = append(p.estimates, structs.Candidate{
+		choice.IdleCompletion = min(choice.IdleCompletion, estimate.IdleCompletion)
+		p.candidates = append(p.candidates, structs.Candidate{
 			Replica: state.Replica.ID, Wait: estimate.Wait, FirstToken: estimate.FirstToken,
-			Completion: estimate.Completion, CachedTokens: estimate.CachedTokens, Score: estimate.Value,
+			Completion: estimate.Completion, CachedTokens: estimate.CachedTokens, Score: estimate.Score,
 		})
 	}
-	if len(p.estimates) == 0 {
+	if len(p.candidates) == 0 {
 		return Choice{}
 	}
-	slices.SortFunc(p.estimates, func(a, b structs.Candidate) int {
+	slices.SortFunc(p.candidates, func(a, b structs.Candidate) int {
 		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Replica, b.Replica))
 	})
 	choice.Found = true
-	choice.Best = p.estimates[0]
-	choice.Candidates = p.estimates
+	choice.Best = p.candidates[0]
+	choice.Candidates = p.candidates
 	return choice
 }
 
-// gather collects the candidates: every replica of a small pool, else the
-// holders of the prefix, its homes and a random sample.
-func (p *Pipeline) gather(question *Query) {
-	p.candidates = p.candidates[:0]
-	pool := p.View.Pool(question.Request.Service)
-	if len(pool.States) <= p.SampleSize+prefixHomes {
+// collectCandidates collects every eligible replica of a small pool; of a larger
+// one the prefix holders, the affinity replicas and a random sample.
+func (p *Pipeline) collectCandidates(query *Query) {
+	p.eligible = p.eligible[:0]
+	pool := p.View.Pool(query.Request.Service)
+	if len(pool.States) <= p.SampleSize+affinityReplicaCount {
 		for _, state := range pool.States {
-			p.admit(state, question)
+			p.addEligible(state, query)
 		}
 		return
 	}
-	for _, id := range p.Prefixes.Holders(question.Request.Prefix) {
-		if state, known := p.View.Get(id); known && state.Replica.Service == question.Request.Service {
-			p.admit(state, question)
+	for _, id := range p.Prefixes.Holders(query.Request.Prefix) {
+		if state, known := p.View.Get(id); known && state.Replica.Service == query.Request.Service {
+			p.addEligible(state, query)
 		}
 	}
-	p.admitHomes(pool, question)
-	p.admitSample(pool, question)
+	p.addAffinityReplicas(pool, query)
+	p.addSample(pool, query)
 }
 
-func (p *Pipeline) admit(state *backend.ReplicaState, question *Query) bool {
-	if slices.Contains(p.candidates, state) {
+// addEligible adds the replica unless it is already a candidate or filtered
+// out, and reports whether it did.
+func (p *Pipeline) addEligible(state *backend.ReplicaState, query *Query) bool {
+	if slices.Contains(p.eligible, state) {
 		return false
 	}
-	if filter.Check(state, question.Request, &question.Context) != filter.None {
+	if filter.Check(state, query.Request, &query.Context) != filter.None {
 		return false
 	}
-	p.candidates = append(p.candidates, state)
+	p.eligible = append(p.eligible, state)
 	return true
 }
 
-// admitHomes adds the usable replicas with the highest rendezvous weights.
-func (p *Pipeline) admitHomes(pool *backend.Pool, question *Query) {
-	chain := question.Request.Prefix
+// addAffinityReplicas adds the eligible replicas with the highest rendezvous
+// weights for the request's prefix.
+func (p *Pipeline) addAffinityReplicas(pool *backend.Pool, query *Query) {
+	chain := query.Request.Prefix
 	if len(chain) == 0 {
 		return
 	}
-	key := chain[min(homeDepth, len(chain)-1)]
-	var homes [prefixHomes]*backend.ReplicaState
-	var weights [prefixHomes]uint64
+	key := chain[min(affinityChainIndex, len(chain)-1)]
+	var top [affinityReplicaCount]*backend.ReplicaState
+	var weights [affinityReplicaCount]uint64
 	for _, state := range pool.States {
 		weight := rendezvous.WeightHashed(state.IDHash, key)
-		if weight <= weights[prefixHomes-1] || filter.Check(state, question.Request, &question.Context) != filter.None {
+		if weight <= weights[affinityReplicaCount-1] || filter.Check(state, query.Request, &query.Context) != filter.None {
 			continue
 		}
-		position := prefixHomes - 1
+		position := affinityReplicaCount - 1
 		for position > 0 && weights[position-1] < weight {
-			homes[position], weights[position] = homes[position-1], weights[position-1]
+			top[position], weights[position] = top[position-1], weights[position-1]
 			position--
 		}
-		homes[position], weights[position] = state, weight
+		top[position], weights[position] = state, weight
 	}
-	for _, home := range homes {
-		if home != nil {
-			p.admit(home, question)
+	for _, state := range top {
+		if state != nil {
+			p.addEligible(state, query)
 		}
 	}
 }
 
-// admitSample adds random replicas. If none of a full sample may serve, the
-// rest of the pool is tried in order, so that a usable replica is found
-// whenever there is one.
-func (p *Pipeline) admitSample(pool *backend.Pool, question *Query) {
+// addSample adds random replicas. If there is no candidate after that, it tries
+// the whole pool in order, so that an eligible replica is always found.
+func (p *Pipeline) addSample(pool *backend.Pool, query *Query) {
 	for range p.SampleSize {
-		p.admit(pool.States[p.Random.IntN(len(pool.States))], question)
+		p.addEligible(pool.States[p.Random.IntN(len(pool.States))], query)
 	}
-	if len(p.candidates) > 0 {
+	if len(p.eligible) > 0 {
 		return
 	}
 	for _, state := range pool.States {
-		if p.admit(state, question) && len(p.candidates) >= p.SampleSize {
+		if p.addEligible(state, query) && len(p.eligible) >= p.SampleSize {
 			return
 		}
 	}
--- a/coordination/routing/reserve/reserve.go
+++ b/coordination/routing/reserve/reserve.go
@@ -1,6 +1,6 @@
-// Package reserve enters a chosen replica in the node's ledger before the
-// request is sent, so that the next decision already counts it, and learns
-// from how the request ended.
+// Package reserve records a node's requests in flight at replicas before they
+// are sent, so that the next decision already counts them, and updates the
+// replicas' state from the results.
 package reserve
 
 import (
@@ -13,75 +13,79 @@
 
 // Reservation is one request in flight at a replica.
 type Reservation struct {
-	Request  *structs.Request
-	Replica  structs.ReplicaID
-	At       structs.Instant
-	Expected structs.Candidate
-	// firstTokenAt is zero until the first token arrived.
+	Request    *structs.Request
+	Replica    structs.ReplicaID
+	ReservedAt structs.Instant
+	Predicted  structs.Candidate
+	// firstTokenAt is zero until the first token arrives.
 	firstTokenAt structs.Instant
 }
 
-// Ledger holds the reservations of a node by request id.
-type Ledger struct {
-	view         *backend.Table
-	prefixes     prefix.Index
-	reservations map[string]*Reservation
+// Reservations holds the reservations of a node. It is not safe for concurrent
+// use.
+type Reservations struct {
+	view      *backend.Table
+	prefixes  prefix.Index
+	byRequest map[string]*Reservation
 }
 
-// NewLedger returns an empty ledger over the view.
-func NewLedger(view *backend.Table, prefixes prefix.Index) *Ledger {
-	return &Ledger{view: view, prefixes: prefixes, reservations: map[string]*Reservation{}}
+// NewReservations returns an empty set of reservations for the replicas of the
+// view.
+func NewReservations(view *backend.Table, prefixes prefix.Index) *Reservations {
+	return &Reservations{view: view, prefixes: prefixes, byRequest: map[string]*Reservation{}}
 }
 
 // Len returns the number of requests in flight.
-func (l *Ledger) Len() int { return len(l.reservations) }
+func (r *Reservations) Len() int { return len(r.byRequest) }
 
 // Get returns the reservation of the request.
-func (l *Ledger) Get(id string) (*Reservation, bool) {
-	reservation, found := l.reservations[id]
+func (r *Reservations) Get(id string) (*Reservation, bool) {
+	reservation, found := r.byRequest[id]
 	return reservation, found
 }
 
-// Add reserves the replica for the request.
-func (l *Ledger) Add(now structs.Instant, request *structs.Request, candidate structs.Candidate) {
-	state, found := l.view.Get(candidate.Replica)
+// Add reserves the candidate's replica for the request. It does nothing if the
+// replica is unknown.
+func (r *Reservations) Add(now structs.Instant, request *structs.Request, candidate structs.Candidate) {
+	state, found := r.view.Get(candidate.Replica)
 	if !found {
 		return
 	}
 	state.Reserve(now, request.ID, request.PromptTokens-candidate.CachedTokens)
-	l.prefixes.Sent(candidate.Replica, request.Prefix)
-	l.reservations[request.ID] = &Reservation{Request: request, Replica: candidate.Replica, At: now, Expected: candidate}
+	r.prefixes.Sent(candidate.Replica, request.Prefix)
+	r.byRequest[request.ID] = &Reservation{Request: request, Replica: candidate.Replica, ReservedAt: now, Predicted: candidate}
 }
 
-// FirstToken records the first token of the answer.
-func (l *Ledger) FirstToken(now structs.Instant, id string) {
-	reservation, found := l.reservations[id]
+// RecordFirstToken records when the first token of the answer arrived.
+func (r *Reservations) RecordFirstToken(now structs.Instant, id string) {
+	reservation, found := r.byRequest[id]
 	if !found || reservation.firstTokenAt != 0 {
 		return
 	}
 	reservation.firstTokenAt = now
-	if state, known := l.view.Get(reservation.Replica); known {
+	if state, known := r.view.Get(reservation.Replica); known {
 		state.FirstToken(now, id)
 	}
 }
 
-// Result is how a request in flight ended.
+// Result describes how a request in flight ended.
 type Result struct {
 	// Connected is false if no byte was sent.
 	Connected bool
-	// Complete is true if the whole answer arrived.
+	// Complete is true if the answer arrived completely.
 	Complete     bool
 	OutputTokens int
 }
 
-// Release ends the reservation and learns the replica's pace from it.
-func (l *Ledger) Release(now structs.Instant, id string, result Result) (*Reservation, bool) {
-	reservation, found := l.reservations[id]
+// Release ends the reservation and updates the replica's connection failures
+// and slowdown. It returns false if the request has no reservation.
+func (r *Reservations) Release(now structs.Instant, id string, result Result) (*Reservation, bool) {
+	reservation, found := r.byRequest[id]
 	if !found {
 		return nil, false
 	}
-	delete(l.reservations, id)
-	state, known := l.view.Get(reservation.Replica)
+	delete(r.byRequest, id)
+	state, known := r.view.Get(reservation.Replica)
 	if !known {
 		return reservation, true
 	}
@@ -92,22 +96,22 @@
 	}
 	state.RecordConnectSuccess()
 	if result.Complete {
-		l.learn(now, state, reservation, result.OutputTokens)
+		r.updateSlowdown(now, state, reservation, result.OutputTokens)
 	}
 	return reservation, true
 }
 
-// learn compares the pace of decoding with what the replica reports. Plain
-// services have no tokens, so the whole call is compared.
-func (l *Ledger) learn(now structs.Instant, state *backend.ReplicaState, reservation *Reservation, outputTokens int) {
+// updateSlowdown compares the decoding speed with what the replica reports.
+// Plain services have no tokens, so the duration of the call is compared.
+func (r *Reservations) updateSlowdown(now structs.Instant, state *backend.ReplicaState, reservation *Reservation, outputTokens int) {
 	if state.Replica.Kind == structs.KindService {
-		state.UpdateSlowdown(reservation.Expected.Completion, now-reservation.At)
+		state.UpdateSlowdown(reservation.Predicted.Completion, now-reservation.ReservedAt)
 		return
 	}
-	const fewTokens = 4
-	if outputTokens < fewTokens || reservation.firstTokenAt == 0 {
+	const minTokens = 4
+	if outputTokens < minTokens || reservation.firstTokenAt == 0 {
 		return
 	}
-	expected := time.Duration(outputTokens-1) * l.view.Speed(state).StepTime
+	expected := time.Duration(outputTokens-1) * r.view.Speed(state).StepTime
 	state.UpdateSlowdown(expected, now-reservation.firstTokenAt)
 }
--- a/coordination/routing/score/score.go
+++ b/coordination/routing/score/score.go
@@ -1,7 +1,6 @@
-// Package score predicts when a replica would answer a request. The prediction
-// is the score: queue ahead, prefill of the part of the prompt that is not
-// cached, decoding at the pace the replica has shown, and an error bar for the
-// age of the report.
+// Package score predicts when a replica would complete a request. The score
+// adds up the wait for a slot, prefill of uncached prompt tokens, decoding at
+// the observed speed, and a penalty for the age of the replica's report.
 package score
 
 import (
@@ -12,44 +11,43 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Weights are the settings of the score. Units are those of their products
-// with durations, so all are plain factors.
+// Weights are the dimensionless factors of the score.
 type Weights struct {
-	// Prefill adds the engine time that the uncached prefill takes from
-	// others; it is counted on top of the request's own delay.
+	// Prefill weighs the time by which the uncached prefill delays other
+	// requests, on top of the request's own prefill time.
 	Prefill float64
-	// Staleness adds this share of the report's age for each full batch.
+	// Staleness weighs the report's age times the occupied fraction of slots.
 	Staleness float64
 }
 
-// DefaultWeights were chosen in the emulator; see docs/decisions.
+// DefaultWeights are the weights used by scheduler.DefaultOptions.
 var DefaultWeights = Weights{Prefill: 2, Staleness: 0.3}
 
-// Estimate is the prediction for one replica.
+// Estimate is the prediction for one replica. Durations start at the decision.
 type Estimate struct {
 	Wait         time.Duration
 	FirstToken   time.Duration
 	Completion   time.Duration
 	CachedTokens int
-	// Value is what is minimised, in seconds.
-	Value float64
-	// Idle is the completion if the replica had nothing else to do.
-	Idle time.Duration
+	// Score is in seconds; lower is better.
+	Score float64
+	// IdleCompletion is the completion time if the replica were idle.
+	IdleCompletion time.Duration
 }
 
-// Input is what the estimate needs beside the replica.
+// Input is the input of Predict besides the replica.
 type Input struct {
 	Now     structs.Instant
 	Request *structs.Request
 	// OutputTokens is the predicted length of the answer.
 	OutputTokens int
-	// MeanWork is the mean time that a request keeps a slot of the pool.
-	MeanWork time.Duration
-	Prefixes prefix.Index
-	Weights  Weights
+	// MeanSlotTime is the mean time that a request occupies a slot.
+	MeanSlotTime time.Duration
+	Prefixes     prefix.Index
+	Weights      Weights
 }
 
-// Predict estimates the request's completion at the replica.
+// Predict estimates when the replica would complete the request.
 func Predict(view *backend.Table, state *backend.ReplicaState, input *Input) Estimate {
 	if state.Replica.Kind == structs.KindService {
 		return predictService(view, state, input)
@@ -58,59 +56,60 @@
 	var estimate Estimate
 	estimate.CachedTokens = min(input.Prefixes.CachedTokens(state.Replica.ID, input.Request.Prefix), input.Request.PromptTokens)
 	uncached := input.Request.PromptTokens - estimate.CachedTokens
-	prefill := tokensTime(uncached, speed.PrefillRate)
-	ahead := tokensTime(state.PrefillAhead(input.Now), speed.PrefillRate)
+	prefill := timeForTokens(uncached, speed.PrefillRate)
+	ahead := timeForTokens(state.PrefillAhead(input.Now), speed.PrefillRate)
 	decode := time.Duration(input.OutputTokens) * speed.StepTime
-	estimate.Wait = slotWait(state, input.MeanWork)
+	estimate.Wait = slotWait(state, input.MeanSlotTime)
 	estimate.FirstToken = estimate.Wait + ahead + prefill + speed.StepTime
 	estimate.Completion = estimate.FirstToken + decode
-	estimate.Idle = prefill + speed.StepTime + decode
-	estimate.Value = estimate.Completion.Seconds() + input.Weights.Prefill*prefill.Seconds() + staleness(state, input)
+	estimate.IdleCompletion = prefill + speed.StepTime + decode
+	estimate.Score = estimate.Completion.Seconds() + input.Weights.Prefill*prefill.Seconds() + stalenessPenalty(state, input)
 	estimate.Wait += ahead
 	return estimate
 }
 
-// predictService treats the reported step time as the time of one call.
+// predictService uses the reported step time as the duration of one call.
 func predictService(view *backend.Table, state *backend.ReplicaState, input *Input) Estimate {
-	call := view.Speed(state).StepTime
-	wait := slotWait(state, call)
+	callTime := view.Speed(state).StepTime
+	wait := slotWait(state, callTime)
 	return Estimate{
-		Wait: wait, FirstToken: wait + call, Completion: wait + call, Idle: call,
-		Value: (wait + call).Seconds() + staleness(state, input),
+		Wait: wait, FirstToken: wait + callTime, Completion: wait + callTime, IdleCompletion: callTime,
+		Score: (wait + callTime).Seconds() + stalenessPenalty(state, input),
 	}
 }
 
-// Wait predicts the time until the replica would take a new request of no
-// prompt: free slots and the prefill that is ahead.
-func Wait(view *backend.Table, state *backend.ReplicaState, now structs.Instant, meanWork time.Duration) time.Duration {
+// PredictWait predicts the time until the replica would start a new request: the
+// wait for a slot plus the prefill ahead of it.
+func PredictWait(view *backend.Table, state *backend.ReplicaState, now structs.Instant, meanSlotTime time.Duration) time.Duration {
 	if state.Replica.Kind == structs.KindService {
 		return slotWait(state, view.Speed(state).StepTime)
 	}
-	return slotWait(state, meanWork) + tokensTime(state.PrefillAhead(now), view.Speed(state).PrefillRate)
+	return slotWait(state, meanSlotTime) + timeForTokens(state.PrefillAhead(now), view.Speed(state).PrefillRate)
 }
 
-// slotWait is the time until enough requests ended that a slot is free.
-func slotWait(state *backend.ReplicaState, meanWork time.Duration) time.Duration {
+// slotWait predicts the time until a slot is free.
+func slotWait(state *backend.ReplicaState, meanSlotTime time.Duration) time.Duration {
 	slots := state.Report.Slots
-	excess := state.Occupancy() - slots + 1
-	if slots <= 0 || excess <= 0 {
+	ahead := state.Occupancy() - slots + 1
+	if slots <= 0 || ahead <= 0 {
 		return 0
 	}
-	return time.Duration(float64(meanWork) * state.Slowdown * float64(excess) / float64(slots))
+	return time.Duration(float64(meanSlotTime) * state.Slowdown * float64(ahead) / float64(slots))
 }
 
-// staleness grows with the report's age and the fullness of the batch, and
-// keeps nodes that share one old view from choosing the same replica. A
-// replica with no report counts as half full and one interval old.
-func staleness(state *backend.ReplicaState, input *Input) float64 {
+// stalenessPenalty returns seconds that grow with the report's age and the
+// occupied fraction of slots, so that nodes with the same stale report don't all
+// choose the same replica. Without a report it is that of a full replica whose
+// report is one second old.
+func stalenessPenalty(state *backend.ReplicaState, input *Input) float64 {
 	if !state.HasReport || state.Report.Slots <= 0 {
 		return input.Weights.Staleness
 	}
-	fullness := float64(state.Occupancy()) / float64(state.Report.Slots)
-	return input.Weights.Staleness * fullness * state.Age(input.Now).Seconds()
+	occupiedFraction := float64(state.Occupancy()) / float64(state.Report.Slots)
+	return input.Weights.Staleness * occupiedFraction * state.Age(input.Now).Seconds()
 }
 
-func tokensTime(tokens int, rate float64) time.Duration {
+func timeForTokens(tokens int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
--- a/coordination/scheduler/doc.go
+++ b/coordination/scheduler/doc.go
@@ -1,15 +1,14 @@
-// Package scheduler is the decision core of one node: which waiting request
-// starts next, where, and which is refused. It owns the queues, the ledger of
-// requests in flight and what was learned of lengths and speeds.
-//
-// The core is passive: it does no I/O, starts no goroutine and reads no clock.
-// The daemon, the emulator and the fault matrix drive the same code through
-// Submit, Schedule and the observations. It is not safe for concurrent use.
+// Package scheduler decides for one node which queued request is dispatched
+// next, to which replica, and which requests are rejected. It does no I/O,
+// starts no goroutine and reads no clock: callers pass the time in and carry
+// out the returned plans. It is not safe for concurrent use.
 //
 // Invariants:
-//   - A plan with VerdictDispatch is made at most once per request, unless the
-//     driver proves with Requeue that no byte was sent.
-//   - A request is refused for load only if its tier is at or below the shed
-//     mark of the zone's floor (Floor.ShedFrom), see package shedding.
-//   - Lower tiers wait while a higher tier of the same pool waits.
+//   - A request is dispatched at most once, unless the caller confirms with
+//     Requeue that no byte was sent.
+//   - A request is rejected for load only if its rank is at or beyond
+//     Floor.ShedFrom (see package shedding), or if its tier's queue exceeds
+//     maxQueueFactor times its limit.
+//   - Lower tiers stay queued while a higher tier of the same pool is
+//     backlogged.
 package scheduler
--- a/coordination/scheduler/floor.go
+++ b/coordination/scheduler/floor.go
@@ -6,79 +6,79 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Demand asks the zone to raise the floor so that the rank may be shed.
+// Demand requests that the zone's floor be raised so that the rank may be shed.
 type Demand struct {
 	Service string
 	Rank    structs.Rank
 }
 
-// SetFloor takes the zone's floor for a service into force and returns the
-// refusals of waiting requests that it lets go.
+// SetFloor applies the zone's floor for a service and returns the rejections
+// of queued requests that the floor no longer admits.
 func (s *Scheduler) SetFloor(name string, floor Floor) []structs.Plan {
-	entry := s.service(name)
+	entry := s.serviceState(name)
 	entry.floor = floor
-	entry.hasFloor = true
+	entry.floorSet = true
 	var plans []structs.Plan
-	for _, p := range s.order {
+	for _, p := range s.sortedPools {
 		if p.key.service != name {
 			continue
 		}
 		for _, request := range p.queue.LowerTiers(floor.RefuseFrom - 1) {
-			s.remove(p, request.ID)
-			plans = append(plans, refusal(request, structs.ReasonFloor, s.options.FloorDemandTTL))
+			s.dequeue(p, request.ID)
+			plans = append(plans, rejection(request, structs.ReasonFloor, s.options.FloorDemandTTL))
 		}
 	}
 	return plans
 }
 
-// Floor returns the floor in force for the service at this node.
+// Floor returns the floor that this node applies to the service.
 func (s *Scheduler) Floor(name string) Floor {
-	entry := s.service(name)
-	if !entry.hasFloor {
+	entry := s.serviceState(name)
+	if !entry.floorSet {
 		return Floor{RefuseFrom: NoRank, ShedFrom: s.options.LowestRank}
 	}
 	return entry.floor
 }
 
-// Demands returns the demands that stand, in the order of the services.
+// Demands returns the demands that have not expired, ordered by service.
 func (s *Scheduler) Demands(now structs.Instant) []Demand {
 	var demands []Demand
 	for name, entry := range s.services {
-		if entry.demand == NoRank {
+		if entry.demandedRank == NoRank {
 			continue
 		}
-		if now-entry.demandAt > s.options.FloorDemandTTL {
-			entry.demand = NoRank
+		if now-entry.demandedAt > s.options.FloorDemandTTL {
+			entry.demandedRank = NoRank
 			continue
 		}
-		demands = append(demands, Demand{Service: name, Rank: entry.demand})
+		demands = append(demands, Demand{Service: name, Rank: entry.demandedRank})
 	}
 	sort.Slice(demands, func(i, j int) bool { return demands[i].Service < demands[j].Service })
 	return demands
 }
 
-// sheddable returns whether the request may be refused for load now.
-func (s *Scheduler) sheddable(request *structs.Request) bool {
+// canShed reports whether the request may be rejected for load now.
+func (s *Scheduler) canShed(request *structs.Request) bool {
 	return request.Rank >= s.options.LowestRank || request.Rank >= s.Floor(request.Service).ShedFrom
 }
 
-// mayShed returns whether the request may be refused for load now. If not, it
-// demands the floor that would allow it.
-func (s *Scheduler) mayShed(now structs.Instant, request *structs.Request) bool {
-	s.demand(now, request)
-	return s.sheddable(request)
+// requestShed reports whether the request may be rejected for load now. It
+// also records or renews the demand for a floor that allows this.
+func (s *Scheduler) requestShed(now structs.Instant, request *structs.Request) bool {
+	s.demandFloor(now, request)
+	return s.canShed(request)
 }
 
-// demand renews the demand for the request's rank. A demand for a higher tier
-// (smaller rank) covers those for lower tiers.
-func (s *Scheduler) demand(now structs.Instant, request *structs.Request) {
+// demandFloor renews the demand for the request's rank. A demand for a higher
+// tier (smaller rank) covers those for lower tiers.
+func (s *Scheduler) demandFloor(now structs.Instant, request *structs.Request) {
 	if request.Rank >= s.options.LowestRank {
 		return
 	}
-	entry := s.service(request.Service)
-	stale := now-entry.demandAt > s.options.FloorDemandTTL
-	if stale || request.Rank <= entry.demand {
-		entry.demand = request.Rank
-		entry.demandAt = now
+	entry := s.serviceState(request.Service)
+	expired := now-entry.demandedAt > s.options.FloorDemandTTL
+	if expired || request.Rank <= entry.demandedRank {
+		entry.demandedRank = request.Rank
+		entry.demandedAt = now
 	}
 }
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -18,182 +18,199 @@
 // NoRank is a rank below every tier.
 const NoRank structs.Rank = 1 << 20
 
-// Floor is what the zone agreed for one service; see package shedding.
+// Floor is the shed floor that the nodes of the zone agreed on for one
+// service; see package shedding.
 type Floor struct {
-	// RefuseFrom is the first rank that is refused on arrival.
+	// RefuseFrom is the first rank that is rejected on arrival.
 	RefuseFrom structs.Rank `msgpack:"r" json:"refuse_from"`
-	// ShedFrom is the first rank that may be refused for load.
+	// ShedFrom is the first rank that may be rejected for load.
 	ShedFrom structs.Rank `msgpack:"s" json:"shed_from"`
 }
 
-// Options are the settings of a scheduler. Zero values take the defaults.
+// Options are the settings of a scheduler. New does not replace zero values;
+// start from DefaultOptions.
 type Options struct {
 	Zone string
 	// LowestRank is the greatest rank of any tier; it may always be shed.
 	LowestRank structs.Rank
-	// HoldAhead is the work that may wait inside an engine.
+	// HoldAhead is the longest predicted wait inside a replica at which a
+	// request is still dispatched to it.
 	HoldAhead time.Duration
-	// HoldShift is how often the limit is doubled for the highest tier.
-	HoldShift int
+	// TopTierHoldShift is how many times HoldAhead is doubled for rank zero.
+	TopTierHoldShift int
 	// AgingLimit is passed to the queues.
 	AgingLimit time.Duration
-	// QueueLimit bounds the waiting requests of one tier and pool.
+	// QueueLimit bounds the queued requests of one tier and pool.
 	QueueLimit int
 	// SampleSize is passed to the pipeline.
 	SampleSize int
-	// FloorDemandTTL is how long a demand for the floor stands without renewal.
+	// FloorDemandTTL is how long a demand for the floor is valid without
+	// renewal. Rejections for load carry it as the time to retry after.
 	FloorDemandTTL time.Duration
-	// LengthPercentile is the share of answers that a prediction covers.
-	LengthPercentile float64
-	// Slack is the share of the waiting time that the queue may use up.
-	Slack float64
-	// Patience is the share of the waiting time for which a request waits for a
-	// replica that caches its prompt while others have room.
-	Patience float64
-	// Weights are the factors of the score.
-	Weights score.Weights
-	// PrefixCapacity bounds the prefix view, in blocks.
-	PrefixCapacity int
-	// Prefixes and Lengths replace the views that the scheduler would make; the
-	// emulator's oracle does so.
+	// OutputLengthPercentile is the percentile, 0 to 1, of the output lengths
+	// seen that is used as the predicted length.
+	OutputLengthPercentile float64
+	// MaxQueueWaitFraction is the fraction of a request's time from arrival to
+	// deadline that queueing and execution together may take before its tier
+	// sheds requests.
+	MaxQueueWaitFraction float64
+	// MaxCacheWaitFraction is the fraction of a request's time from arrival to
+	// deadline that it may stay queued for a replica that caches its prompt
+	// while other replicas have capacity.
+	MaxCacheWaitFraction float64
+	Weights              score.Weights
+	// PrefixCapacityBlocks bounds the prefix index.
+	PrefixCapacityBlocks int
+	// Prefixes and Lengths replace the scheduler's own prefix index and length
+	// estimator. Nil selects the scheduler's own.
 	Prefixes prefix.Index
 	Lengths  length.Estimator
-	// Hold is false to hand work to engines at once; for experiments.
-	Hold bool
-	// RefuseEarly is false to keep late work; for experiments.
-	RefuseEarly bool
+	// LimitEngineQueue keeps requests queued at this node until a replica would
+	// start them within HoldAhead. False dispatches them at once; for experiments.
+	LimitEngineQueue bool
+	// RejectEarly rejects requests as soon as they are predicted to miss their
+	// deadline. False keeps them until the deadline; for experiments.
+	RejectEarly bool
 }
 
-// Defaults of the options, chosen in the emulator; see docs/decisions.
 const (
-	defaultHoldAhead        = 60 * time.Millisecond
-	defaultHoldShift        = 4
-	defaultAgingLimit       = 5 * time.Second
-	defaultQueueLimit       = 2000
-	defaultSampleSize       = 8
-	defaultFloorHold        = time.Second
-	defaultLengthPercentile = 0.6
-	defaultSlack            = 0.6
-	defaultPatience         = 0.4
-	defaultPrefixCapacity   = 40000
-	lengthKeys              = 4096
-	// initialMeanWork and initialWork serve until answers were observed.
-	initialMeanWork = time.Second
-	initialWork     = 50 * time.Millisecond
+	defaultHoldAhead              = 60 * time.Millisecond
+	defaultTopTierHoldShift       = 4
+	defaultAgingLimit             = 5 * time.Second
+	defaultQueueLimit             = 2000
+	defaultSampleSize             = 8
+	defaultFloorDemandTTL         = time.Second
+	defaultOutputLengthPercentile = 0.6
+	defaultMaxQueueWaitFraction   = 0.6
+	defaultMaxCacheWaitFraction   = 0.4
+	defaultPrefixCapacityBlocks   = 40000
+	maxLengthKeys                 = 4096
+	// initialMeanSlotTime is used until an answer has completed.
+	initialMeanSlotTime = time.Second
+	// initialWorkEstimate is used until a replica has reported its slots.
+	initialWorkEstimate = 50 * time.Millisecond
 )
 
-// DefaultOptions returns the options of a node in the zone.
+// DefaultOptions returns the default options of a node in the zone.
 func DefaultOptions(zone string, lowestRank structs.Rank) Options {
 	return Options{
 		Zone: zone, LowestRank: lowestRank,
-		HoldAhead: defaultHoldAhead, HoldShift: defaultHoldShift, AgingLimit: defaultAgingLimit, QueueLimit: defaultQueueLimit,
-		SampleSize: defaultSampleSize, FloorDemandTTL: defaultFloorHold,
-		LengthPercentile: defaultLengthPercentile,
-		Slack:            defaultSlack, Patience: defaultPatience,
-		Weights: score.DefaultWeights, PrefixCapacity: defaultPrefixCapacity,
-		Hold: true, RefuseEarly: true,
+		HoldAhead: defaultHoldAhead, TopTierHoldShift: defaultTopTierHoldShift, AgingLimit: defaultAgingLimit, QueueLimit: defaultQueueLimit,
+		SampleSize: defaultSampleSize, FloorDemandTTL: defaultFloorDemandTTL,
+		OutputLengthPercentile: defaultOutputLengthPercentile,
+		MaxQueueWaitFraction:   defaultMaxQueueWaitFraction, MaxCacheWaitFraction: defaultMaxCacheWaitFraction,
+		Weights: score.DefaultWeights, PrefixCapacityBlocks: defaultPrefixCapacityBlocks,
+		LimitEngineQueue: true, RejectEarly: true,
 	}
 }
 
-// poolKey names the requests that compete for the same replicas.
+// poolKey identifies requests that compete for the same replicas.
 type poolKey struct{ service, model, adapter string }
 
-// pool is the waiting requests of one key.
+// pool holds the queued requests of one key.
 type pool struct {
-	key      poolKey
-	queue    *queue.Queue
+	key   poolKey
+	queue *queue.Queue
+	// excluded lists by request id the replicas that failed to connect.
 	excluded map[string][]structs.ReplicaID
-	// held is true while the head waits for room.
-	held bool
-	// measured is the work a second started while held, averaged.
-	measured    float64
-	startedWork time.Duration
-	measuredAt  structs.Instant
-	sweptAt     structs.Instant
+	// backlogged is set if the last Schedule call left requests queued.
+	backlogged bool
+	// measuredStartRate is a moving average of the engine time dispatched per
+	// second while the pool was backlogged.
+	measuredStartRate float64
+	// startedWork is the engine time dispatched since startRateMeasuredAt.
+	startedWork         time.Duration
+	startRateMeasuredAt structs.Instant
+	sweptAt             structs.Instant
 }
 
-// service is what is kept per service.
-type service struct {
+type serviceState struct {
 	floor    Floor
-	hasFloor bool
-	demand   structs.Rank
-	demandAt structs.Instant
-	meanWork time.Duration
-	capacity capacity
+	floorSet bool
+	// demandedRank is the highest tier that needs shedding, or NoRank.
+	demandedRank structs.Rank
+	demandedAt   structs.Instant
+	// meanSlotTime is the mean time that a request occupies a slot.
+	meanSlotTime time.Duration
+	capacity     capacity
 }
 
-// Scheduler is the decision core of one node.
+// Scheduler queues the requests of one node and assigns them to replicas.
 type Scheduler struct {
-	options  Options
-	view     *backend.Table
-	prefixes prefix.Index
-	ledger   *reserve.Ledger
-	lengths  length.Estimator
-	pipeline routing.Pipeline
-	pools    map[poolKey]*pool
-	order    []*pool
-	services map[string]*service
-	waiting  map[string]*pool
-	liveNode int
-	overflow func(service string) []string
+	options      Options
+	view         *backend.Table
+	prefixes     prefix.Index
+	reservations *reserve.Reservations
+	lengths      length.Estimator
+	pipeline     routing.Pipeline
+	pools        map[poolKey]*pool
+	sortedPools  []*pool
+	services     map[string]*serviceState
+	// poolByRequest maps the id of each queued request to its pool.
+	poolByRequest map[string]*pool
+	liveNodes     int
+	overflowZones func(service string) []string
 }
 
-// New returns a scheduler that draws its samples from random.
+// New returns a scheduler that samples replicas with random.
 func New(options Options, random *rand.Rand) *Scheduler {
 	view := backend.NewTable()
 	prefixes := options.Prefixes
 	if prefixes == nil {
-		prefixes = prefix.NewLRUIndex(options.PrefixCapacity)
+		prefixes = prefix.NewLRUIndex(options.PrefixCapacityBlocks)
 	}
 	lengths := options.Lengths
 	if lengths == nil {
-		lengths = length.NewPredictor(lengthKeys)
+		lengths = length.NewPredictor(maxLengthKeys)
 	}
 	return &Scheduler{
 		options: options, view: view, prefixes: prefixes,
-		ledger:  reserve.NewLedger(view, prefixes),
-		lengths: lengths,
+		reservations: reserve.NewReservations(view, prefixes),
+		lengths:      lengths,
 		pipeline: routing.Pipeline{
 			View: view, Prefixes: prefixes, Weights: options.Weights,
 			SampleSize: options.SampleSize, Random: random,
 		},
-		pools: map[poolKey]*pool{}, services: map[string]*service{}, waiting: map[string]*pool{},
-		liveNode: 1,
-		overflow: func(string) []string { return nil },
+		pools: map[poolKey]*pool{}, services: map[string]*serviceState{}, poolByRequest: map[string]*pool{},
+		liveNodes:     1,
+		overflowZones: func(string) []string { return nil },
 	}
 }
 
-// SetOptions takes changed settings into force. Queued requests stay queued.
+// SetOptions applies changed settings. Queued requests stay queued; the score
+// weights, the prefix index and the length estimator stay as New set them.
 func (s *Scheduler) SetOptions(options Options) {
 	options.Weights = s.options.Weights
-	options.PrefixCapacity = s.options.PrefixCapacity
+	options.PrefixCapacityBlocks = s.options.PrefixCapacityBlocks
 	s.options = options
 	s.pipeline.SampleSize = options.SampleSize
 }
 
-// SetLiveNodes tells how many nodes of the zone share its replicas.
-func (s *Scheduler) SetLiveNodes(count int) { s.liveNode = max(1, count) }
+// SetLiveNodes sets the number of nodes that share the zone's replicas.
+func (s *Scheduler) SetLiveNodes(count int) { s.liveNodes = max(1, count) }
 
-// SetOverflow sets the function that names the zones which may take overflow
-// of a service now, nearest first.
-func (s *Scheduler) SetOverflow(overflow func(service string) []string) { s.overflow = overflow }
+// SetOverflow sets the function that returns the zones to which requests of a
+// service may overflow, nearest first.
+func (s *Scheduler) SetOverflow(zones func(service string) []string) {
+	s.overflowZones = zones
+}
 
-// View returns the view of the replicas; the driver keeps it up to date.
+// View returns the table of replicas, which the caller keeps up to date.
 func (s *Scheduler) View() *backend.Table { return s.view }
 
-// Prefixes returns the view of the prefix caches.
+// Prefixes returns the index of the replicas' prefix caches.
 func (s *Scheduler) Prefixes() prefix.Index { return s.prefixes }
 
-// InFlight returns the number of requests dispatched and not ended.
-func (s *Scheduler) InFlight() int { return s.ledger.Len() }
+// InFlight returns the number of dispatched requests that have not ended.
+func (s *Scheduler) InFlight() int { return s.reservations.Len() }
 
 // Waiting returns the number of queued requests.
-func (s *Scheduler) Waiting() int { return len(s.waiting) }
+func (s *Scheduler) Waiting() int { return len(s.poolByRequest) }
 
-// WaitingByRank returns the number of queued requests of the service and rank.
-func (s *Scheduler) WaitingByRank(name string, rank structs.Rank) int {
+// QueuedByRank returns the number of queued requests of the service and rank.
+func (s *Scheduler) QueuedByRank(name string, rank structs.Rank) int {
 	count := 0
-	for _, p := range s.order {
+	for _, p := range s.sortedPools {
 		if p.key.service == name {
 			count += p.queue.TierLen(rank)
 		}
@@ -201,16 +218,16 @@
 	return count
 }
 
-func (s *Scheduler) service(name string) *service {
+func (s *Scheduler) serviceState(name string) *serviceState {
 	entry, found := s.services[name]
 	if !found {
-		entry = &service{meanWork: initialMeanWork, demand: NoRank}
+		entry = &serviceState{meanSlotTime: initialMeanSlotTime, demandedRank: NoRank}
 		s.services[name] = entry
 	}
 	return entry
 }
 
-func (s *Scheduler) pool(request *structs.Request) *pool {
+func (s *Scheduler) poolFor(request *structs.Request) *pool {
 	key := poolKey{request.Service, request.Model, request.Adapter}
 	entry, found := s.pools[key]
 	if found {
@@ -218,8 +235,8 @@
 	}
 	entry = &pool{key: key, queue: queue.New(), excluded: map[string][]structs.ReplicaID{}}
 	s.pools[key] = entry
-	s.order = append(s.order, entry)
-	sort.Slice(s.order, func(i, j int) bool { return s.order[i].key.less(s.order[j].key) })
+	s.sortedPools = append(s.sortedPools, entry)
+	sort.Slice(s.sortedPools, func(i, j int) bool { return s.sortedPools[i].key.less(s.sortedPools[j].key) })
 	return entry
 }
 
@@ -233,69 +250,72 @@
 	return k.adapter < other.adapter
 }
 
-// Cancel takes a waiting request out. It returns false if the request does not
-// wait, which means that it was planned already or never submitted.
+// Cancel removes a queued request. It returns false if the request is not
+// queued: it was planned already or never submitted.
 func (s *Scheduler) Cancel(id string) bool {
-	p, found := s.waiting[id]
+	p, found := s.poolByRequest[id]
 	if !found {
 		return false
 	}
-	s.remove(p, id)
+	s.dequeue(p, id)
 	return true
 }
 
-func (s *Scheduler) remove(p *pool, id string) {
+func (s *Scheduler) dequeue(p *pool, id string) {
 	p.queue.Remove(id)
 	delete(p.excluded, id)
-	delete(s.waiting, id)
+	delete(s.poolByRequest, id)
 }
 
-// FirstToken records the first token of an answer.
-func (s *Scheduler) FirstToken(now structs.Instant, id string) { s.ledger.FirstToken(now, id) }
+// FirstToken records that the first token of an answer arrived.
+func (s *Scheduler) FirstToken(now structs.Instant, id string) {
+	s.reservations.RecordFirstToken(now, id)
+}
 
-// Finish ends a dispatched request, whatever its end.
+// Finish ends a dispatched request, successful or not. Complete answers update
+// the estimates of output length and slot time.
 func (s *Scheduler) Finish(now structs.Instant, id string, result reserve.Result) {
-	reservation, found := s.ledger.Release(now, id, result)
+	reservation, found := s.reservations.Release(now, id, result)
 	if !found || !result.Complete {
 		return
 	}
 	s.lengths.Observe(reservation.Request, result.OutputTokens)
-	entry := s.service(reservation.Request.Service)
-	const meanGain = 0.05
-	entry.meanWork += time.Duration(meanGain * float64(now-reservation.At-entry.meanWork))
+	entry := s.serviceState(reservation.Request.Service)
+	const slotTimeGain = 0.05
+	entry.meanSlotTime += time.Duration(slotTimeGain * float64(now-reservation.ReservedAt-entry.meanSlotTime))
 }
 
-// Requeue puts a planned request back after its connection failed before any
-// byte was sent; the replica is excluded for it. It returns a refusal if the
-// request cannot wait any more.
+// Requeue queues a dispatched request again after its connection failed before
+// any byte was sent. The replica is excluded for this request. It returns a
+// rejection and true if the deadline has passed.
 func (s *Scheduler) Requeue(now structs.Instant, id string) (structs.Plan, bool) {
-	reservation, found := s.ledger.Release(now, id, reserve.Result{})
+	reservation, found := s.reservations.Release(now, id, reserve.Result{})
 	if !found {
 		return structs.Plan{}, false
 	}
 	request := reservation.Request
 	if now >= request.Deadline {
-		return refusal(request, structs.ReasonExpired, 0), true
+		return rejection(request, structs.ReasonExpired, 0), true
 	}
-	p := s.pool(request)
+	p := s.poolFor(request)
 	p.excluded[id] = append(p.excluded[id], reservation.Replica)
-	p.queue.Push(request, s.work(request))
-	s.waiting[id] = p
+	p.queue.Push(request, s.estimateWork(request))
+	s.poolByRequest[id] = p
 	return structs.Plan{}, false
 }
 
-// Drain refuses every waiting request, such as at the end of a planned stop.
+// Drain rejects every queued request with the reason.
 func (s *Scheduler) Drain(reason structs.Reason) []structs.Plan {
 	var plans []structs.Plan
-	for _, p := range s.order {
+	for _, p := range s.sortedPools {
 		for _, request := range p.queue.All() {
-			s.remove(p, request.ID)
-			plans = append(plans, refusal(request, reason, s.options.FloorDemandTTL))
+			s.dequeue(p, request.ID)
+			plans = append(plans, rejection(request, reason, s.options.FloorDemandTTL))
 		}
 	}
 	return plans
 }
 
-func refusal(request *structs.Request, reason structs.Reason, retryAfter time.Duration) structs.Plan {
+func rejection(request *structs.Request, reason structs.Reason, retryAfter time.Duration) structs.Plan {
 	return structs.Plan{Request: request, Verdict: structs.VerdictRefuse, Reason: reason, RetryAfter: retryAfter, Chosen: -1}
 }
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -13,9 +13,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// build returns a scheduler of three tiers over replicas that all have the
-// given free slots.
-func build(replicas, slots int) *Scheduler {
+// newTestScheduler returns a scheduler with three tiers, whose replicas have the
+// selected number of free slots each.
+func newTestScheduler(replicas, slots int) *Scheduler {
 	s := New(DefaultOptions("z", 2), rand.New(rand.NewPCG(1, 1)))
 	for number := range replicas {
 		id := structs.ReplicaID(fmt.Sprintf("e%03d", number))
@@ -25,33 +25,35 @@
 	return s
 }
 
-func request(id string, rank structs.Rank, now, patience time.Duration) *structs.Request {
+func newTestRequest(id string, rank structs.Rank, now, timeout time.Duration) *structs.Request {
 	return &structs.Request{
 		ID: id, Tenant: "t", Route: "r", Service: "llm", Model: "m", Tier: fmt.Sprint(rank), Rank: rank, Weight: 1,
-		PromptTokens: 100, MaxTokens: 20, Arrived: now, Deadline: now + patience,
+		PromptTokens: 100, MaxTokens: 20, Arrived: now, Deadline: now + timeout,
 	}
 }
 
 func submitAll(g *gomega.WithT, s *Scheduler, now time.Duration, requests ...*structs.Request) {
 	for _, r := range requests {
-		_, refused := s.Submit(now, r)
-		g.Expect(refused).To(gomega.BeFalse())
+		_, rejected := s.Submit(now, r)
+		g.Expect(rejected).To(gomega.BeFalse())
 	}
 }
 
-func TestHigherTierStartsFirst(t *testing.T) {
+// A request of a lower tier must not be dispatched before one of a higher tier.
+func TestHigherTierIsAssignedFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(1, 1)
-	submitAll(g, s, 0, request("low", 2, 0, time.Minute), request("high", 0, 0, time.Minute), request("middle", 1, 0, time.Minute))
+	s := newTestScheduler(1, 1)
+	submitAll(g, s, 0, newTestRequest("low", 2, 0, time.Minute), newTestRequest("high", 0, 0, time.Minute), newTestRequest("middle", 1, 0, time.Minute))
 	plans := s.Schedule(0)
 	g.Expect(plans).NotTo(gomega.BeEmpty())
 	g.Expect(plans[0].Request.ID).To(gomega.Equal("high"))
 }
 
-func TestSweepMayEmptyTheQueue(t *testing.T) {
+// Sweeping the last expired request out of a queue must leave the pool usable.
+func TestSweepEmptiesQueueOfExpiredRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(1, 1)
-	submitAll(g, s, 0, request("a", 0, 0, time.Minute), request("b", 0, 0, time.Minute))
+	s := newTestScheduler(1, 1)
+	submitAll(g, s, 0, newTestRequest("a", 0, 0, time.Minute), newTestRequest("b", 0, 0, time.Minute))
 	s.Schedule(0)
 	plans := s.Schedule(2 * time.Minute)
 	g.Expect(plans).To(gomega.HaveLen(1))
@@ -59,28 +61,30 @@
 	g.Expect(s.Waiting()).To(gomega.BeZero())
 }
 
-func TestFloorLetsQueuedLowerTiersGoAndRefusesNewOnes(t *testing.T) {
+// A raised floor must reject lower tiers that are queued as well as new ones.
+func TestFloorRejectsQueuedAndNewLowerTierRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(1, 1)
-	submitAll(g, s, 0, request("first", 0, 0, time.Minute), request("low", 2, 0, time.Minute), request("middle", 1, 0, time.Minute))
+	s := newTestScheduler(1, 1)
+	submitAll(g, s, 0, newTestRequest("first", 0, 0, time.Minute), newTestRequest("low", 2, 0, time.Minute), newTestRequest("middle", 1, 0, time.Minute))
 	s.Schedule(0)
 	plans := s.SetFloor("llm", Floor{RefuseFrom: 2, ShedFrom: 1})
 	g.Expect(plans).To(gomega.HaveLen(1))
 	g.Expect(plans[0].Request.ID).To(gomega.Equal("low"))
-	plan, refused := s.Submit(0, request("late", 2, 0, time.Minute))
-	g.Expect(refused).To(gomega.BeTrue())
+	plan, rejected := s.Submit(0, newTestRequest("late", 2, 0, time.Minute))
+	g.Expect(rejected).To(gomega.BeTrue())
 	g.Expect(plan.Reason).To(gomega.Equal(structs.ReasonFloor))
 }
 
-func TestOverloadedTierDemandsTheFloorBeforeItSheds(t *testing.T) {
+// A tier above the lowest must not shed requests before the zone raised the floor.
+func TestOverloadedTierDemandsFloorBeforeShedding(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(1, 1)
+	s := newTestScheduler(1, 1)
 	for number := range 300 {
-		submitAll(g, s, 0, request(fmt.Sprint(number), 1, 0, 3*time.Second))
+		submitAll(g, s, 0, newTestRequest(fmt.Sprint(number), 1, 0, 3*time.Second))
 	}
 	s.Schedule(0)
 	for _, plan := range s.Schedule(100 * time.Millisecond) {
-		g.Expect(plan.Verdict).To(gomega.Equal(structs.VerdictDispatch), "nothing of tier 1 may be shed yet")
+		g.Expect(plan.Verdict).To(gomega.Equal(structs.VerdictDispatch), "no request of tier 1 may be shed before the floor is raised")
 	}
 	g.Expect(s.Demands(100 * time.Millisecond)).To(gomega.Equal([]Demand{{Service: "llm", Rank: 1}}))
 	s.SetFloor("llm", Floor{RefuseFrom: 2, ShedFrom: 1})
@@ -93,63 +97,67 @@
 	g.Expect(shed).To(gomega.BeNumerically(">", 0))
 }
 
-func TestRequeueGoesElsewhere(t *testing.T) {
+// A requeued request must not be dispatched again to the replica that failed.
+func TestRequeuedRequestIsAssignedToAnotherReplica(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(2, 4)
-	submitAll(g, s, 0, request("a", 0, 0, time.Minute))
+	s := newTestScheduler(2, 4)
+	submitAll(g, s, 0, newTestRequest("a", 0, 0, time.Minute))
 	first := s.Schedule(0)[0].Replica.ID
-	_, ended := s.Requeue(time.Millisecond, "a")
-	g.Expect(ended).To(gomega.BeFalse())
+	_, rejected := s.Requeue(time.Millisecond, "a")
+	g.Expect(rejected).To(gomega.BeFalse())
 	g.Expect(s.Schedule(2 * time.Millisecond)[0].Replica.ID).NotTo(gomega.Equal(first))
 }
 
-func TestLeavingReplicaGetsNothing(t *testing.T) {
+// A leaving replica must not get new requests.
+func TestLeavingReplicaGetsNoRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(1, 4)
+	s := newTestScheduler(1, 4)
 	s.View().MarkLeaving("e000")
-	submitAll(g, s, 0, request("a", 0, 0, time.Minute))
+	submitAll(g, s, 0, newTestRequest("a", 0, 0, time.Minute))
 	g.Expect(s.Schedule(0)[0].Reason).To(gomega.Equal(structs.ReasonNoReplica))
 }
 
-func TestSlowedReplicaLosesWeightInAFewRequests(t *testing.T) {
+// A replica that answers more slowly than it reports must lose traffic soon.
+func TestSlowReplicaIsAvoidedAfterAFewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := build(2, 8)
+	s := newTestScheduler(2, 8)
 	now := time.Duration(0)
 	chosen := map[structs.ReplicaID]int{}
 	for number := range 20 {
-		r := request(fmt.Sprint(number), 0, now, time.Minute)
+		r := newTestRequest(fmt.Sprint(number), 0, now, time.Minute)
 		submitAll(g, s, now, r)
 		replica := s.Schedule(now)[0].Replica.ID
 		if number >= 8 {
 			chosen[replica]++
 		}
-		pace := 10 * time.Millisecond
+		stepTime := 10 * time.Millisecond
 		if replica == "e000" {
-			pace *= 10 // its reports do not show it
+			stepTime *= 10 // not visible in its reports
 		}
 		s.FirstToken(now+20*time.Millisecond, r.ID)
-		now += 20*time.Millisecond + 19*pace
+		now += 20*time.Millisecond + 19*stepTime
 		s.Finish(now, r.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: 20})
 	}
 	g.Expect(chosen["e001"]).To(gomega.BeNumerically(">=", 11))
 }
 
-func TestExcessGivesUpTheMostExpensive(t *testing.T) {
+// Shedding must remove as few requests as possible: the most expensive ones.
+func TestSelectToShedPicksMostExpensiveRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	items := make([]*queue.Item, 0, 4)
 	for index, work := range []time.Duration{3 * time.Second, time.Second, time.Second, time.Second} {
-		items = append(items, &queue.Item{Request: request(fmt.Sprint(index), 1, 0, 3*time.Second), Work: work})
+		items = append(items, &queue.Item{Request: newTestRequest(fmt.Sprint(index), 1, 0, 3*time.Second), Work: work})
 	}
-	given := excess(0, items, 0, 1, func(*structs.Request) time.Duration { return 0 }, 1)
-	g.Expect(given).To(gomega.HaveLen(1))
-	g.Expect(given[0].Request.ID).To(gomega.Equal("0"))
+	selected := selectToShed(0, items, 0, 1, func(*structs.Request) time.Duration { return 0 }, 1)
+	g.Expect(selected).To(gomega.HaveLen(1))
+	g.Expect(selected[0].Request.ID).To(gomega.Equal("0"))
 }
 
-// BenchmarkDecision measures one routing decision, reservation included.
+// BenchmarkDecision measures one routing decision with its reservation.
 func BenchmarkDecision(b *testing.B) {
 	for _, replicas := range []int{40, 710} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			s := build(replicas, 1<<20)
+			s := newTestScheduler(replicas, 1<<20)
 			chain := make([]uint64, 60)
 			for i := range chain {
 				chain[i] = uint64(i) << 20
@@ -158,12 +166,12 @@
 			number := 0
 			for b.Loop() {
 				number++
-				r := request(fmt.Sprint(number), 0, 0, time.Hour)
+				r := newTestRequest(fmt.Sprint(number), 0, 0, time.Hour)
 				r.Prefix = chain
 				chain[59] = uint64(number)
 				s.Submit(0, r)
 				if plans := s.Schedule(0); len(plans) != 1 {
-					b.Fatal("not planned")
+					b.Fatal("Schedule did not plan the request")
 				}
 				s.Finish(0, r.ID, reserve.Result{Connected: true})
 			}
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -1,10 +1,9 @@
-// Package settingsync accepts changes of the settings tree through the
-// platform's store and keeps nodes at the highest accepted generation.
+// Package settingsync commits changes of the settings tree to the store and
+// keeps the generation that is active at a node, which only increases.
 //
-// The tree is one value in the store, with its generation and the ids of the
-// last changes. A change is accepted by compare-and-swap, so that it is atomic
-// and never reverts; a swap with an unknown outcome is settled by looking for
-// the change's id. See docs/decisions for why the tree is one value.
+// The tree is one value in the store, together with its generation and the last
+// changes, and is replaced by compare-and-swap, so that changes are atomic. If the
+// outcome of a swap is unknown, the change's id is looked up in the stored value.
 package settingsync
 
 import (
@@ -23,39 +22,41 @@
 	"github.com/thornwalk/thornwalk/state/settings"
 )
 
-// Key is the store key of the tree.
+// Key is the store key of the document.
 const Key = "thornwalk/settings"
 
 const (
-	// keptChanges is how many changes a document remembers; a change with an
-	// unknown outcome must be settled before as many others were accepted.
-	keptChanges = 64
-	// maximumDocument bounds the encoded tree; the store holds a megabyte.
-	maximumDocument = 900_000
-	// attemptPause is the time between tries to settle a change.
-	attemptPause = 50 * time.Millisecond
+	// maxRecordedChanges bounds the changes recorded in a document. The outcome of
+	// a change must be determined before as many later changes are committed.
+	maxRecordedChanges = 64
+	// maxDocumentBytes bounds the encoded document; the store accepts values of
+	// one megabyte.
+	maxDocumentBytes = 900_000
+	// retryDelay is the time between attempts to commit a change.
+	retryDelay = 50 * time.Millisecond
 )
 
-// ChangeRecord is an accepted change as the document remembers it.
+// ChangeRecord records a committed change.
 type ChangeRecord struct {
-	ID         string            `msgpack:"i" json:"id"`
-	Author     string            `msgpack:"a" json:"author"`
-	Generation uint64            `msgpack:"g" json:"generation"`
-	Unix       int64             `msgpack:"t" json:"unix"`
-	Edits      []settings.Change `msgpack:"e" json:"edits"`
+	ID         string `msgpack:"i" json:"id"`
+	Author     string `msgpack:"a" json:"author"`
+	Generation uint64 `msgpack:"g" json:"generation"`
+	// Unix is when the change was committed, in seconds since the epoch.
+	Unix  int64             `msgpack:"t" json:"unix"`
+	Edits []settings.Change `msgpack:"e" json:"edits"`
 }
 
-// Document is the value in the store.
+// Document is the value in the store: the settings tree and its last changes.
 type Document struct {
 	Generation uint64            `msgpack:"g"`
 	Branches   []settings.Branch `msgpack:"b"`
 	Changes    []ChangeRecord    `msgpack:"c"`
 }
 
-// Tree returns the document's tree.
+// Tree returns the settings tree of the document.
 func (d *Document) Tree() *settings.Tree { return settings.NewTree(d.Branches...) }
 
-func (d *Document) has(changeID string) (ChangeRecord, bool) {
+func (d *Document) findChange(changeID string) (ChangeRecord, bool) {
 	for _, change := range d.Changes {
 		if change.ID == changeID {
 			return change, true
@@ -64,50 +65,49 @@
 	return ChangeRecord{}, false
 }
 
-// Decode reads a document. The error is of kind InvalidSettings.
+// Decode decodes a stored document. The error is of kind InvalidSettings.
 func Decode(data []byte) (*Document, error) {
 	document := &Document{}
 	if err := msgpack.Unmarshal(data, document); err != nil {
-		return nil, errkind.New(errkind.InvalidSettings, "the store's settings do not parse: %v", err)
+		return nil, errkind.New(errkind.InvalidSettings, "decoding the stored settings: %v", err)
 	}
 	return document, nil
 }
 
-// Encode returns the stored form. The error is of kind InvalidSettings if the
-// tree is too large.
+// Encode returns the stored form of the document. The error is of kind
+// InvalidSettings if the document is too large.
 func (d *Document) Encode() ([]byte, error) {
 	data, err := msgpack.Marshal(d)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.InvalidSettings, err)
 	}
-	if len(data) > maximumDocument {
-		return nil, errkind.New(errkind.InvalidSettings, "the tree takes %d bytes, more than %d: merge tenants that share all values", len(data), maximumDocument)
+	if len(data) > maxDocumentBytes {
+		return nil, errkind.New(errkind.InvalidSettings, "encoding the settings: %d bytes exceed the limit of %d bytes; merge tenants that share all values", len(data), maxDocumentBytes)
 	}
 	return data, nil
 }
 
-// Change asks for edits on top of a generation.
+// Change is a set of edits to commit on top of a generation.
 type Change struct {
-	// ID is unique; repeating a change under its id has no second effect.
+	// ID is unique per change; committing a change again has no further effect.
 	ID     string `json:"id"`
 	Author string `json:"author"`
-	// Base is the generation that the edits were made on.
-	Base uint64 `json:"base"`
-	// Edits lists values to set, or to unset where Unset is true.
+	// Base is the generation that the edits are based on.
+	Base  uint64 `json:"base"`
 	Edits []Edit `json:"edits"`
 }
 
-// Edit is one edit of a change.
+// Edit sets one value to Text, unsets it or removes a branch.
 type Edit struct {
 	Path  string `json:"path"`
 	Key   string `json:"key,omitempty"`
 	Text  string `json:"text,omitempty"`
 	Unset bool   `json:"unset,omitempty"`
-	// Remove removes the whole branch; Key is then empty.
+	// Remove removes the branch with all its values; Key is then empty.
 	Remove bool `json:"remove,omitempty"`
 }
 
-// Apply returns the tree with the edits.
+// Apply returns the tree with the edits applied.
 func (c *Change) Apply(tree *settings.Tree) *settings.Tree {
 	for _, edit := range c.Edits {
 		switch {
@@ -122,41 +122,44 @@
 	return tree
 }
 
-// Committer accepts changes. It is safe for concurrent use.
+// Committer commits changes to the store. It is safe for concurrent use.
 type Committer struct {
 	Store    outside.Store
 	WallTime func() time.Time
 	Faults   faultpoint.Injector
 }
 
-// Commit writes the change on top of its base and returns its record once it
-// is in the store for good. Errors: InvalidSettings if the result does not
-// compile; Conflict if another change was accepted since the base, which the
-// message names; StoreUnavailable if nothing was written; StoreUnknown if the
-// context ended before the outcome was settled.
-func (a *Committer) Commit(ctx context.Context, change Change) (ChangeRecord, *Document, error) {
+// Commit writes the change on top of its base and returns its record and the new
+// document. It retries failed store calls until the context ends.
+//
+// Errors: InvalidSettings if the result does not compile; Conflict if other
+// changes, which the message lists, were committed since the base;
+// StoreUnavailable if nothing was written; StoreUnknown if the context ended
+// before the outcome was known.
+func (c *Committer) Commit(ctx context.Context, change Change) (ChangeRecord, *Document, error) {
 	written := false
 	for {
-		record, document, settled, err := a.attempt(ctx, change, &written)
-		if settled {
+		record, document, done, err := c.tryCommit(ctx, change, &written)
+		if done {
 			return record, document, err
 		}
-		if !wait.For(ctx, attemptPause) {
+		if !wait.For(ctx, retryDelay) {
 			if written {
-				return ChangeRecord{}, nil, errkind.New(errkind.StoreUnknown, "change %s: %v", change.ID, err)
+				return ChangeRecord{}, nil, errkind.New(errkind.StoreUnknown, "committing settings change %s: outcome unknown: %v", change.ID, err)
 			}
-			return ChangeRecord{}, nil, errkind.New(errkind.StoreUnavailable, "change %s: %v", change.ID, err)
+			return ChangeRecord{}, nil, errkind.New(errkind.StoreUnavailable, "committing settings change %s: nothing was written: %v", change.ID, err)
 		}
 	}
 }
 
-// attempt reads the document, looks for the change in it, and otherwise swaps
-// it in. It is settled unless the store failed.
-func (a *Committer) attempt(ctx context.Context, change Change, written *bool) (ChangeRecord, *Document, bool, error) {
-	if err := faultpoint.Reach(ctx, a.Faults, faultpoint.ChangeRead, change.ID); err != nil {
+// tryCommit reads the document and, unless it contains the change already, swaps
+// in the changed document. The third result is false if the store failed and the
+// attempt may be repeated; written is set if a swap may have taken effect.
+func (c *Committer) tryCommit(ctx context.Context, change Change, written *bool) (ChangeRecord, *Document, bool, error) {
+	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.ChangeRead, change.ID); err != nil {
 		return ChangeRecord{}, nil, false, err
 	}
-	value, err := a.Store.Get(ctx, Key)
+	value, err := c.Store.Get(ctx, Key)
 	if err != nil {
 		return ChangeRecord{}, nil, false, err
 	}
@@ -166,34 +169,35 @@
 			return ChangeRecord{}, nil, true, err
 		}
 	}
-	if record, accepted := document.has(change.ID); accepted {
+	if record, committed := document.findChange(change.ID); committed {
 		return record, document, true, nil
 	}
 	if document.Generation != change.Base {
-		return ChangeRecord{}, document, true, conflict(document, change)
+		return ChangeRecord{}, document, true, newConflict(document, change)
 	}
-	record, next, data, err := a.prepare(document, change)
+	record, next, data, err := c.prepareDocument(document, change)
 	if err != nil {
 		return ChangeRecord{}, nil, true, err
 	}
-	if err := faultpoint.Reach(ctx, a.Faults, faultpoint.ChangeWrite, change.ID); err != nil {
+	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.ChangeWrite, change.ID); err != nil {
 		return ChangeRecord{}, nil, false, err
 	}
 	*written = true
-	if _, err := a.Store.Swap(ctx, Key, value.Revision, data, 0); err != nil {
+	if _, err := c.Store.Swap(ctx, Key, value.Revision, data, 0); err != nil {
 		if errors.Is(err, errkind.StoreUnavailable) {
 			*written = false
 		}
 		return ChangeRecord{}, nil, false, err
 	}
-	if err := faultpoint.Reach(ctx, a.Faults, faultpoint.ChangeSwap, change.ID); err != nil {
+	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.ChangeSwap, change.ID); err != nil {
 		return ChangeRecord{}, nil, false, err
 	}
 	return record, next, true, nil
 }
 
-// prepare compiles the change and encodes the document that it leads to.
-func (a *Committer) prepare(document *Document, change Change) (ChangeRecord, *Document, []byte, error) {
+// prepareDocument compiles the changed tree and returns the change's record, the
+// new document and its encoding.
+func (c *Committer) prepareDocument(document *Document, change Change) (ChangeRecord, *Document, []byte, error) {
 	before := document.Tree()
 	after := change.Apply(before)
 	generation := document.Generation + 1
@@ -202,105 +206,108 @@
 	}
 	record := ChangeRecord{
 		ID: change.ID, Author: change.Author, Generation: generation,
-		Unix: a.WallTime().Unix(), Edits: settings.Diff(before, after),
+		Unix: c.WallTime().Unix(), Edits: settings.Diff(before, after),
 	}
 	next := &Document{Generation: generation, Branches: after.Branches()}
 	next.Changes = append(next.Changes, document.Changes...)
 	next.Changes = append(next.Changes, record)
-	if excess := len(next.Changes) - keptChanges; excess > 0 {
-		next.Changes = next.Changes[excess:]
+	if surplus := len(next.Changes) - maxRecordedChanges; surplus > 0 {
+		next.Changes = next.Changes[surplus:]
 	}
 	for i := range next.Changes[:len(next.Changes)-1] {
-		next.Changes[i].Edits = trim(next.Changes[i].Edits)
+		next.Changes[i].Edits = truncateEdits(next.Changes[i].Edits)
 	}
 	data, err := next.Encode()
 	return record, next, data, err
 }
 
-// maximumEdits bounds the edits remembered of an earlier change.
-const maximumEdits = 20
+// maxRecordedEdits bounds the recorded edits of each change but the last.
+const maxRecordedEdits = 20
 
-func trim(edits []settings.Change) []settings.Change {
-	return edits[:min(len(edits), maximumEdits)]
+func truncateEdits(edits []settings.Change) []settings.Change {
+	return edits[:min(len(edits), maxRecordedEdits)]
 }
 
-func conflict(document *Document, change Change) error {
-	since := ""
+// newConflict returns an error of kind Conflict that lists the edits committed
+// since the change's base.
+func newConflict(document *Document, change Change) error {
+	laterEdits := ""
 	for _, record := range document.Changes {
 		if record.Generation <= change.Base {
 			continue
 		}
 		for _, edit := range record.Edits {
-			since += "; " + record.Author + " set /" + edit.Path + " " + edit.Key + "=" + edit.After
+			laterEdits += "; " + record.Author + " set /" + edit.Path + " " + edit.Key + "=" + edit.After
 		}
 	}
-	return errkind.New(errkind.Conflict, "generation %d is in force, the change was made on %d%s", document.Generation, change.Base, since)
+	return errkind.New(errkind.Conflict, "committing the settings change: generation %d is stored, but the change is based on %d%s", document.Generation, change.Base, laterEdits)
 }
 
-// Current holds the generation in force at a node. It only rises. It is safe
-// for concurrent use; reading takes no lock.
+// Current holds the active settings of a node. Their generation only increases.
+// It is safe for concurrent use; reads take no lock.
 type Current struct {
-	mutex    sync.Mutex // held while a generation is taken into force
-	state    atomic.Pointer[inForce]
+	mutex    sync.Mutex // serializes InstallIfNewer
+	active   atomic.Pointer[activeGeneration]
 	onChange func(*settings.Compiled)
 }
 
-// inForce is one generation in all its forms.
-type inForce struct {
+// activeGeneration holds one generation as document, compiled and encoded.
+type activeGeneration struct {
 	document *Document
 	compiled *settings.Compiled
-	// encoded is made once for all peers that ask.
+	// encoded encodes the document on first use and caches the result.
 	encoded func() ([]byte, error)
 }
 
-func newInForce(document *Document, compiled *settings.Compiled) *inForce {
-	return &inForce{document: document, compiled: compiled, encoded: sync.OnceValues(document.Encode)}
+func newActiveGeneration(document *Document, compiled *settings.Compiled) *activeGeneration {
+	return &activeGeneration{document: document, compiled: compiled, encoded: sync.OnceValues(document.Encode)}
 }
 
-// NewCurrent returns a holder in which the document is in force; onChange runs
-// after each rise, one at a time, in order.
+// NewCurrent returns a Current with the document active. It calls onChange, which
+// may be nil, after each later activation, in order and one call at a time. The
+// error is of kind InvalidSettings if the document does not compile.
 func NewCurrent(document *Document, onChange func(*settings.Compiled)) (*Current, error) {
 	compiled, err := document.Tree().Compile(document.Generation)
 	if err != nil {
 		return nil, err
 	}
-	holder := &Current{onChange: onChange}
-	holder.state.Store(newInForce(document, compiled))
-	return holder, nil
+	current := &Current{onChange: onChange}
+	current.active.Store(newActiveGeneration(document, compiled))
+	return current, nil
 }
 
-// Compiled returns the settings in force.
-func (h *Current) Compiled() *settings.Compiled { return h.state.Load().compiled }
+// Compiled returns the active settings.
+func (c *Current) Compiled() *settings.Compiled { return c.active.Load().compiled }
 
-// Document returns the document in force. It must not be changed.
-func (h *Current) Document() *Document { return h.state.Load().document }
+// Document returns the active document. It must not be changed.
+func (c *Current) Document() *Document { return c.active.Load().document }
 
-// EncodedIfNewer returns the stored form of the document in force if its generation is higher
-// than the one given, and otherwise nil. It must not be changed.
-func (h *Current) EncodedIfNewer(generation uint64) ([]byte, error) {
-	state := h.state.Load()
-	if state.document.Generation <= generation {
+// EncodedIfNewer returns the stored form of the active document if its generation
+// is higher than the given one, and nil otherwise. It must not be changed.
+func (c *Current) EncodedIfNewer(generation uint64) ([]byte, error) {
+	active := c.active.Load()
+	if active.document.Generation <= generation {
 		return nil, nil
 	}
-	return state.encoded()
+	return active.encoded()
 }
 
-// InstallIfNewer takes the document into force if its generation is higher than the one
-// in force, and returns whether it did. The error is of kind InvalidSettings if
-// it does not compile; the one in force then stays.
-func (h *Current) InstallIfNewer(document *Document) (bool, error) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if document.Generation <= h.Document().Generation {
+// InstallIfNewer activates the document if its generation is higher than the
+// active one, and reports whether it did. The error is of kind InvalidSettings if
+// the document does not compile; the active one then stays active.
+func (c *Current) InstallIfNewer(document *Document) (bool, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if document.Generation <= c.Document().Generation {
 		return false, nil
 	}
 	compiled, err := document.Tree().Compile(document.Generation)
 	if err != nil {
 		return false, err
 	}
-	h.state.Store(newInForce(document, compiled))
-	if h.onChange != nil {
-		h.onChange(compiled)
+	c.active.Store(newActiveGeneration(document, compiled))
+	if c.onChange != nil {
+		c.onChange(compiled)
 	}
 	return true, nil
 }
--- a/coordination/shedding/member.go
+++ b/coordination/shedding/member.go
@@ -7,89 +7,91 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// pauseGap is the time between two ticks from which the process is taken to
-// have been paused.
-const pauseGap = 600 * time.Millisecond
+// suspensionGap is the time between two ticks from which the process is assumed
+// to have been suspended.
+const suspensionGap = 600 * time.Millisecond
 
-// Member is a node's side: it merges what owners told. It is not safe for
+// Member merges the floors that a node received from owners. It is not safe for
 // concurrent use.
 type Member struct {
-	self   string
-	lowest structs.Rank
-	floors map[string]map[string]heard
-	tickAt structs.Instant
+	self       string
+	lowestRank structs.Rank
+	// floorsByOwner is keyed by service and owner.
+	floorsByOwner map[string]map[string]ownerFloor
+	tickedAt      structs.Instant
 }
 
-// heard is the last FloorUpdate of one owner.
-type heard struct {
+// ownerFloor is the last FloorUpdate of one owner.
+type ownerFloor struct {
 	epoch uint64
 	floor scheduler.Floor
-	// refuseAt and shedAt start the leases of the marks.
-	refuseAt, shedAt structs.Instant
+	// The leases of the thresholds start at these times.
+	refuseFromRenewedAt, shedFromRenewedAt structs.Instant
 }
 
-// NewMember returns the member's side of the node.
+// NewMember returns the member for the node self, without any floor.
 func NewMember(self string, lowest structs.Rank) *Member {
-	return &Member{self: self, lowest: lowest, floors: map[string]map[string]heard{}}
+	return &Member{self: self, lowestRank: lowest, floorsByOwner: map[string]map[string]ownerFloor{}}
 }
 
-// SetLowest takes changed settings into force.
-func (m *Member) SetLowest(lowest structs.Rank) { m.lowest = lowest }
+// SetLowest sets the greatest rank of any tier.
+func (m *Member) SetLowest(lowest structs.Rank) { m.lowestRank = lowest }
 
-// Apply records a FloorUpdate and returns the acknowledgement. The caller must take
-// Floor into force before it sends the acknowledgement.
-func (m *Member) Apply(now structs.Instant, set FloorUpdate) Ack {
-	owners, found := m.floors[set.Service]
+// Apply records a FloorUpdate and returns its acknowledgement. The caller must
+// apply Floor to its scheduler before it sends the acknowledgement.
+func (m *Member) Apply(now structs.Instant, update FloorUpdate) Ack {
+	owners, found := m.floorsByOwner[update.Service]
 	if !found {
-		owners = map[string]heard{}
-		m.floors[set.Service] = owners
+		owners = map[string]ownerFloor{}
+		m.floorsByOwner[update.Service] = owners
 	}
-	last, known := owners[set.Owner]
-	if !known || set.Epoch >= last.epoch || now-last.refuseAt > RefuseLease {
-		floor := set.Floor
-		if set.KeepRefuse {
-			floor.RefuseFrom = m.Floor(now, set.Service).RefuseFrom
+	last, known := owners[update.Owner]
+	if !known || update.Epoch >= last.epoch || now-last.refuseFromRenewedAt > RefuseFromLease {
+		floor := update.Floor
+		if update.KeepRefuseFrom {
+			floor.RefuseFrom = m.Floor(now, update.Service).RefuseFrom
 		}
-		owners[set.Owner] = heard{epoch: set.Epoch, floor: floor, refuseAt: now, shedAt: now}
+		owners[update.Owner] = ownerFloor{epoch: update.Epoch, floor: floor, refuseFromRenewedAt: now, shedFromRenewedAt: now}
 	}
-	return Ack{Service: set.Service, Epoch: set.Epoch, From: m.self, Floor: m.Floor(now, set.Service)}
+	return Ack{Service: update.Service, Epoch: update.Epoch, From: m.self, Floor: m.Floor(now, update.Service)}
 }
 
-// Floor merges the owners' marks that have not lapsed.
+// Floor returns the strictest combination of the owners' thresholds that have
+// not expired. Without any it admits every rank and sheds only the lowest tier.
 func (m *Member) Floor(now structs.Instant, service string) scheduler.Floor {
 	floor := scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: 0}
-	fresh := 0
-	for _, entry := range m.floors[service] {
-		if now-entry.refuseAt <= RefuseLease {
+	active := 0
+	for _, entry := range m.floorsByOwner[service] {
+		if now-entry.refuseFromRenewedAt <= RefuseFromLease {
 			floor.RefuseFrom = min(floor.RefuseFrom, entry.floor.RefuseFrom)
 		}
-		if now-entry.shedAt <= ShedLease {
+		if now-entry.shedFromRenewedAt <= ShedFromLease {
 			floor.ShedFrom = max(floor.ShedFrom, entry.floor.ShedFrom)
-			fresh++
+			active++
 		}
 	}
-	if fresh == 0 {
-		floor.ShedFrom = m.lowest
+	if active == 0 {
+		floor.ShedFrom = m.lowestRank
 	}
 	return floor
 }
 
-// Tick returns the services whose floor may have changed by a lapse. After a
-// pause of the process the lease on RefuseFrom starts again, while that on
-// ShedFrom does not: a node that wakes refuses too much rather than too little
-// until an owner is heard.
+// Tick removes expired floors and returns the services whose floor may have
+// changed. After a suspension of the process it renews the leases of RefuseFrom
+// but not those of ShedFrom: until an update arrives, a resumed node rejects too
+// much rather than too little.
 func (m *Member) Tick(now structs.Instant) []string {
-	paused := now-m.tickAt > pauseGap
-	m.tickAt = now
-	services := make([]string, 0, len(m.floors))
-	for service, owners := range m.floors {
+	resumed := now-m.tickedAt > suspensionGap
+	m.tickedAt = now
+	services := make([]string, 0, len(m.floorsByOwner))
+	for service, owners := range m.floorsByOwner {
 		services = append(services, service)
 		for owner, entry := range owners {
-			if paused {
-				entry.refuseAt = now
+			if resumed {
+				entry.refuseFromRenewedAt = now
 				owners[owner] = entry
 			}
-			if now-entry.refuseAt > RefuseLease {
+			if now-entry.refuseFromRenewedAt > RefuseFromLease {
 				delete(owners, owner)
 			}
 		}
@@ -97,15 +99,16 @@
 	return services
 }
 
-// Snapshot returns the marks that a joining node needs before it admits work.
+// Snapshot returns the active floors, which a joining node applies before it
+// admits requests.
 func (m *Member) Snapshot(now structs.Instant) []FloorUpdate {
-	var sets []FloorUpdate
-	for service, owners := range m.floors {
+	var updates []FloorUpdate
+	for service, owners := range m.floorsByOwner {
 		for owner, entry := range owners {
-			if now-entry.refuseAt <= RefuseLease {
-				sets = append(sets, FloorUpdate{Service: service, Owner: owner, Epoch: entry.epoch, Floor: entry.floor})
+			if now-entry.refuseFromRenewedAt <= RefuseFromLease {
+				updates = append(updates, FloorUpdate{Service: service, Owner: owner, Epoch: entry.epoch, Floor: entry.floor})
 			}
 		}
 	}
-	return sets
+	return updates
 }
--- a/coordination/shedding/owner.go
+++ b/coordination/shedding/owner.go
@@ -9,61 +9,63 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// FloorUpdate tells a member the floor of a service.
+// FloorUpdate sends the floor of a service from its owner to a member.
 type FloorUpdate struct {
 	Service string `msgpack:"s"`
 	Owner   string `msgpack:"o"`
-	// Epoch rises with each change made by one owner process.
+	// Epoch increases with each change that one owner process makes.
 	Epoch uint64 `msgpack:"e"`
-	// KeepRefuse leaves RefuseFrom as the member has it. A new owner uses it
-	// once, since it does not know what others apply.
-	KeepRefuse bool            `msgpack:"k"`
-	Floor      scheduler.Floor `msgpack:"f"`
+	// KeepRefuseFrom leaves the member's RefuseFrom unchanged. A new owner sets it
+	// in its first update, since it doesn't know the thresholds in use.
+	KeepRefuseFrom bool            `msgpack:"k"`
+	Floor          scheduler.Floor `msgpack:"f"`
 }
 
-// Ack tells the owner that a member applied a FloorUpdate.
+// Ack confirms to the owner that a member applied a FloorUpdate.
 type Ack struct {
 	Service string `msgpack:"s"`
 	Epoch   uint64 `msgpack:"e"`
 	From    string `msgpack:"f"`
-	// Floor is what the member applies, over all owners that it hears.
+	// Floor is the floor that the member applies, merged over all owners.
 	Floor scheduler.Floor `msgpack:"l"`
 }
 
-// Demand asks the owner to make the rank sheddable.
+// Demand requests from the owner that the rank may be shed.
 type Demand struct {
 	Service string       `msgpack:"s"`
 	Rank    structs.Rank `msgpack:"r"`
 	From    string       `msgpack:"f"`
 }
 
-// Message is a message to a member.
+// Message is a FloorUpdate to be sent to a member.
 type Message struct {
 	To     string
 	Update FloorUpdate
 }
 
-// Times of the protocol.
 const (
-	// ResendInterval is the time between repetitions of a FloorUpdate.
-	ResendInterval = 400 * time.Millisecond
-	// RetryInterval is the time between repetitions to members that have not
+	// RenewInterval is the time between FloorUpdates to a member that has
+	// acknowledged, which renew its leases.
+	RenewInterval = 400 * time.Millisecond
+	// RetryInterval is the time between FloorUpdates to a member that has not
 	// acknowledged.
 	RetryInterval = 50 * time.Millisecond
-	// ShedLease and RefuseLease are how long a member applies the marks of an
-	// owner that it does not hear.
-	ShedLease   = 1500 * time.Millisecond
-	RefuseLease = 4 * time.Second
-	// LoosenPause is the least time between two steps that loosen the floor.
-	LoosenPause = 150 * time.Millisecond
+	// ShedFromLease and RefuseFromLease are how long a member applies the
+	// thresholds of an owner that sends no updates.
+	ShedFromLease   = 1500 * time.Millisecond
+	RefuseFromLease = 4 * time.Second
+	// MinLoosenInterval is the minimum time between two changes that loosen the
+	// floor.
+	MinLoosenInterval = 150 * time.Millisecond
 )
 
-// Owner is the owner's side for one node. It is not safe for concurrent use.
+// Owner coordinates the floors of the services that this node owns. It is not
+// safe for concurrent use.
 type Owner struct {
-	self     string
-	lowest   structs.Rank
-	hold     time.Duration
-	services map[string]*ownedFloor
+	self       string
+	lowestRank structs.Rank
+	demandTTL  time.Duration
+	services   map[string]*ownedFloor
 }
 
 // ownedFloor is the protocol state of one service.
@@ -71,34 +73,37 @@
 	demands map[string]demandEntry
 	epoch   uint64
 	current FloorUpdate
-	settled bool // every member acknowledged current
-	acked   map[string]bool
-	sentAt  map[string]structs.Instant
-	idleAt  structs.Instant
-	// changedAt is when the floor was changed last.
-	changedAt structs.Instant
+	// allAcknowledged is set if every member acknowledged current.
+	allAcknowledged bool
+	acked           map[string]bool
+	sentAt          map[string]structs.Instant
+	// demandedAt is when a demand above the lowest tier was last active.
+	demandedAt structs.Instant
+	changedAt  structs.Instant
 }
 
 type demandEntry struct {
-	rank structs.Rank
-	at   structs.Instant
+	rank       structs.Rank
+	receivedAt structs.Instant
 }
 
-// NewOwner returns the owner's side of the node. Epochs start from the given
-// incarnation, so that those of a new process are higher.
-func NewOwner(self string, lowest structs.Rank, hold time.Duration) *Owner {
-	return &Owner{self: self, lowest: lowest, hold: hold, services: map[string]*ownedFloor{}}
+// NewOwner returns an owner without services. Epochs start at one, so self must
+// be different for each incarnation of the node.
+func NewOwner(self string, lowest structs.Rank, demandTTL time.Duration) *Owner {
+	return &Owner{self: self, lowestRank: lowest, demandTTL: demandTTL, services: map[string]*ownedFloor{}}
 }
 
-// SetTiers takes changed settings into force.
-func (o *Owner) SetTiers(lowest structs.Rank, hold time.Duration) { o.lowest, o.hold = lowest, hold }
+// SetTiers sets the greatest rank of any tier and how long demands are valid.
+func (o *Owner) SetTiers(lowest structs.Rank, demandTTL time.Duration) {
+	o.lowestRank, o.demandTTL = lowest, demandTTL
+}
 
-// Demand records a member's demand.
+// Demand records a member's demand, which is valid until the demand TTL ends.
 func (o *Owner) Demand(now structs.Instant, demand Demand) {
-	o.service(demand.Service).demands[demand.From] = demandEntry{rank: demand.Rank, at: now}
+	o.service(demand.Service).demands[demand.From] = demandEntry{rank: demand.Rank, receivedAt: now}
 }
 
-// Ack records a member's acknowledgement.
+// Ack records a member's acknowledgement; one of an earlier epoch is ignored.
 func (o *Owner) Ack(ack Ack) {
 	owned, found := o.services[ack.Service]
 	if found && ack.Epoch == owned.epoch {
@@ -106,10 +111,10 @@
 	}
 }
 
-// Release forgets the service when another node became its owner.
+// Release drops the state of a service that another node owns now.
 func (o *Owner) Release(service string) { delete(o.services, service) }
 
-// Services lists the services with protocol state, in order.
+// Services returns the names of the services with state, sorted.
 func (o *Owner) Services() []string {
 	names := make([]string, 0, len(o.services))
 	for name := range o.services {
@@ -119,7 +124,8 @@
 	return names
 }
 
-// Floor returns the last floor that the owner told for the service.
+// Floor returns the floor that the owner announces for the service. It returns
+// false if there is no state for the service.
 func (o *Owner) Floor(service string) (scheduler.Floor, bool) {
 	owned, found := o.services[service]
 	if !found {
@@ -136,29 +142,28 @@
 	owned = &ownedFloor{
 		demands: map[string]demandEntry{}, acked: map[string]bool{}, sentAt: map[string]structs.Instant{},
 		epoch:   1,
-		current: FloorUpdate{Service: name, Owner: o.self, Epoch: 1, KeepRefuse: true, Floor: scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowest}},
+		current: FloorUpdate{Service: name, Owner: o.self, Epoch: 1, KeepRefuseFrom: true, Floor: scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowestRank}},
 	}
 	o.services[name] = owned
 	return owned
 }
 
-// Tick advances the service's floor by at most one mark and returns what has
-// to be sent. Members are the live nodes of the zone, this one included.
+// Tick moves at most one threshold of the service's floor and returns the
+// updates to send. Members are the live nodes of the zone, including this one.
 func (o *Owner) Tick(now structs.Instant, name string, members []string) []Message {
 	owned, found := o.services[name]
 	if !found {
 		return nil
 	}
-	owned.settled = owned.allAcked(members)
-	if owned.settled {
-		next, changed := owned.next(o.target(now, owned), o.lowest)
+	owned.allAcknowledged = owned.allAcked(members)
+	if owned.allAcknowledged {
+		next, changed := owned.nextFloor(o.demandedRank(now, owned), o.lowestRank)
 		switch {
-		case changed && owned.loosens(next) && now-owned.changedAt < LoosenPause:
-			// The tier that was refused last is admitted for a while before the
-			// next lower one is.
+		case changed && owned.loosens(next) && now-owned.changedAt < MinLoosenInterval:
+			// Observe the load of the tier admitted last before loosening again.
 		case changed:
-			owned.advance(now, next)
-		case o.forgettable(now, owned):
+			owned.setFloor(now, next)
+		case o.isIdle(now, owned):
 			delete(o.services, name)
 			return nil
 		}
@@ -166,69 +171,75 @@
 	return owned.outgoing(now, members)
 }
 
-// target is the highest tier demanded within the hold time.
-func (o *Owner) target(now structs.Instant, owned *ownedFloor) structs.Rank {
-	target := o.lowest
+// demandedRank returns the highest tier with a valid demand, or the lowest rank.
+// It removes expired demands.
+func (o *Owner) demandedRank(now structs.Instant, owned *ownedFloor) structs.Rank {
+	highest := o.lowestRank
 	for from, demand := range owned.demands {
-		if now-demand.at > o.hold {
+		if now-demand.receivedAt > o.demandTTL {
 			delete(owned.demands, from)
 			continue
 		}
-		target = min(target, demand.rank)
+		highest = min(highest, demand.rank)
 	}
-	if target < o.lowest {
-		owned.idleAt = now
+	if highest < o.lowestRank {
+		owned.demandedAt = now
 	}
-	return target
+	return highest
 }
 
-// forgettable is true once the floor is back at rest and its leases lapsed.
-func (o *Owner) forgettable(now structs.Instant, owned *ownedFloor) bool {
-	return !owned.current.KeepRefuse && owned.current.Floor == o.rest() && now-owned.idleAt > RefuseLease
+// isIdle reports whether the floor has its default thresholds and no demand was
+// active for the longest lease.
+func (o *Owner) isIdle(now structs.Instant, owned *ownedFloor) bool {
+	return !owned.current.KeepRefuseFrom && owned.current.Floor == o.defaultFloor() && now-owned.demandedAt > RefuseFromLease
 }
 
-func (o *Owner) rest() scheduler.Floor {
-	return scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowest}
+func (o *Owner) defaultFloor() scheduler.Floor {
+	return scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowestRank}
 }
 
-// next returns the floor one mark nearer to the target.
-func (f *ownedFloor) next(target, lowest structs.Rank) (scheduler.Floor, bool) {
+// nextFloor returns the floor with one threshold moved towards the target rank,
+// and whether it differs from the current floor.
+func (f *ownedFloor) nextFloor(target, lowest structs.Rank) (scheduler.Floor, bool) {
 	floor := f.current.Floor
 	wanted := scheduler.Floor{RefuseFrom: target + 1, ShedFrom: target}
 	if target >= lowest {
 		wanted.RefuseFrom = scheduler.NoRank
 	}
 	switch {
-	case f.current.KeepRefuse:
-		// Nobody sheds above the lowest tier now; RefuseFrom may move freely.
+	case f.current.KeepRefuseFrom:
+		// Every member acknowledged that it sheds only the lowest tier, so
+		// RefuseFrom may be set to any value.
 		return scheduler.Floor{RefuseFrom: wanted.RefuseFrom, ShedFrom: floor.ShedFrom}, true
 	case wanted.ShedFrom > floor.ShedFrom:
 		return scheduler.Floor{RefuseFrom: floor.RefuseFrom, ShedFrom: wanted.ShedFrom}, true
 	case wanted.RefuseFrom < floor.RefuseFrom:
 		return scheduler.Floor{RefuseFrom: wanted.RefuseFrom, ShedFrom: floor.ShedFrom}, true
 	case wanted.RefuseFrom > floor.RefuseFrom:
-		refuse := floor.RefuseFrom + 1 // one tier at a time
-		if refuse > lowest {
-			refuse = wanted.RefuseFrom
+		refuseFrom := floor.RefuseFrom + 1 // one tier at a time
+		if refuseFrom > lowest {
+			refuseFrom = wanted.RefuseFrom
 		}
-		return scheduler.Floor{RefuseFrom: refuse, ShedFrom: floor.ShedFrom}, true
+		return scheduler.Floor{RefuseFrom: refuseFrom, ShedFrom: floor.ShedFrom}, true
 	case wanted.ShedFrom < floor.ShedFrom:
 		return scheduler.Floor{RefuseFrom: floor.RefuseFrom, ShedFrom: wanted.ShedFrom}, true
 	}
 	return floor, false
 }
 
-// loosens returns whether the floor refuses or sheds less than the current one.
+// loosens reports whether the floor rejects or sheds fewer tiers than the
+// current one.
 func (f *ownedFloor) loosens(floor scheduler.Floor) bool {
 	current := f.current.Floor
-	return !f.current.KeepRefuse && (floor.RefuseFrom > current.RefuseFrom || floor.ShedFrom > current.ShedFrom)
+	return !f.current.KeepRefuseFrom && (floor.RefuseFrom > current.RefuseFrom || floor.ShedFrom > current.ShedFrom)
 }
 
-func (f *ownedFloor) advance(now structs.Instant, floor scheduler.Floor) {
+// setFloor starts a new epoch with the floor, not acknowledged by any member.
+func (f *ownedFloor) setFloor(now structs.Instant, floor scheduler.Floor) {
 	f.changedAt = now
 	f.epoch++
 	f.current.Epoch = f.epoch
-	f.current.KeepRefuse = false
+	f.current.KeepRefuseFrom = false
 	f.current.Floor = floor
 	clear(f.acked)
 	clear(f.sentAt)
@@ -243,13 +254,14 @@
 	return true
 }
 
-// outgoing lists the members that are due a message: those that have not
-// acknowledged, and all of them at the renewal of the leases.
+// outgoing returns the messages that are due: retries to members that have not
+// acknowledged, and lease renewals to the others. It also drops the
+// acknowledgements of nodes that are no longer members.
 func (f *ownedFloor) outgoing(now structs.Instant, members []string) []Message {
 	var messages []Message
 	for _, member := range members {
 		sentAt, sent := f.sentAt[member]
-		interval := ResendInterval
+		interval := RenewInterval
 		if !f.acked[member] {
 			interval = RetryInterval
 		}
--- a/coordination/shedding/shedding_test.go
+++ b/coordination/shedding/shedding_test.go
@@ -11,26 +11,26 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-const lowest = structs.Rank(3)
+const lowestRank = structs.Rank(3)
 
-// message is a FloorUpdate on its way to a member, or an Ack on its way back.
-type message struct {
-	set *Message
-	ack *Ack
+// testMessage is a FloorUpdate in transit to a member, or an Ack in transit to
+// the owner.
+type testMessage struct {
+	update *Message
+	ack    *Ack
 }
 
-// TestInvariantUnderAnyDelivery delivers messages in any order, twice or never,
-// and demands that no tier may be shed anywhere while a lower one is admitted
-// anywhere.
-func TestInvariantUnderAnyDelivery(t *testing.T) {
+// Messages are delivered in any order, repeatedly or never. No member may shed a
+// tier while any member admits a lower one.
+func TestInvariantHoldsUnderAnyMessageDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
-		owner := NewOwner("a/1", lowest, time.Second)
+		owner := NewOwner("a/1", lowestRank, time.Second)
 		members := map[string]*Member{}
 		for _, name := range names {
-			members[name] = NewMember(name, lowest)
+			members[name] = NewMember(name, lowestRank)
 		}
-		var flying []message
+		var inTransit []testMessage
 		now := structs.Instant(time.Second)
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 80).Draw(t, "ms")) * time.Millisecond
@@ -39,71 +39,74 @@
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
-				rank := structs.Rank(rapid.IntRange(0, int(lowest)-1).Draw(t, "rank"))
+				rank := structs.Rank(rapid.IntRange(0, int(lowestRank)-1).Draw(t, "rank"))
 				owner.Demand(now, Demand{Service: "s", Rank: rank, From: rapid.SampledFrom(names).Draw(t, "from")})
 			case 1:
 				for _, outgoing := range owner.Tick(now, "s", names) {
-					flying = append(flying, message{set: &outgoing})
+					inTransit = append(inTransit, testMessage{update: &outgoing})
 				}
 			default:
-				if len(flying) == 0 {
+				if len(inTransit) == 0 {
 					continue
 				}
-				index := rapid.IntRange(0, len(flying)-1).Draw(t, "message")
-				if next := deliver(now, flying[index], owner, members); next != nil {
-					flying = append(flying, *next)
+				index := rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")
+				if next := deliver(now, inTransit[index], owner, members); next != nil {
+					inTransit = append(inTransit, *next)
 				}
 				if rapid.Bool().Draw(t, "gone") {
-					flying = append(flying[:index], flying[index+1:]...)
+					inTransit = append(inTransit[:index], inTransit[index+1:]...)
 				}
 			}
-			if broken := violation(now, members); broken != "" {
-				t.Fatal(broken)
+			if violation := findViolation(now, members); violation != "" {
+				t.Fatal(violation)
 			}
 		}
 	})
 }
 
-func deliver(now structs.Instant, m message, owner *Owner, members map[string]*Member) *message {
+func deliver(now structs.Instant, m testMessage, owner *Owner, members map[string]*Member) *testMessage {
 	if m.ack != nil {
 		owner.Ack(*m.ack)
 		return nil
 	}
-	ack := members[m.set.To].Apply(now, m.set.Update)
-	return &message{ack: &ack}
+	ack := members[m.update.To].Apply(now, m.update.Update)
+	return &testMessage{ack: &ack}
 }
 
-func violation(now structs.Instant, members map[string]*Member) string {
-	shed, refuse := scheduler.NoRank, structs.Rank(0)
+// findViolation describes a violation of the package's invariant, or returns "".
+func findViolation(now structs.Instant, members map[string]*Member) string {
+	minShedFrom, maxRefuseFrom := scheduler.NoRank, structs.Rank(0)
 	for _, member := range members {
 		floor := member.Floor(now, "s")
-		shed = min(shed, floor.ShedFrom)
-		refuse = max(refuse, min(floor.RefuseFrom, lowest+1))
+		minShedFrom = min(minShedFrom, floor.ShedFrom)
+		maxRefuseFrom = max(maxRefuseFrom, min(floor.RefuseFrom, lowestRank+1))
 	}
-	if shed < refuse-1 {
-		return fmt.Sprintf("rank %d may be shed while rank %d is admitted", shed, refuse-1)
+	if minShedFrom < maxRefuseFrom-1 {
+		return fmt.Sprintf("rank %d may be shed while rank %d is admitted", minShedFrom, maxRefuseFrom-1)
 	}
 	return ""
 }
 
-func TestRaiseNeedsEveryMember(t *testing.T) {
-	owner := NewOwner("a/1", lowest, time.Second)
-	members := map[string]*Member{"a": NewMember("a", lowest), "b": NewMember("b", lowest)}
+// A higher tier must not be shed before every member has acknowledged that it
+// rejects the lower tiers.
+func TestRaisingFloorNeedsEveryMembersAck(t *testing.T) {
+	owner := NewOwner("a/1", lowestRank, time.Second)
+	members := map[string]*Member{"a": NewMember("a", lowestRank), "b": NewMember("b", lowestRank)}
 	now := structs.Instant(time.Second)
 	for step := range 50 {
 		now += 60 * time.Millisecond
 		owner.Demand(now, Demand{Service: "s", Rank: 1, From: "a"})
 		for _, outgoing := range owner.Tick(now, "s", []string{"a", "b"}) {
 			if outgoing.To == "b" && step < 40 {
-				continue // b is not reached
+				continue // b is unreachable
 			}
 			owner.Ack(members[outgoing.To].Apply(now, outgoing.Update))
 		}
-		if shed := members["a"].Floor(now, "s").ShedFrom; step < 40 && shed < lowest {
-			t.Fatalf("rank %d may be shed before b acknowledged", shed)
+		if shedFrom := members["a"].Floor(now, "s").ShedFrom; step < 40 && shedFrom < lowestRank {
+			t.Fatalf("rank %d may be shed before b acknowledged", shedFrom)
 		}
 	}
-	if shed := members["a"].Floor(now, "s").ShedFrom; shed != 1 {
-		t.Fatalf("shed mark is %d after all acknowledged", shed)
+	if shedFrom := members["a"].Floor(now, "s").ShedFrom; shedFrom != 1 {
+		t.Fatalf("ShedFrom is %d after all members acknowledged, want 1", shedFrom)
 	}
 }
