--- a/coordination/limits/limits.go
+++ b/coordination/limits/limits.go
@@ -4,9 +4,9 @@
 // locally, and uses an equal share of the limit while it has no grant.
 //
 // The allocations that one owner counts as granted never add up to more than the
-// limit: an allocation grows only from the unallocated part, and a grant expires
-// at the node before the owner reuses it. With two owners at once, up to twice
-// the limit may be admitted.
+// limit: an allocation grows only from the unallocated part, and a grant that is
+// not renewed expires at the node before the owner reuses it. With two owners at
+// once, up to twice the limit may be admitted.
 package limits
 
 import (
@@ -32,7 +32,7 @@
 	minEqualShareFraction = 0.1
 )
 
-// Limit holds the limits of a tenant. No rate or no concurrency means unlimited.
+// Limit holds the limits of a tenant. A zero rate or concurrency is unlimited.
 type Limit struct {
 	// Rate is in requests per second.
 	Rate        float64
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// sendOrder sends one order if the lease still allows it. It checks the lease for
-// each order, after every operation that may take long.
+// sendOrder sends one order if the lease still allows it. It checks the lease
+// again right before sending.
 func (c *Coordinator) sendOrder(ctx context.Context, order Order) error {
 	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.OrderCheck, string(order.Replica.ID)); err != nil {
 		return err
--- a/coordination/scheduler/doc.go
+++ b/coordination/scheduler/doc.go
@@ -9,6 +9,6 @@
 //   - A request is rejected for load only if its rank is at or beyond
 //     Floor.ShedFrom (see package shedding), or if its tier's queue exceeds
 //     maxQueueFactor times its limit.
-//   - Lower tiers stay queued while a higher tier of the same pool is
-//     backlogged.
+//   - Requests of higher tiers are planned before those of lower tiers in the
+//     same pool.
 package scheduler
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -49,7 +49,7 @@
 	g.Expect(plans[0].Request.ID).To(gomega.Equal("high"))
 }
 
-// Sweeping the last expired request out of a queue must leave the pool usable.
+// Schedule must not fail if the sweep removes all queued requests.
 func TestSweepEmptiesQueueOfExpiredRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newTestScheduler(1, 1)
--- a/coordination/scheduler/shed_select.go
+++ b/coordination/scheduler/shed_select.go
@@ -12,13 +12,10 @@
 const minQueueWaitFraction = 0.15
 
 // selectToShed returns the requests to shed so that as many others as possible
-// complete in time. In order of deadline, whenever a request would be late, it
-// sheds the most expensive one so far, which minimizes late jobs on one machine
-// (Moore, "An n job, one machine sequencing algorithm", 1968). Items are sorted
-// by deadline, ahead is the engine time of higher tiers, rate the engine time
-// started per second, completionTime the predicted time from start to answer.
-//
-// A request that would be late without any queueing causes no shedding.
+// complete in time (Moore, "An n job, one machine sequencing algorithm", 1968).
+// Items are sorted by deadline, ahead is the engine time queued in higher tiers,
+// rate the engine time started per second, and completionTime predicts the time
+// from start to answer. A request that is late without queueing sheds no others.
 func selectToShed(now structs.Instant, items []*queue.Item, ahead time.Duration, rate float64, completionTime func(*structs.Request) time.Duration, maxWaitFraction float64) []*queue.Item {
 	var selected []*queue.Item
 	kept := make([]*queue.Item, 0, len(items))
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -283,7 +283,7 @@
 func (c *Current) Document() *Document { return c.active.Load().document }
 
 // EncodedIfNewer returns the stored form of the active document if its generation
-// is higher than the given one, and nil otherwise. It must not be changed.
+// is higher than the given one, and nil otherwise. The result must not be changed.
 func (c *Current) EncodedIfNewer(generation uint64) ([]byte, error) {
 	active := c.active.Load()
 	if active.document.Generation <= generation {
