--- a/entry/active_calls.go
+++ b/entry/active_calls.go
@@ -37,7 +37,7 @@
 }
 
 // endOverdue ends the requests whose time is over, and returns how many these are.
-func (s *activeCalls) endOverdue(now structs.Instant) int {
+func (s *activeCalls) cancelExpired(now structs.Instant) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	ended := 0
--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -23,7 +23,7 @@
 }
 
 // maximumSchedulers bounds how many nodes are asked for one place.
-const maximumSchedulers = 3
+const maxSchedulerAttempts = 3
 
 // requestAssignment asks the scheduling node for a place. If the connection to it broke, it is asked
 // once more by a new one; if it can't be reached, the next node is asked, and in the end
@@ -32,22 +32,22 @@
 	asked := request.Request
 	begun := n.now()
 	askedAgain := false
-	for try, left := 0, maximumSchedulers; left > 0; try, left = try+1, left-1 {
+	for try, left := 0, maxSchedulerAttempts; left > 0; try, left = try+1, left-1 {
 		request.Request = asked.WithElapsed(n.now() - begun)
 		request.Request.ID = asked.ID + "." + string(rune('a'+try))
 		request.First = request.First && try == 0 // one that was asked before may have counted it
 		scheduler, address := n.currentScheduler()
 		if address == "" || left == 1 {
-			given := n.placeHere(ctx, request)
+			given := n.assignLocally(ctx, request)
 			given.asked = try + 1
 			return given
 		}
 		reply := &assignReply{}
 		err := n.callScheduler(ctx, scheduler, address, request, reply)
 		if err == nil && reply.Reason != reasonUnreachable {
-			return n.hold(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: try + 1})
+			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: try + 1})
 		}
-		n.deliver(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
+		n.sendFinish(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
 		if ctx.Err() != nil {
 			break
 		}
@@ -57,20 +57,20 @@
 			continue
 		}
 		n.counter("scheduler.unreachable").Inc(1)
-		n.suspect(scheduler)
+		n.suspectNode(scheduler)
 		n.selectScheduler()
 	}
 	return &grant{assignReply: &assignReply{Reason: reasonUnreachable}}
 }
 
 // placeHere lets this node's own desk decide.
-func (n *Node) placeHere(ctx context.Context, request *assignRequest) *grant {
+func (n *Node) assignLocally(ctx context.Context, request *assignRequest) *grant {
 	reply := n.scheduling.assign(ctx, request)
-	return n.hold(&grant{assignReply: reply, id: request.Request.ID, scheduler: n.settings.Load().Name})
+	return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: n.settings.Load().Name})
 }
 
 // hold enters a place that was given into this node's own count.
-func (n *Node) hold(given *grant) *grant {
+func (n *Node) recordGrant(given *grant) *grant {
 	if given.Reason != "" {
 		return given
 	}
@@ -98,23 +98,23 @@
 }
 
 // silenceCheck is the time between looks whether the scheduling node still beats.
-const silenceCheck = 100 * time.Millisecond
+const silenceCheckInterval = 100 * time.Millisecond
 
 // callScheduler asks and waits for as long as the scheduling node is heard of.
 func (n *Node) callScheduler(ctx context.Context, scheduler, address string, request *assignRequest, reply *assignReply) error {
 	callContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go n.watchSilence(callContext, cancel, scheduler)
+	go n.cancelOnSilence(callContext, cancel, scheduler)
 	return n.peers.Call(callContext, address, peerwire.KindPlace, request, reply)
 }
 
 // watchSilence cancels the call when the scheduling node is no longer heard of.
-func (n *Node) watchSilence(ctx context.Context, cancel context.CancelFunc, scheduler string) {
+func (n *Node) cancelOnSilence(ctx context.Context, cancel context.CancelFunc, scheduler string) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(silenceCheck):
+		case <-time.After(silenceCheckInterval):
 		}
 		n.mutex.Lock()
 		member, found := n.members.Get(scheduler)
@@ -137,9 +137,9 @@
 
 // Bounds of messages that are sent again.
 const (
-	deliverTimeout     = 400 * time.Millisecond
-	deliverLimit       = 8 * time.Second
-	maximumUndelivered = 2000
+	reportTimeout      = 400 * time.Millisecond
+	finishRetryWindow  = 8 * time.Second
+	maxUnackedFinishes = 2000
 )
 
 // finish ends a place that was given.
@@ -152,20 +152,20 @@
 		n.scheduling.finish(message)
 		return
 	}
-	n.deliver(unackedFinish{address: given.address, message: message, since: n.now()})
+	n.sendFinish(unackedFinish{address: given.address, message: message, since: n.now()})
 }
 
 // deliver sends the message in the background and keeps it if that fails.
-func (n *Node) deliver(item unackedFinish) {
+func (n *Node) sendFinish(item unackedFinish) {
 	go func() {
-		ctx, cancel := context.WithTimeout(n.ctx, deliverTimeout)
+		ctx, cancel := context.WithTimeout(n.ctx, reportTimeout)
 		defer cancel()
 		if err := n.peers.Call(ctx, item.address, peerwire.KindFinish, item.message, &finishReply{}); err == nil {
 			return
 		}
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		if n.now()-item.since < deliverLimit && len(n.unackedFinishes) < maximumUndelivered {
+		if n.now()-item.since < finishRetryWindow && len(n.unackedFinishes) < maxUnackedFinishes {
 			n.unackedFinishes = append(n.unackedFinishes, item)
 		}
 	}()
@@ -178,7 +178,7 @@
 	n.unackedFinishes = nil
 	n.mutex.Unlock()
 	for _, item := range items {
-		n.deliver(item)
+		n.sendFinish(item)
 	}
 }
 
@@ -191,7 +191,7 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(n.ctx, deliverTimeout)
+		ctx, cancel := context.WithTimeout(n.ctx, reportTimeout)
 		defer cancel()
 		_ = n.peers.Call(ctx, given.address, peerwire.KindBegun, message, &firstEventReply{})
 	}()
--- a/entry/bucket_levels.go
+++ b/entry/bucket_levels.go
@@ -13,16 +13,16 @@
 
 const (
 	// levelsMemory is how long the buckets of another scheduling node are worth going on from.
-	levelsMemory = 10 * time.Second
+	bucketLevelsRetention = 10 * time.Second
 	// levelsToldFor is how long a node that schedules no more tells of its buckets: who took
 	// over may be a process that just started and knows none.
-	levelsToldFor = time.Second
+	formerSchedulerReportTime = time.Second
 )
 
 // noteLevels keeps what a heartbeat tells of the tenants' buckets, if it is newer than what is
 // known, and returns whether this node's own buckets are to follow: not while it still tells the
 // others of them. The caller holds the mutex.
-func (n *Node) noteLevels(now structs.Instant, beat liveness.Heartbeat) bool {
+func (n *Node) recordBucketLevels(now structs.Instant, beat liveness.Heartbeat) bool {
 	told := now - time.Duration(beat.BucketLevelsAgeMS)*time.Millisecond
 	if beat.BucketLevels == nil || told < n.bucketLevelsAt {
 		return false
@@ -31,47 +31,47 @@
 	if beat.BucketLevelsAgeMS == 0 {
 		n.bucketLevelsUntil += time.Duration(beat.IntervalMS) * time.Millisecond
 	}
-	return now-n.lastActiveAt >= levelsToldFor
+	return now-n.lastActiveAt >= formerSchedulerReportTime
 }
 
 // takeLevels brings the desk's buckets up to what a heartbeat told. A node that does not schedule
 // follows as well: others ask it before it knows that it is its turn, and its buckets would be
 // those of the last time it was.
-func (n *Node) takeLevels(leads bool, until structs.Instant, levels map[string]float64) {
+func (n *Node) applyBucketLevels(leads bool, until structs.Instant, levels map[string]float64) {
 	if leads {
-		n.scheduling.adopt(until, levels)
+		n.scheduling.mergeBucketLevels(until, levels)
 		return
 	}
-	n.scheduling.takeOver(until, levels)
+	n.scheduling.restoreBucketLevels(until, levels)
 }
 
 // receivedUsage is what was last heard of what another node handed out.
 type receivedUsage struct {
 	incarnation, epoch uint64
-	taken              map[string]float64
+	amounts            map[string]float64
 }
 
 // noteLedger keeps what a heartbeat tells of what its sender handed out, and returns what of it this
 // node, if it schedules as well, does not know yet. Only of two the one that has scheduled for longer
 // takes account of the other: what others handed out before this node began to schedule is in the
 // buckets that it went on from. The caller holds the mutex.
-func (n *Node) noteLedger(now structs.Instant, beat liveness.Heartbeat) quota.RemoteUsage {
+func (n *Node) recordUsage(now structs.Instant, beat liveness.Heartbeat) quota.RemoteUsage {
 	if beat.Usage == nil {
 		return quota.RemoteUsage{}
 	}
-	told := receivedUsage{incarnation: beat.Incarnation, epoch: beat.Usage.Epoch, taken: beat.Usage.Taken}
+	told := receivedUsage{incarnation: beat.Incarnation, epoch: beat.Usage.Epoch, amounts: beat.Usage.Taken}
 	before, found := n.peerUsage[beat.Name]
 	n.peerUsage[beat.Name] = told
 	isSame := found && before.incarnation == told.incarnation && before.epoch == told.epoch
 	led := time.Duration(beat.Usage.Led) * time.Millisecond
-	if led >= n.scheduling.ledFor() {
+	if led >= n.scheduling.activeFor() {
 		return quota.RemoteUsage{}
 	}
 	handed := quota.RemoteUsage{Since: now - led, Amounts: map[string]float64{}, Levels: beat.BucketLevels}
-	for tenant, taken := range told.taken {
+	for tenant, taken := range told.amounts {
 		known := 0.0
 		if isSame {
-			known = before.taken[tenant]
+			known = before.amounts[tenant]
 		}
 		if taken > known {
 			handed.Amounts[tenant] = taken - known
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -17,9 +17,9 @@
 const (
 	// breakMemory is how long a broken request is remembered: a replica's entry lapses three
 	// of its heartbeats, about four seconds, after its end.
-	breakMemory = 10 * time.Second
+	disconnectRetention = 10 * time.Second
 	// maximumBreaks bounds the broken requests that are remembered.
-	maximumBreaks = 512
+	maxDisconnects = 512
 )
 
 // unresolvedDisconnect is a request that a replica broke off, by its end or not.
@@ -34,8 +34,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	broken.at = n.now()
-	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool { return broken.at-held.at > breakMemory })
-	if len(n.disconnects) < maximumBreaks {
+	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool { return broken.at-held.at > disconnectRetention })
+	if len(n.disconnects) < maxDisconnects {
 		n.disconnects = append(n.disconnects, broken)
 	}
 }
@@ -45,20 +45,20 @@
 func (n *Node) resolveDisconnects(replica replicas.Replica) {
 	now := n.now()
 	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool {
-		if !held.replica.IsSameIncarnation(replica) || now-held.at > breakMemory {
+		if !held.replica.IsSameIncarnation(replica) || now-held.at > disconnectRetention {
 			return false
 		}
-		go n.tellEnd(&finishRequest{Content: held.content, Ended: held.ended})
+		go n.reportCrash(&finishRequest{Content: held.content, Ended: held.ended})
 		return true
 	})
 }
 
 // tellEnd enters at this node and the scheduling node that a replica ended under a request
 // whose place was given back before.
-func (n *Node) tellEnd(finished *finishRequest) {
+func (n *Node) reportCrash(finished *finishRequest) {
 	n.counter("contents.ends_found_later").Inc(1)
 	n.scheduling.finish(finished)
 	if _, address := n.currentScheduler(); address != "" && n.ctx.Err() == nil {
-		n.deliver(unackedFinish{address: address, message: finished, since: n.now()})
+		n.sendFinish(unackedFinish{address: address, message: finished, since: n.now()})
 	}
 }
--- a/entry/disconnects_test.go
+++ b/entry/disconnects_test.go
@@ -15,7 +15,7 @@
 
 // An end that could not be told at once speaks against the request once it is found, and
 // nothing else does.
-func TestAnEndThatIsFoundLaterSpeaksAgainstTheRequest(t *testing.T) {
+func TestCrashFoundLaterCountsAgainstTheRequest(t *testing.T) {
 	for name, course := range map[string]struct {
 		happens func(n *Node, replica replicas.Replica)
 		counts  bool
--- a/entry/discovery_test.go
+++ b/entry/discovery_test.go
@@ -13,26 +13,26 @@
 
 // A new process greeted the nodes of the first part of a list while it knew under half of
 // all, so that each of them sent the whole list too.
-func TestANodeThatIsBeingToldTheNamesSaysThatItKnowsThem(t *testing.T) {
+func TestIncomingPeerListCountsAsKnown(t *testing.T) {
 	const names = 39
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
 	part := liveness.Heartbeat{Name: "n0", KnownNodes: names}
-	for i := range peersAtOnce + toldPeers {
+	for i := range peersPerHeartbeat + peerSampleSize {
 		part.Peers = append(part.Peers, liveness.Peer{Name: fmt.Sprint("n", i+1), Address: fmt.Sprint("host", i+1)})
 	}
 	now := n.now()
-	n.noteTelling(now, part)
-	n.learn(now, part.Peers)
-	g.Expect(n.beat(now).KnownNodes).To(gomega.Equal(names))
-	g.Expect(n.beat(now+tellingTime+time.Millisecond).KnownNodes).To(gomega.Equal(peersAtOnce+toldPeers), "the rest did not come")
+	n.recordIncomingPeerList(now, part)
+	n.addPeers(now, part.Peers)
+	g.Expect(n.buildHeartbeat(now).KnownNodes).To(gomega.Equal(names))
+	g.Expect(n.buildHeartbeat(now+peerListTimeout+time.Millisecond).KnownNodes).To(gomega.Equal(peersPerHeartbeat+peerSampleSize), "the rest did not come")
 }
 
 // A regular heartbeat names a few nodes. Whoever takes it for a list would not be sent one.
-func TestARegularHeartbeatTellsNoNames(t *testing.T) {
+func TestRegularHeartbeatIsNoPeerList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
 	regular := liveness.Heartbeat{Name: "n0", KnownNodes: 39, Peers: []liveness.Peer{{Name: "n1", Address: "h1"}, {Name: "n2", Address: "h2"}}}
-	n.noteTelling(n.now(), regular)
-	g.Expect(n.beat(n.now()).KnownNodes).To(gomega.BeZero())
+	n.recordIncomingPeerList(n.now(), regular)
+	g.Expect(n.buildHeartbeat(n.now()).KnownNodes).To(gomega.BeZero())
 }
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -23,18 +23,18 @@
 		orders = append(orders, n.evacuations.LiftsForUnlisted(orders, update.Revision)...)
 	}
 	n.mutex.Unlock()
-	return n.putEvacuations(orders, "store")
+	return n.applyEvacuationOrders(orders, "store")
 }
 
 // heardEvacuations takes what a peer knows of emptied zones into force.
-func (n *Node) heardEvacuations(beat *liveness.Heartbeat) {
+func (n *Node) mergeEvacuations(beat *liveness.Heartbeat) {
 	if len(beat.Evacuations) > 0 {
-		n.putEvacuations(beat.Evacuations[:min(len(beat.Evacuations), evacuations.MaxZones)], beat.Name)
+		n.applyEvacuationOrders(beat.Evacuations[:min(len(beat.Evacuations), evacuations.MaxZones)], beat.Name)
 	}
 }
 
 // putEvacuations enters the orders and returns whether any zone was emptied or taken back by them.
-func (n *Node) putEvacuations(orders []evacuations.Order, source string) bool {
+func (n *Node) applyEvacuationOrders(orders []evacuations.Order, source string) bool {
 	var changed []evacuations.Order
 	n.mutex.Lock()
 	for _, order := range orders {
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		n.scheduling.setEmptied(n.evacuations.EvacuatedZones()) // in one step with the table: the later state stays
+		n.scheduling.setEvacuatedZones(n.evacuations.EvacuatedZones()) // in one step with the table: the later state stays
 	}
 	n.mutex.Unlock()
 	for _, order := range changed {
--- a/entry/heartbeat_relay.go
+++ b/entry/heartbeat_relay.go
@@ -10,7 +10,7 @@
 // relay, passes them on and confirms that. coordination/liveness chooses the relay.
 
 // receive handles one heartbeat, for this node or to be passed on.
-func (n *Node) receive(beat liveness.Heartbeat) {
+func (n *Node) handleHeartbeat(beat liveness.Heartbeat) {
 	if beat.RelayedTo > 0 {
 		n.mutex.Lock()
 		n.relays.Confirmed(beat.Zone, beat.Name, beat.RelayedTo)
@@ -18,16 +18,16 @@
 		return
 	}
 	if beat.RelayRequested {
-		n.passOn(beat)
+		n.relayHeartbeat(beat)
 	}
 	if beat.WantsReply || beat.WantsPeers {
-		n.introduce(beat.Address, beat.Zone, beat.WantsPeers)
+		n.sendDiscoveryHeartbeat(beat.Address, beat.Zone, beat.WantsPeers)
 	}
-	n.heard(beat)
+	n.applyHeartbeat(beat)
 }
 
 // passOn sends another zone's heartbeat to the nodes of this one and confirms it.
-func (n *Node) passOn(beat liveness.Heartbeat) {
+func (n *Node) relayHeartbeat(beat liveness.Heartbeat) {
 	own := n.settings.Load().Zone
 	if beat.Zone == own {
 		return // the sender reaches them itself
@@ -48,21 +48,21 @@
 		}
 	}
 	n.mutex.Unlock()
-	n.sendAll(content, addresses)
+	n.sendEncoded(content, addresses)
 	n.counter("beats.passed_on").Inc(1)
-	n.sendBeat(liveness.Heartbeat{Name: n.settings.Load().Name, Zone: own, RelayedTo: len(addresses) + 1}, []string{beat.Address})
+	n.sendHeartbeat(liveness.Heartbeat{Name: n.settings.Load().Name, Zone: own, RelayedTo: len(addresses) + 1}, []string{beat.Address})
 }
 
 // suspect takes the node for dead, and asks it to show at once that this node reaches it.
-func (n *Node) suspect(name string) {
+func (n *Node) suspectNode(name string) {
 	n.mutex.Lock()
 	n.members.Suspect(name)
 	member, found := n.members.Get(name)
-	beat := n.beat(n.now())
+	beat := n.buildHeartbeat(n.now())
 	n.mutex.Unlock()
 	if !found {
 		return
 	}
 	beat.WantsReply = true
-	n.sendBeat(beat, []string{member.Address})
+	n.sendHeartbeat(beat, []string{member.Address})
 }
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -18,49 +18,49 @@
 // Times of heartbeats. The interval grows with the number of nodes, so that
 // what one node spends on them does not.
 const (
-	heartbeatInterval = 100 * time.Millisecond
-	beatsAtOnce       = 9
+	heartbeatInterval         = 100 * time.Millisecond
+	nodesPerHeartbeatInterval = 9
 	// senior is how many of the nodes that may schedule beat often; these are the
 	// first in rendezvous order, and seniorInterval is the longest between two of
 	// their heartbeats.
-	senior         = 8
-	seniorInterval = 250 * time.Millisecond
+	maxCandidates        = 8
+	maxCandidateInterval = 250 * time.Millisecond
 	// seniorOfLarge is senior in a large fleet, whose delegates beat each delegateInterval and whose
 	// other nodes beat each largeInterval. A zone that is cut off is found once three heartbeats of
 	// its delegates are missing, and until then requests are sent there in vain.
-	seniorOfLarge    = 3
-	delegateInterval = 500 * time.Millisecond
-	largeInterval    = time.Second
+	maxLargeFleetCandidates = 3
+	delegateInterval        = 500 * time.Millisecond
+	nonDelegateInterval     = time.Second
 	// frozenAfter is the pause of this process after which others will have
 	// decided in its place.
-	frozenAfter = time.Second
+	suspensionThreshold = time.Second
 	// toldPeers is how many other nodes a heartbeat names.
-	toldPeers       = 2
-	maximumDatagram = 4096
+	peerSampleSize   = 2
+	maxDatagramBytes = 4096
 	// silentShare is how much less often a silent node is sent to, and mostSilent how many of a
 	// large fleet one heartbeat goes to.
-	silentShare = 5
-	mostSilent  = 20
+	silentNodeRounds    = 5
+	maxSilentRecipients = 20
 )
 
 // interval returns the time between heartbeats among so many nodes.
-func interval(members int) time.Duration {
-	return heartbeatInterval * time.Duration(max(1, (members+beatsAtOnce-1)/beatsAtOnce))
+func heartbeatIntervalFor(members int) time.Duration {
+	return heartbeatInterval * time.Duration(max(1, (members+nodesPerHeartbeatInterval-1)/nodesPerHeartbeatInterval))
 }
 
 // interval returns the time to this node's next heartbeat. The caller holds the mutex.
-func (n *Node) interval() time.Duration {
-	wait := largeInterval
+func (n *Node) nextHeartbeatInterval() time.Duration {
+	wait := nonDelegateInterval
 	switch {
 	case !n.isLarge:
-		wait = interval(n.members.Known())
-	case !n.isNonDelegate && n.isUnsettled(n.now()):
-		wait = unsettledPause
+		wait = heartbeatIntervalFor(n.members.Known())
+	case !n.isNonDelegate && n.isSettling(n.now()):
+		wait = settlingInterval
 	case !n.isNonDelegate:
 		wait = delegateInterval
 	}
 	if n.isCandidate {
-		wait = min(wait, seniorInterval)
+		wait = min(wait, maxCandidateInterval)
 	}
 	return wait
 }
@@ -70,7 +70,7 @@
 	last := n.now()
 	for {
 		n.mutex.Lock()
-		wait := n.interval()
+		wait := n.nextHeartbeatInterval()
 		n.mutex.Unlock()
 		if !n.sleep(wait) {
 			return
@@ -83,20 +83,20 @@
 
 // stoodStill returns whether the process paused between two rounds of a loop that were to be
 // so far apart.
-func stoodStill(since, wait time.Duration) bool { return since > wait+frozenAfter }
+func isSuspension(since, wait time.Duration) bool { return since > wait+suspensionThreshold }
 
 // detectSuspension handles a pause of the process since a loop's last round, which was to be so
 // long ago, unless another loop has done so, and returns the time of this round.
 func (n *Node) detectSuspension(last structs.Instant, wait time.Duration) structs.Instant {
 	now := n.now()
 	n.mutex.Lock()
-	isNew := stoodStill(now-last, wait) && n.resumedAt <= last
+	isNew := isSuspension(now-last, wait) && n.resumedAt <= last
 	if isNew {
 		n.resumedAt = now
 	}
 	n.mutex.Unlock()
 	if isNew {
-		n.resume(now - last)
+		n.handleResume(now - last)
 	}
 	return n.now()
 }
@@ -104,8 +104,8 @@
 // resume handles that the process stood still or the machine was suspended: what it scheduled
 // before is void, requests whose time went by meanwhile end, and connections to replicas that
 // rested may be gone without a word.
-func (n *Node) resume(pause time.Duration) {
-	overdue := n.calls.endOverdue(n.now())
+func (n *Node) handleResume(pause time.Duration) {
+	overdue := n.calls.cancelExpired(n.now())
 	n.pool.CloseRested(0)
 	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", Age: pause.Milliseconds(), Count: overdue})
 	n.mutex.Lock()
@@ -124,50 +124,50 @@
 func (n *Node) sendHeartbeats() {
 	n.mutex.Lock()
 	now := n.now()
-	beat := n.beat(now)
-	routes := n.beatRoutes(now)
+	beat := n.buildHeartbeat(now)
+	routes := n.heartbeatRecipients(now)
 	var suspected []string
 	for _, member := range n.members.All(now) {
 		if member.Suspected() {
 			suspected = append(suspected, member.Address)
 		}
 	}
-	asksNames, isStarting := n.isAskDue(now), !n.isLarge && now < readinessDelay
+	asksNames, isStarting := n.beginPeerRequestIfDue(now), !n.isLarge && now < readinessDelay
 	n.mutex.Unlock()
 	if len(routes.Direct)+len(routes.Relays) < len(n.settings.Load().Seeds) {
 		routes.Direct = append(routes.Direct, n.seedAddresses()...)
 	}
-	n.sendRoutes(beat, routes)
+	n.sendToRecipients(beat, routes)
 	beat.RelayRequested, beat.WantsReply = false, true
-	n.sendBeat(beat, suspected)
+	n.sendHeartbeat(beat, suspected)
 	switch {
 	case asksNames:
-		n.askForNames(beat, append(routes.Direct, routes.Relays...))
+		n.requestPeers(beat, append(routes.Direct, routes.Relays...))
 	case isStarting:
-		n.askSeed(beat)
+		n.requestFleetSize(beat)
 	}
 }
 
 // sendRoutes sends a heartbeat directly and by relays.
-func (n *Node) sendRoutes(beat liveness.Heartbeat, routes liveness.Recipients) {
-	n.sendBeat(beat, routes.Direct)
+func (n *Node) sendToRecipients(beat liveness.Heartbeat, routes liveness.Recipients) {
+	n.sendHeartbeat(beat, routes.Direct)
 	beat.RelayRequested = true
-	n.sendBeat(beat, routes.Relays)
+	n.sendHeartbeat(beat, routes.Relays)
 }
 
 // beatRoutes returns whom this node beats to. The caller holds the mutex.
-func (n *Node) beatRoutes(now structs.Instant) liveness.Recipients {
+func (n *Node) heartbeatRecipients(now structs.Instant) liveness.Recipients {
 	live := n.members.Live(now)
 	if n.isNonDelegate {
-		return liveness.Recipients{Direct: n.superiors(live)}
+		return liveness.Recipients{Direct: n.delegateAddresses(live)}
 	}
 	routes := n.relays.Recipients(now, n.settings.Load().Zone, live, n.isLarge)
-	routes.Direct = append(routes.Direct, n.silentMembers(now)...)
+	routes.Direct = append(routes.Direct, n.silentNodeAddresses(now)...)
 	return routes
 }
 
 // superiors returns the addresses of the delegates of this node's zone and of the scheduling node.
-func (n *Node) superiors(live []*liveness.Member) []string {
+func (n *Node) delegateAddresses(live []*liveness.Member) []string {
 	var addresses []string
 	for _, member := range liveness.Delegates(live) {
 		if member.Zone == n.settings.Load().Zone || member.Name == n.scheduler {
@@ -180,52 +180,52 @@
 // silentMembers returns some of the nodes that fell silent: they may be back, or a cut healed. Each
 // gets one heartbeat in silentShare, and in a large fleet a bounded number of them each, while roles
 // change there: who becomes a delegate knows its zone by names only. The caller holds the mutex.
-func (n *Node) silentMembers(now structs.Instant) []string {
+func (n *Node) silentNodeAddresses(now structs.Instant) []string {
 	var addresses []string
 	for _, member := range n.members.All(now) {
 		isWanted := !n.isLarge || !member.NonDelegate || member.Zone == n.settings.Load().Zone
-		isDue := n.isLarge && n.isUnsettled(now) || n.sequence.Add(1)%silentShare == 0
+		isDue := n.isLarge && n.isSettling(now) || n.sequence.Add(1)%silentNodeRounds == 0
 		if isWanted && !member.Suspected() && member.SinceHeartbeat(now) >= member.FailureTimeout() && isDue {
 			addresses = append(addresses, member.Address)
 		}
 	}
-	if n.isLarge && len(addresses) > mostSilent {
+	if n.isLarge && len(addresses) > maxSilentRecipients {
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		addresses = addresses[:mostSilent]
+		addresses = addresses[:maxSilentRecipients]
 	}
 	return addresses
 }
 
 // sendBeat sends one heartbeat to the addresses.
-func (n *Node) sendBeat(beat liveness.Heartbeat, addresses []string) {
+func (n *Node) sendHeartbeat(beat liveness.Heartbeat, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
-	content, err := encodeBeat(beat)
+	content, err := encodeHeartbeat(beat)
 	if err != nil {
 		n.counter("beats.unencodable").Inc(1)
 		return
 	}
-	n.sendAll(content, addresses)
+	n.sendEncoded(content, addresses)
 }
 
 // sendAll sends the encoded heartbeat to the addresses. One that is lost is made up for by
 // the next.
-func (n *Node) sendAll(content []byte, addresses []string) {
+func (n *Node) sendEncoded(content []byte, addresses []string) {
 	for _, address := range addresses {
 		_ = n.heartbeatConn.Send(address, content)
 	}
 }
 
 // datagramBudget is the length of a heartbeat that any network carries whole.
-const datagramBudget = 1200
+const maxHeartbeatBytes = 1200
 
 // encodeBeat encodes the heartbeat. One that is too long leaves out first the
 // requests that the scheduling node placed itself, then the tenants' buckets and
 // the failing replicas: that the node lives matters most.
-func encodeBeat(beat liveness.Heartbeat) ([]byte, error) {
+func encodeHeartbeat(beat liveness.Heartbeat) ([]byte, error) {
 	content, err := msgpack.Marshal(beat)
-	if err != nil || len(content) <= datagramBudget {
+	if err != nil || len(content) <= maxHeartbeatBytes {
 		return content, err
 	}
 	foreign := map[string]liveness.InFlightCount{}
@@ -236,7 +236,7 @@
 	}
 	beat.InFlight = foreign
 	for _, shorten := range []func(){func() { beat.BucketLevels, beat.Usage = nil, nil }, func() { beat.FailingReplicas = nil }, func() { beat.InFlight = nil }, func() {}} {
-		if content, err = msgpack.Marshal(beat); err != nil || len(content) <= datagramBudget {
+		if content, err = msgpack.Marshal(beat); err != nil || len(content) <= maxHeartbeatBytes {
 			return content, err
 		}
 		shorten()
@@ -265,20 +265,20 @@
 }
 
 // beat returns this node's heartbeat. The caller holds the mutex.
-func (n *Node) beat(now structs.Instant) liveness.Heartbeat {
+func (n *Node) buildHeartbeat(now structs.Instant) liveness.Heartbeat {
 	settings := n.settings.Load()
 	beat := liveness.Heartbeat{
-		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.interval().Milliseconds(), Incarnation: n.deps.Incarnation,
-		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.namesKnown(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.storeDown, LatestPosition: n.latest(), ReplicasAgeMS: n.fresh.Age(now), ConfigurationAgeMS: n.freshConfiguration.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
+		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.nextHeartbeatInterval().Milliseconds(), Incarnation: n.deps.Incarnation,
+		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.knownPeerCount(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.storeDown, LatestPosition: n.latest(), ReplicasAgeMS: n.fresh.Age(now), ConfigurationAgeMS: n.freshConfiguration.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
 		InFlight: map[string]liveness.InFlightCount{}, CanRelay: true, Rollouts: n.rolloutViews(),
 	}
 	beat.Version, beat.Evacuations = n.version(), n.evacuations.All()
 	n.addEra(now, &beat)
-	if mark := n.scheduling.contentsMark(); mark.ChangeCount > 0 {
+	if mark := n.scheduling.poisonSummary(); mark.ChangeCount > 0 {
 		beat.Poison = &liveness.PoisonSummary{Weight: mark.ChangeCount, Digest: mark.Digest}
 	}
-	if n.scheduler == settings.Name || now-n.lastActiveAt < levelsToldFor {
-		beat.BucketLevels, beat.Usage = n.scheduling.levels(), n.scheduling.ledgerView()
+	if n.scheduler == settings.Name || now-n.lastActiveAt < formerSchedulerReportTime {
+		beat.BucketLevels, beat.Usage = n.scheduling.bucketLevels(), n.scheduling.quotaUsage()
 	}
 	term := n.schedulerTerm()
 	for _, place := range n.assignments {
@@ -294,7 +294,7 @@
 		beat.ZoneLive, beat.ZoneKnown = n.zone.Live, n.zone.Known
 		return beat
 	}
-	beat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), toldPeers)
+	beat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), peerSampleSize)
 	return beat
 }
 
@@ -311,7 +311,7 @@
 }
 
 func (n *Node) receiveHeartbeats() {
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, err := n.heartbeatConn.Receive(buffer)
 		if err != nil {
@@ -325,57 +325,57 @@
 			n.counter("beats.malformed").Inc(1)
 			continue
 		}
-		n.receive(beat)
+		n.handleHeartbeat(beat)
 	}
 }
 
 // heard applies the heartbeat of another node.
-func (n *Node) heard(beat liveness.Heartbeat) {
-	n.heardEvacuations(&beat)
+func (n *Node) applyHeartbeat(beat liveness.Heartbeat) {
+	n.mergeEvacuations(&beat)
 	n.mutex.Lock()
 	now := n.now()
 	n.lastContactAt = now
 	before, found := n.members.Get(beat.Name)
 	rankNews := found && (before.StoreUnreachable != beat.StoreUnreachable || before.Slow != beat.Slow || before.NonDelegate != beat.NonDelegate)
 	news := n.members.Observe(now, beat)
-	n.noteFleet(&beat)
+	n.detectLargeFleet(&beat)
 	n.zones.Observe(now, beat)
-	n.noteTelling(now, beat)
+	n.recordIncomingPeerList(now, beat)
 	var newcomers []string
 	if n.isLarge {
-		n.noteNamed(beat)
+		n.recordDiscoveredPeers(beat)
 	} else {
-		newcomers = n.learn(now, beat.Peers)
+		newcomers = n.addPeers(now, beat.Peers)
 	}
 	newcomer := n.isNewcomer(beat)
 	greets := news && !(n.isNonDelegate && beat.Relayed)
 	chooses := news && (!n.isLarge || !beat.NonDelegate) || rankNews
-	handed := n.noteLedger(now, beat)
-	follows := n.noteLevels(now, beat)
+	handed := n.recordUsage(now, beat)
+	follows := n.recordBucketLevels(now, beat)
 	levelsUntil := n.bucketLevelsUntil
 	asksAll := n.mergePeerEra(beat)
 	behindReplicas, behindConfiguration := n.replicaPullDue(beat), n.configurationPullDue(beat)
-	behindContents := n.behindContents(now, beat)
+	behindContents := n.poisonPullDue(now, beat)
 	n.recordFreshness(now, beat)
 	leads := n.scheduler == n.settings.Load().Name
 	n.mutex.Unlock()
 	if leads && len(handed.Amounts) > 0 {
-		n.scheduling.charge(handed)
+		n.scheduling.chargeRemoteUsage(handed)
 	}
 	if leads && beat.BucketLevels != nil || follows {
-		n.takeLevels(leads, levelsUntil, beat.BucketLevels)
+		n.applyBucketLevels(leads, levelsUntil, beat.BucketLevels)
 	}
 	if greets {
-		n.introduce(beat.Address, beat.Zone, newcomer)
+		n.sendDiscoveryHeartbeat(beat.Address, beat.Zone, newcomer)
 	}
 	for _, address := range newcomers {
-		n.introduce(address, "", false)
+		n.sendDiscoveryHeartbeat(address, "", false)
 	}
 	if news {
 		n.log.Write(eventlog.Event{Kind: "peer", Peer: beat.Name, Outcome: "heard", Detail: beat.Address})
 	}
 	if chooses {
-		n.chooseSoon()
+		n.requestSelection()
 	}
 	counts := map[string]int{}
 	for replica, held := range beat.InFlight {
@@ -397,7 +397,7 @@
 		go n.pullUpdates(beat.Address)
 	}
 	if behindContents {
-		go n.pullContents(beat.Address)
+		go n.pullPoisonRecords(beat.Address)
 	}
 	if behindConfiguration {
 		go n.fetchConfiguration(beat.Address)
--- a/entry/heartbeats_test.go
+++ b/entry/heartbeats_test.go
@@ -12,7 +12,7 @@
 
 // In a burst the scheduling node's heartbeats grew beyond what a datagram carries and
 // nobody heard it.
-func TestHeartbeatsStayWithinADatagram(t *testing.T) {
+func TestHeartbeatsFitADatagram(t *testing.T) {
 	g := gomega.NewWithT(t)
 	beat := liveness.Heartbeat{Name: "n", Address: "10.0.0.1:7600", BucketLevels: map[string]float64{}, InFlight: map[string]liveness.InFlightCount{"foreign": {Total: 2, External: 1}}}
 	for i := range 100 {
@@ -21,9 +21,9 @@
 	for i := range 20 {
 		beat.BucketLevels[fmt.Sprintf("tenant%d", i)] = 12345.6
 	}
-	content, err := encodeBeat(beat)
+	content, err := encodeHeartbeat(beat)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(len(content)).To(gomega.BeNumerically("<=", datagramBudget))
+	g.Expect(len(content)).To(gomega.BeNumerically("<=", maxHeartbeatBytes))
 	var heard liveness.Heartbeat
 	g.Expect(msgpack.Unmarshal(content, &heard)).To(gomega.Succeed())
 	g.Expect(heard.InFlight).To(gomega.Equal(map[string]liveness.InFlightCount{"foreign": {Total: 2, External: 1}}))
@@ -32,17 +32,17 @@
 		beat.InFlight[fmt.Sprintf("i-%010d", i)] = liveness.InFlightCount{Total: 1, External: 1}
 		beat.FailingReplicas = append(beat.FailingReplicas, fmt.Sprintf("i-%010d", i))
 	}
-	content, err = encodeBeat(beat)
+	content, err = encodeHeartbeat(beat)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(len(content)).To(gomega.BeNumerically("<=", datagramBudget))
+	g.Expect(len(content)).To(gomega.BeNumerically("<=", maxHeartbeatBytes))
 }
 
 // With 83 nodes heartbeats are a second apart, which was taken for a pause each time.
-func TestHeartbeatsFarApartAreNoPause(t *testing.T) {
+func TestLongHeartbeatIntervalIsNoSuspension(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, members := range []int{1, 9, 65, 83, 390} {
-		wait := interval(members)
-		g.Expect(stoodStill(wait+wait/10, wait)).To(gomega.BeFalse(), fmt.Sprint(members))
-		g.Expect(stoodStill(wait+2*frozenAfter, wait)).To(gomega.BeTrue(), fmt.Sprint(members))
+		wait := heartbeatIntervalFor(members)
+		g.Expect(isSuspension(wait+wait/10, wait)).To(gomega.BeFalse(), fmt.Sprint(members))
+		g.Expect(isSuspension(wait+2*suspensionThreshold, wait)).To(gomega.BeTrue(), fmt.Sprint(members))
 	}
 }
--- a/entry/idle_connections.go
+++ b/entry/idle_connections.go
@@ -10,14 +10,14 @@
 
 // linkTrial is how long a peer whose connection fell silent may take to answer by a new
 // one.
-const linkTrial = 500 * time.Millisecond
+const pingTimeout = 500 * time.Millisecond
 
 // handleSilentLink tries a peer whose connection was given up for its silence. If it answers
 // by a new one, something between took old connections away without a word, and those to
 // replicas that rest may be gone as well. They are closed: a request that must not run
 // twice and is written to one of them is lost.
 func (n *Node) handleSilentLink(address string) {
-	ctx, cancel := context.WithTimeout(n.ctx, linkTrial)
+	ctx, cancel := context.WithTimeout(n.ctx, pingTimeout)
 	defer cancel()
 	err := n.peers.Ping(ctx, address)
 	if n.ctx.Err() != nil {
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -25,22 +25,22 @@
 const (
 	// endedDial bounds the look whether a replica ended that broke a request off. A host
 	// that can't be reached says nothing, and a caller waits meanwhile.
-	endedDial = 100 * time.Millisecond
+	crashProbeTimeout = 100 * time.Millisecond
 	// contentsStep is the time between two looks at whether the store knows what is barred, at
 	// the node that schedules; contentsRest is that at all others, as each look wakes the
 	// process.
-	contentsStep = 250 * time.Millisecond
-	contentsRest = time.Second
+	poisonSyncInterval = 250 * time.Millisecond
+	poisonIdleInterval = time.Second
 	// contentsWriteLimit bounds a write or read of what is barred.
-	contentsWriteLimit = 800 * time.Millisecond
+	poisonStoreTimeout = 800 * time.Millisecond
 )
 
 // lifeState is what is known of the life of a replica that broke a request off.
-type lifeState int
+type incarnationState int
 
 const (
 	// lifeGoesOn means that the request can't have ended it: it goes on, or was to end anyway.
-	lifeGoesOn lifeState = iota
+	incarnationNotCrashed incarnationState = iota
 	incarnationEnded
 	// incarnationUnknown means that the replica can't be reached, which need not be its own doing.
 	incarnationUnknown
@@ -49,23 +49,23 @@
 // probeIncarnation looks whether the replica, which broke off a request, has ended: nobody listens at
 // its address any more. A reset alone, a cut link or a planned end say nothing of the request:
 // a replica that drains, or whose entry is gone, was to end anyway.
-func (n *Node) probeIncarnation(replica replicas.Replica) lifeState {
+func (n *Node) probeIncarnation(replica replicas.Replica) incarnationState {
 	n.mutex.Lock()
 	known, listed := n.table.Get(replica.ID)
 	n.mutex.Unlock()
 	if !listed || known.Draining {
-		return lifeGoesOn
+		return incarnationNotCrashed
 	}
 	if !known.IsSameIncarnation(replica) {
 		return incarnationEnded // it has started again already
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, endedDial)
+	ctx, cancel := context.WithTimeout(n.ctx, crashProbeTimeout)
 	defer cancel()
 	conn, err := n.deps.Network.Dial(ctx, replica.Address)
 	switch {
 	case err == nil:
 		_ = conn.Close()
-		return lifeGoesOn
+		return incarnationNotCrashed
 	case network.IsRefused(err):
 		return incarnationEnded
 	}
@@ -87,11 +87,11 @@
 
 // behindContents returns whether the peer knows more of barred requests and is to be asked
 // now. The caller holds the mutex.
-func (n *Node) behindContents(now structs.Instant, beat liveness.Heartbeat) bool {
+func (n *Node) poisonPullDue(now structs.Instant, beat liveness.Heartbeat) bool {
 	if beat.Poison == nil {
 		return false
 	}
-	own := n.scheduling.contentsMark()
+	own := n.scheduling.poisonSummary()
 	told := beat.Poison.Weight
 	if told == own.ChangeCount && beat.Poison.Digest != own.Digest {
 		told++ // as much, but not the same
@@ -100,28 +100,28 @@
 }
 
 // contentsRequest asks a peer for what it knows of requests that replicas ended under.
-type contentsRequest struct{}
+type poisonRequest struct{}
 
 type poisonReply struct{ Records []poisonrecords.Record }
 
-func (n *Node) servePoisonRecords(context.Context, *contentsRequest) (*poisonReply, error) {
-	return &poisonReply{Records: n.scheduling.toldContents()}, nil
+func (n *Node) servePoisonRecords(context.Context, *poisonRequest) (*poisonReply, error) {
+	return &poisonReply{Records: n.scheduling.sharedPoisonRecords()}, nil
 }
 
 // pullContents asks a peer that knows more than this node. One that brought nothing new is
 // followed by a longer pause, as one that failed is.
-func (n *Node) pullContents(address string) {
+func (n *Node) pullPoisonRecords(address string) {
 	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
-	before := n.scheduling.contentsMark()
+	before := n.scheduling.poisonSummary()
 	reply := &poisonReply{}
-	err := n.peers.Call(ctx, address, peerwire.KindContents, &contentsRequest{}, reply)
+	err := n.peers.Call(ctx, address, peerwire.KindContents, &poisonRequest{}, reply)
 	if err == nil {
-		n.scheduling.mergeContents(reply.Records)
+		n.scheduling.mergePoisonRecords(reply.Records)
 	} else if n.ctx.Err() == nil {
 		n.counter("contents.pulls_failed").Inc(1)
 	}
-	news := n.scheduling.contentsMark() != before
+	news := n.scheduling.poisonSummary() != before
 	n.mutex.Lock()
 	n.poisonPull.PullDone(n.now(), news)
 	n.mutex.Unlock()
@@ -132,8 +132,8 @@
 
 // storedPoisonRecords is what the store is known to hold.
 type storedPoisonRecords struct {
-	revision structs.StorePosition
-	mark     poisonrecords.Summary
+	position structs.StorePosition
+	summary  poisonrecords.Summary
 }
 
 // applyPoisonRecords takes what the store holds into force.
@@ -142,11 +142,11 @@
 		return
 	}
 	n.mutex.Lock()
-	if revision > n.poisonStored.revision {
-		n.poisonStored = storedPoisonRecords{revision: revision, mark: poisonrecords.SummaryOf(records)}
+	if revision > n.poisonStored.position {
+		n.poisonStored = storedPoisonRecords{position: revision, summary: poisonrecords.SummaryOf(records)}
 	}
 	n.mutex.Unlock()
-	n.scheduling.mergeContents(records)
+	n.scheduling.mergePoisonRecords(records)
 }
 
 // poisonSyncLoop sees to it, while this node schedules, that the store holds what is barred.
@@ -154,25 +154,25 @@
 	if n.deps.PoisonRecords == nil {
 		return
 	}
-	wait := contentsRest
+	wait := poisonIdleInterval
 	for n.sleep(wait) {
-		wait = contentsRest
-		if !n.schedules() {
+		wait = poisonIdleInterval
+		if !n.isActiveScheduler() {
 			continue
 		}
-		wait = contentsStep
-		lasting := n.scheduling.lastingContents()
+		wait = poisonSyncInterval
+		lasting := n.scheduling.persistentPoisonRecords()
 		n.mutex.Lock()
 		stored := n.poisonStored
 		n.mutex.Unlock()
-		if poisonrecords.SummaryOf(lasting) != stored.mark {
-			n.storeContents(lasting, stored.revision)
+		if poisonrecords.SummaryOf(lasting) != stored.summary {
+			n.writePoisonRecords(lasting, stored.position)
 		}
 	}
 }
 
 // schedules returns whether this node schedules and goes on to do so.
-func (n *Node) schedules() bool {
+func (n *Node) isActiveScheduler() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.scheduler == n.settings.Load().Name && n.stopping.Load() == 0
@@ -180,8 +180,8 @@
 
 // storeContents writes what is barred. If the store holds something else than this node
 // thought, that is merged, and written with the next step.
-func (n *Node) storeContents(lasting []poisonrecords.Record, revision structs.StorePosition) {
-	ctx, cancel := context.WithTimeout(n.ctx, contentsWriteLimit)
+func (n *Node) writePoisonRecords(lasting []poisonrecords.Record, revision structs.StorePosition) {
+	ctx, cancel := context.WithTimeout(n.ctx, poisonStoreTimeout)
 	defer cancel()
 	written, err := n.deps.PoisonRecords.WriteContents(ctx, lasting, revision)
 	if err == nil {
@@ -211,7 +211,7 @@
 // poisonStatus returns what is barred.
 func (n *Node) poisonStatus() []PoisonStatus {
 	var told []PoisonStatus
-	for _, record := range n.scheduling.barredContents() {
+	for _, record := range n.scheduling.blockedRequests() {
 		told = append(told, PoisonStatus{Record: record, Unchanged: record.Age})
 	}
 	return told
@@ -223,7 +223,7 @@
 	if err := wanted.Fingerprint.UnmarshalText([]byte(content)); err != nil {
 		return err
 	}
-	if !n.scheduling.liftContent(wanted.Fingerprint) {
+	if !n.scheduling.unblock(wanted.Fingerprint) {
 		return fmt.Errorf("%s: nothing speaks against this request here", content)
 	}
 	n.sendHeartbeats()
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -19,12 +19,12 @@
 func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sent structs.Instant) *pushback.Signals {
 	said, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
 	if err != nil {
-		n.noteUnreadableAnswer(replica, err)
+		n.recordUnreadablePushback(replica, err)
 	}
 	n.mutex.Lock()
 	change := n.pushback.Observe(n.now(), sent, pushback.IncarnationOf(replica), said)
 	n.mutex.Unlock()
-	n.notePushback(replica, said, change)
+	n.logPushback(replica, said, change)
 	if said.Leaving || change.PauseRequested || said.Limit.State == pushback.LimitSet || change.LimitChanged {
 		return &said
 	}
@@ -42,7 +42,7 @@
 }
 
 // notePushback writes a line for each thing that an answer changed.
-func (n *Node) notePushback(replica replicas.Replica, said pushback.Signals, change pushback.Change) {
+func (n *Node) logPushback(replica replicas.Replica, said pushback.Signals, change pushback.Change) {
 	tell := func(outcome, detail string) {
 		n.counter("pushback." + outcome).Inc(1)
 		n.log.Write(eventlog.Event{Kind: "replica.said", Service: replica.Service, Replica: replica.ID, Outcome: outcome, Detail: detail})
@@ -63,7 +63,7 @@
 
 // noteUnreadableAnswer counts an answer that can't be read in part, and tells of the first from
 // each replica.
-func (n *Node) noteUnreadableAnswer(replica replicas.Replica, err error) {
+func (n *Node) recordUnreadablePushback(replica replicas.Replica, err error) {
 	n.counter("pushback.unreadable").Inc(1)
 	n.mutex.Lock()
 	isNew := n.isNewProblem(replica.ID + " answers: " + err.Error())
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -19,10 +19,10 @@
 const (
 	// rolloutStep is the time between two looks at the roll-outs at the node that steps them,
 	// and rolloutRest elsewhere and while there are none.
-	rolloutStep = 100 * time.Millisecond
-	rolloutRest = 500 * time.Millisecond
+	rolloutStepInterval = 100 * time.Millisecond
+	rolloutIdleInterval = 500 * time.Millisecond
 	// rolloutWriteLimit bounds one write of a record.
-	rolloutWriteLimit = 800 * time.Millisecond
+	rolloutWriteTimeout = 800 * time.Millisecond
 )
 
 // applyRollouts takes news of roll-outs into force. Known is the revision up to which the
@@ -62,9 +62,9 @@
 
 // policyOf returns which versions of the service, which has these replicas, get new
 // requests. The caller holds the mutex.
-func (n *Node) policyOf(service string, pool []replicas.Replica) rollouts.VersionPolicy {
+func (n *Node) versionPolicy(service string, pool []replicas.Replica) rollouts.VersionPolicy {
 	order, ordered := n.rollouts.Order(service)
-	policy := n.rollouts.Policy(service, ordered && inService(order, pool))
+	policy := n.rollouts.Policy(service, ordered && isInService(order, pool))
 	unexplained := unexplainedVersions(pool, n.rollouts.CompleteTo())
 	if len(unexplained) > 0 {
 		policy.Service = service
@@ -75,7 +75,7 @@
 
 // inService returns whether the order's target served before the order, and nothing else
 // is left of the service's replicas.
-func inService(order rollouts.Order, pool []replicas.Replica) bool {
+func isInService(order rollouts.Order, pool []replicas.Replica) bool {
 	served := false
 	for _, replica := range pool {
 		if replica.Version != order.Target {
@@ -116,7 +116,7 @@
 }
 
 // poolsOf groups the replicas by their service.
-func poolsOf(all []replicas.Replica) map[string][]replicas.Replica {
+func groupByService(all []replicas.Replica) map[string][]replicas.Replica {
 	pools := map[string][]replicas.Replica{}
 	for _, replica := range all {
 		pools[replica.Service] = append(pools[replica.Service], replica)
@@ -128,7 +128,7 @@
 // same step in which the policies are replaced: older ones must not replace newer ones.
 func (n *Node) applyPolicies() {
 	n.mutex.Lock()
-	pools := poolsOf(n.table.All())
+	pools := groupByService(n.table.All())
 	for _, service := range n.rollouts.Services() {
 		if _, found := pools[service]; !found {
 			pools[service] = nil // a service without replicas has a policy too
@@ -136,7 +136,7 @@
 	}
 	policies := map[string]rollouts.VersionPolicy{}
 	for service, pool := range pools {
-		if policy := n.policyOf(service, pool); policy.Active() {
+		if policy := n.versionPolicy(service, pool); policy.Active() {
 			policies[service] = policy
 		}
 	}
@@ -164,14 +164,14 @@
 		if views == nil {
 			views = map[string]liveness.RolloutView{}
 		}
-		views[service] = liveness.RolloutView{OrderPosition: policy.OrderPosition, Phase: uint8(policy.Phase), Busy: n.busyAtBarred(service)}
+		views[service] = liveness.RolloutView{OrderPosition: policy.OrderPosition, Phase: uint8(policy.Phase), Busy: n.inFlightAtExcluded(service)}
 	}
 	return views
 }
 
 // busyAtBarred counts this node's requests at replicas of the service whose version gets no
 // new ones. The caller holds the mutex.
-func (n *Node) busyAtBarred(service string) int {
+func (n *Node) inFlightAtExcluded(service string) int {
 	busy := 0
 	for _, place := range n.assignments {
 		if replica, known := n.table.Get(place.replica); known && replica.Service == service && n.isExcluded(replica) {
@@ -186,26 +186,26 @@
 	if n.deps.Rollouts == nil {
 		return
 	}
-	wait := rolloutRest
+	wait := rolloutIdleInterval
 	for n.sleep(wait) {
 		lost := n.lostRollouts()
 		for _, service := range lost {
 			n.restoreRollout(service)
 		}
-		services := slices.DeleteFunc(n.steppedRollouts(), func(service string) bool { return slices.Contains(lost, service) })
+		services := slices.DeleteFunc(n.rolloutsInProgress(), func(service string) bool { return slices.Contains(lost, service) })
 		for _, service := range services {
 			n.stepRollout(service)
 		}
-		wait = rolloutRest
+		wait = rolloutIdleInterval
 		if len(services)+len(lost) > 0 {
-			wait = rolloutStep
+			wait = rolloutStepInterval
 		}
 	}
 }
 
 // steppedRollouts returns the services whose roll-outs this node steps: those that are not
 // at their end.
-func (n *Node) steppedRollouts() []string {
+func (n *Node) rolloutsInProgress() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.scheduler != n.settings.Load().Name || n.stopping.Load() != 0 {
@@ -217,18 +217,18 @@
 
 // stepRollout writes the next record of the service's roll-out if one is due.
 func (n *Node) stepRollout(service string) {
-	situation, record := n.rolloutSituation(service)
-	if situation.Order.Position == 0 || !n.knowsService(service) {
+	situation, record := n.rolloutInputs(service)
+	if situation.Order.Position == 0 || !n.isConfigured(service) {
 		return
 	}
 	next, due := n.scheduling.proposeRollout(situation, record)
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
 	revision, err := n.deps.Rollouts.WriteRollout(ctx, next)
-	n.scheduling.rolloutWritten(next, revision, err)
+	n.scheduling.recordRolloutWrite(next, revision, err)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
 		n.rereadRollout(ctx, service)
@@ -254,20 +254,20 @@
 }
 
 // knowsService returns whether the configuration names the service.
-func (n *Node) knowsService(service string) bool {
+func (n *Node) isConfigured(service string) bool {
 	current := n.catalog.Load()
 	return current != nil && current.Service(service) != nil
 }
 
 // rolloutSituation returns what the next step of the service's roll-out goes by.
-func (n *Node) rolloutSituation(service string) (rollout.Inputs, rollouts.Record) {
+func (n *Node) rolloutInputs(service string) (rollout.Inputs, rollouts.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
 	order, _ := n.rollouts.Order(service)
 	record, _ := n.rollouts.Record(service)
-	pool := poolsOf(n.table.All())[service]
-	seen := rollout.Inputs{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: inService(order, pool)}
+	pool := groupByService(n.table.All())[service]
+	seen := rollout.Inputs{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: isInService(order, pool)}
 	for _, replica := range pool {
 		switch {
 		case replica.Draining:
@@ -277,8 +277,8 @@
 			seen.OtherSlots += replica.Slots
 		}
 	}
-	seen.Busy, seen.Confirmed = n.busyAtBarred(service), true
-	for _, member := range n.mayServe(now, record.Phase) {
+	seen.Busy, seen.Confirmed = n.inFlightAtExcluded(service), true
+	for _, member := range n.confirmingNodes(now, record.Phase) {
 		view, told := member.Rollouts[service]
 		if !told || view.OrderPosition != record.OrderPosition || view.Phase != uint8(record.Phase) {
 			seen.Confirmed = false
@@ -291,7 +291,7 @@
 // mayServe returns the other nodes that have to confirm the phase. Before replicas stop
 // without a drain these are all whose processes may still be at work, and else those that
 // are heard of: a target that is given up drains. The caller holds the mutex.
-func (n *Node) mayServe(now structs.Instant, phase rollouts.Phase) []*liveness.Member {
+func (n *Node) confirmingNodes(now structs.Instant, phase rollouts.Phase) []*liveness.Member {
 	if phase == rollouts.PhaseSwitching {
 		return n.members.PossiblyRunning(now)
 	}
--- a/entry/rollout_restore.go
+++ b/entry/rollout_restore.go
@@ -9,7 +9,7 @@
 // lostRollouts returns the services whose records the store lost when it came back from a copy, as
 // far as this node knows, at the node that schedules.
 func (n *Node) lostRollouts() []string {
-	if !n.schedules() {
+	if !n.isActiveScheduler() {
 		return nil
 	}
 	n.mutex.Lock()
@@ -20,7 +20,7 @@
 // restoreRollout writes a record again that the store lost, unless the store knows better. Until
 // then the roll-out is not stepped: a step goes by a revision that may belong to another value now.
 func (n *Node) restoreRollout(service string) {
-	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
 	stored, err := n.deps.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -33,7 +33,7 @@
 		}
 		order, _ := n.rollouts.Order(service)
 		status := RolloutStatus{Record: record, Step: record.Phase.String(), Left: (order.Duration - n.rollouts.Elapsed(now, service)).Milliseconds()}
-		status.RegressionScore, status.RegressionRoute = n.scheduling.rolloutDoubt(service)
+		status.RegressionScore, status.RegressionRoute = n.scheduling.regressionScore(service)
 		for _, route := range slices.Sorted(maps.Keys(record.EvidenceByRoute)) {
 			status.Evidence = append(status.Evidence, rollout.Describe(route, record.EvidenceByRoute[route]))
 		}
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -14,12 +14,12 @@
 // hearingTime is how long a process that starts takes itself to be in touch with all nodes,
 // which tell of themselves once in that time. With the share of those that it has heard yet,
 // buckets that it adopted would be cut to a part, and tenants below their quotas refused.
-const hearingTime = heartbeatInterval
+const startupFullShareTime = heartbeatInterval
 
 // chooseGather is the least time between two choices that follow from news of nodes in a large
 // fleet. A choice looks at all nodes that are heard of, and when many nodes start at once each of
 // them is news.
-const chooseGather = 10 * time.Millisecond
+const minSelectionInterval = 10 * time.Millisecond
 
 // role is what this node is among the others.
 type role struct {
@@ -42,11 +42,11 @@
 }
 
 // share is the part of the quotas and repeats that the nodes in touch may hand out.
-func (r *role) share() float64 { return min(float64(r.size.Live)/float64(r.size.Known), 1) }
+func (r *role) liveShare() float64 { return min(float64(r.size.Live)/float64(r.size.Known), 1) }
 
 // followers returns the part of all nodes that go by this one when it schedules, and zero if it does
 // not. The caller holds the mutex.
-func (n *Node) followers(now structs.Instant, live []*liveness.Member) float64 {
+func (n *Node) followerShare(now structs.Instant, live []*liveness.Member) float64 {
 	name := n.settings.Load().Name
 	if n.scheduler != name {
 		return 0
@@ -61,9 +61,9 @@
 }
 
 // chooseSoon has the scheduling node chosen by news of nodes, of which many may come at once.
-func (n *Node) chooseSoon() {
+func (n *Node) requestSelection() {
 	n.mutex.Lock()
-	wait := n.selectedAt + chooseGather - n.now()
+	wait := n.selectedAt + minSelectionInterval - n.now()
 	if !n.isLarge {
 		wait = 0
 	}
@@ -91,15 +91,15 @@
 	n.selectedAt, n.isSelectionPending = now, false
 	live := n.members.Live(now)
 	previous := n.role
-	n.takeRole(now, live)
+	n.updateRole(now, live)
 	moved := n.scheduler != previous.scheduler
 	levels, levelsAt, levelsUntil := n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil
 	if previous.scheduler == settings.Name {
 		n.lastActiveAt = now
 	}
-	takesOver := moved && n.scheduler == settings.Name && levels != nil && now-levelsAt < levelsMemory
-	share := n.role.share()
-	if now < hearingTime {
+	takesOver := moved && n.scheduler == settings.Name && levels != nil && now-levelsAt < bucketLevelsRetention
+	share := n.role.liveShare()
+	if now < startupFullShareTime {
 		share = 1
 	}
 	if n.size.Known-n.size.Live > 1 {
@@ -107,31 +107,31 @@
 		// hands out until it finds so.
 		levelsUntil = now
 	}
-	avoided := n.avoidedByMany(live)
+	avoided := n.ejectedReplicas(live)
 	for _, id := range n.unreachableZoneReplicas() {
 		avoided[id] = true
 	}
-	chosen, followers := n.role, n.followers(now, live)
+	chosen, followers := n.role, n.followerShare(now, live)
 	held := now - n.roleAt
 	if moved || chosen.isNonDelegate != previous.isNonDelegate {
 		n.roleAt = now
 	}
 	n.mutex.Unlock()
 	if takesOver {
-		n.scheduling.takeOver(levelsUntil, levels)
+		n.scheduling.restoreBucketLevels(levelsUntil, levels)
 	}
 	if moved {
 		if previous.scheduler == settings.Name {
-			n.noteRepeats()
+			n.logRetryBudget()
 		}
-		n.scheduling.lead(chosen.scheduler == settings.Name)
+		n.scheduling.setActive(chosen.scheduler == settings.Name)
 		n.log.Write(eventlog.Event{Kind: "scheduler", Peer: chosen.scheduler, Outcome: "moved", Detail: "from " + previous.scheduler, Count: chosen.size.Live})
 	}
 	if chosen.isNonDelegate != previous.isNonDelegate {
-		n.noteRole(chosen, held)
+		n.announceRole(chosen, held)
 	}
 	if moved {
-		n.tellScheduler(chosen, previous.scheduler)
+		n.announceSelection(chosen, previous.scheduler)
 	}
 	n.scheduling.setShare(share, settings.retryPolicy(share))
 	n.scheduling.update(func(scheduler *admission.Scheduler) {
@@ -141,10 +141,10 @@
 }
 
 // takeRole finds what this node is among the live ones. The caller holds the mutex.
-func (n *Node) takeRole(now structs.Instant, live []*liveness.Member) {
+func (n *Node) updateRole(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	own := n.ownHeartbeat()
-	n.takeSize(now, live)
+	n.updateFleetSize(now, live)
 	n.isNonDelegate = n.isLarge && !liveness.IsDelegate(own, live)
 	core := liveness.Delegates(live)
 	beats := liveness.Heartbeats(core)
@@ -152,12 +152,12 @@
 		beats = append(beats, own)
 	}
 	n.scheduler = settings.Name
-	order := liveness.TopEligible(beats, senior)
+	order := liveness.TopEligible(beats, maxCandidates)
 	if first := liveness.FirstNotSlow(order, beats); first != "" {
 		n.scheduler = first
 	}
 	if n.isLarge {
-		order = order[:min(len(order), seniorOfLarge)]
+		order = order[:min(len(order), maxLargeFleetCandidates)]
 	}
 	n.isCandidate = slices.Contains(order, settings.Name)
 	n.storeCallRank = n.storeCallRankAmong(liveness.Heartbeats(core))
@@ -165,7 +165,7 @@
 }
 
 // takeSize finds how large the fleet is. The caller holds the mutex.
-func (n *Node) takeSize(now structs.Instant, live []*liveness.Member) {
+func (n *Node) updateFleetSize(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	n.size, n.zone = n.members.Size(now, settings.Zone)
 	n.fleet = max(n.size.Known, liveness.ReportedFleetSize(live))
@@ -179,7 +179,7 @@
 // noteFleet finds from a heartbeat that the fleet is large, before the next choice: in the first
 // moments of a start of all, whoever takes it for small would be told all names and greet all nodes.
 // The caller holds the mutex.
-func (n *Node) noteFleet(beat *liveness.Heartbeat) {
+func (n *Node) detectLargeFleet(beat *liveness.Heartbeat) {
 	if fleet := max(n.members.Known()+1, beat.KnownNodes, beat.FleetSize); !n.isLarge && liveness.IsLarge(fleet, false) {
 		n.isLarge, n.fleet = true, fleet
 	}
@@ -196,13 +196,13 @@
 
 // tellScheduler has the node that schedules from now on, and the one that did, hear of this one, and
 // in a small fleet, or if it is this one, all nodes.
-func (n *Node) tellScheduler(chosen role, previous string) {
+func (n *Node) announceSelection(chosen role, previous string) {
 	if !chosen.isLarge || chosen.scheduler == n.settings.Load().Name {
 		n.sendHeartbeats()
 		return
 	}
 	n.mutex.Lock()
-	beat := n.beat(n.now())
+	beat := n.buildHeartbeat(n.now())
 	var addresses []string
 	for _, name := range []string{chosen.scheduler, previous} {
 		if member, found := n.members.Get(name); found {
@@ -210,46 +210,46 @@
 		}
 	}
 	n.mutex.Unlock()
-	n.sendBeat(beat, addresses)
+	n.sendHeartbeat(beat, addresses)
 }
 
 // noteRole handles that this node became a delegate of its zone, or is none any more. Who takes it
 // for one would beat to it in vain, so that one that all nodes have heard of tells them at once. What
 // else changed goes with the next heartbeat: at a start of all, each node finds that it is none.
-func (n *Node) noteRole(chosen role, held time.Duration) {
+func (n *Node) announceRole(chosen role, held time.Duration) {
 	outcome := "taken-up"
 	if chosen.isNonDelegate {
 		outcome = "laid-down"
 	}
 	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: chosen.fleet})
-	if !chosen.isNonDelegate || held < delegateKnown {
+	if !chosen.isNonDelegate || held < delegateKnownTime {
 		return
 	}
 	n.mutex.Lock()
 	now := n.now()
-	beat := n.beat(now)
+	beat := n.buildHeartbeat(now)
 	routes := n.relays.Recipients(now, beat.Zone, n.members.Live(now), chosen.isLarge)
 	n.mutex.Unlock()
-	n.sendRoutes(beat, routes)
+	n.sendToRecipients(beat, routes)
 }
 
 // delegateKnown is the time after which all nodes have heard of a delegate.
-const delegateKnown = 2 * largeInterval
+const delegateKnownTime = 2 * nonDelegateInterval
 
 // noteRepeats tells what this node's retry budget gave while it scheduled: whether the repeats of
 // several scheduling nodes add up can be seen from their lines together.
-func (n *Node) noteRepeats() {
-	for service, use := range n.scheduling.repeats() {
+func (n *Node) logRetryBudget() {
+	for service, use := range n.scheduling.retryStats() {
 		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: use.Retries, Detail: fmt.Sprintf("%d requests, %d refused", use.Requests, use.Rejected)})
 	}
 }
 
 // agreeing is how many nodes must find a replica failing for all to avoid it.
-const agreeing = 2
+const minFailureReports = 2
 
 // avoidedByMany returns the replicas that several nodes find failing, unless
 // these were more than half of all. The caller holds the mutex.
-func (n *Node) avoidedByMany(live []*liveness.Member) map[string]bool {
+func (n *Node) ejectedReplicas(live []*liveness.Member) map[string]bool {
 	votes := map[string]int{}
 	for _, id := range n.health.Failing(n.now()) {
 		votes[id]++
@@ -261,7 +261,7 @@
 	}
 	avoided := map[string]bool{}
 	for id, count := range votes {
-		if count >= agreeing {
+		if count >= minFailureReports {
 			avoided[id] = true
 		}
 	}
--- a/entry/scheduling_poison.go
+++ b/entry/scheduling_poison.go
@@ -13,12 +13,12 @@
 
 // What happens to a request's standing, in lines and counters.
 const (
-	contentSuspected = "suspected"
-	contentBarred    = "barred"
-	contentTried     = "tried"
-	contentCleared   = "cleared"
-	contentLifted    = "lifted"
-	contentHeard     = "heard-barred"
+	poisonSuspected     = "suspected"
+	poisonBlocked       = "barred"
+	poisonTrial         = "tried"
+	poisonCleared       = "cleared"
+	poisonUnblocked     = "lifted"
+	poisonBlockedByPeer = "heard-barred"
 )
 
 func (d *schedulingService) setContentPolicy(policy poison.Policy) {
@@ -29,7 +29,7 @@
 
 // noteContent enters what the end of a request says of what it asked for. The place is zero
 // if another node gave it.
-func (d *schedulingService) noteContent(place admission.Completion, finished *finishRequest) {
+func (d *schedulingService) recordPoisonResult(place admission.Completion, finished *finishRequest) {
 	now := d.clock()
 	switch {
 	case finished.Ended != nil:
@@ -42,39 +42,39 @@
 		if !news {
 			return
 		}
-		outcome := contentSuspected
+		outcome := poisonSuspected
 		if standing == poison.Blocked {
-			outcome = contentBarred
+			outcome = poisonBlocked
 		}
-		d.tellOf(outcome, finished.Content)
+		d.reportPoisonTransition(outcome, finished.Content)
 	case finished.NotRun:
 		d.poisonTracker.CancelTrial(place.Content)
 	case finished.Seen.Whole:
 		if d.poisonTracker.RecordSuccess(now, finished.Content) {
-			d.onPoisonTransition(contentCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
+			d.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
 		}
 	}
 }
 
 // tellOf tells of a change of the request's standing. The caller holds the mutex.
-func (d *schedulingService) tellOf(outcome string, content fingerprint.Fingerprint) {
+func (d *schedulingService) reportPoisonTransition(outcome string, content fingerprint.Fingerprint) {
 	if record, found := d.poisonTracker.Get(content); found {
 		d.onPoisonTransition(outcome, record)
 	}
 }
 
 // merge takes over what others know of requests. The caller holds the mutex.
-func (d *schedulingService) merge(now structs.Instant, records []poisonrecords.Record) {
+func (d *schedulingService) mergePoisonLocked(now structs.Instant, records []poisonrecords.Record) {
 	for _, record := range d.poisonTracker.Merge(now, records) {
-		d.onPoisonTransition(contentHeard, record)
+		d.onPoisonTransition(poisonBlockedByPeer, record)
 	}
 }
 
 // mergeContents takes over what others know of requests, and decides what follows.
-func (d *schedulingService) mergeContents(records []poisonrecords.Record) {
+func (d *schedulingService) mergePoisonRecords(records []poisonrecords.Record) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.merge(d.clock(), records)
+	d.mergePoisonLocked(d.clock(), records)
 	d.decide()
 }
 
@@ -86,21 +86,21 @@
 }
 
 // contentsMark marks what other nodes are told.
-func (d *schedulingService) contentsMark() poisonrecords.Summary {
+func (d *schedulingService) poisonSummary() poisonrecords.Summary {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.poisonTracker.Summary()
 }
 
 // toldContents returns what other nodes are told.
-func (d *schedulingService) toldContents() []poisonrecords.Record {
+func (d *schedulingService) sharedPoisonRecords() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.poisonTracker.Shared(d.clock())
 }
 
 // lastingContents returns what has to outlive all nodes.
-func (d *schedulingService) lastingContents() []poisonrecords.Record {
+func (d *schedulingService) persistentPoisonRecords() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.poisonTracker.Persistent(d.clock())
@@ -114,20 +114,20 @@
 }
 
 // barredContents returns the requests that are barred.
-func (d *schedulingService) barredContents() []poisonrecords.Record {
+func (d *schedulingService) blockedRequests() []poisonrecords.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.poisonTracker.Blocked(d.clock())
 }
 
 // liftContent clears the request, and returns false if nothing speaks against it.
-func (d *schedulingService) liftContent(content fingerprint.Fingerprint) bool {
+func (d *schedulingService) unblock(content fingerprint.Fingerprint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	record, _ := d.poisonTracker.Get(content)
 	lifted := d.poisonTracker.Unblock(d.clock(), content)
 	if lifted {
-		d.onPoisonTransition(contentLifted, record)
+		d.onPoisonTransition(poisonUnblocked, record)
 		d.decide()
 	}
 	return lifted
--- a/entry/scheduling_rollout.go
+++ b/entry/scheduling_rollout.go
@@ -16,7 +16,7 @@
 
 // rolloutDoubt returns the evidence against the target of the service's roll-out; zero at a
 // node that does not step it.
-func (d *schedulingService) rolloutDoubt(service string) (float64, string) {
+func (d *schedulingService) regressionScore(service string) (float64, string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if controller, found := d.controllers[service]; found {
@@ -46,12 +46,12 @@
 	}
 	controller.Adopt(known)
 	seen.Busy = max(seen.Busy, d.scheduler.InFlightAt(service))
-	seen.Longest = d.longest[service]
+	seen.Longest = d.longestAnswers[service]
 	return controller.Propose(d.clock(), seen)
 }
 
 // rolloutWritten enters what became of a write.
-func (d *schedulingService) rolloutWritten(written rollouts.Record, revision structs.StorePosition, err error) {
+func (d *schedulingService) recordRolloutWrite(written rollouts.Record, revision structs.StorePosition, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	controller, found := d.controllers[written.Service]
@@ -70,34 +70,34 @@
 
 // longestShare is the weight by which the longest known answer of a service yields to a
 // shorter one: after 100 of half its length it is near that.
-const longestShare = 0.02
+const longestDecayFraction = 0.02
 
 // noteRollout enters the end of a request into the judgement of its service's versions.
-func (d *schedulingService) noteRollout(ended admission.Completion, seen admission.Observation, notRun bool) {
+func (d *schedulingService) recordRolloutResult(ended admission.Completion, seen admission.Observation, notRun bool) {
 	if seen.Duration > 0 {
-		before := d.longest[ended.Service]
-		d.longest[ended.Service] = max(seen.Duration, before-time.Duration(longestShare*float64(before-seen.Duration)))
+		before := d.longestAnswers[ended.Service]
+		d.longestAnswers[ended.Service] = max(seen.Duration, before-time.Duration(longestDecayFraction*float64(before-seen.Duration)))
 	}
 	controller, found := d.controllers[ended.Service]
 	if !found || notRun {
 		return
 	}
-	controller.RecordResult(answerOf(ended, seen, controller.Record().Target), !seen.Left)
+	controller.RecordResult(sampleOf(ended, seen, controller.Record().Target), !seen.Left)
 }
 
 // promptOverhead is the part of the time to a first event that does not depend on the
 // prompt, in tokens that are read meanwhile.
-const promptOverhead = 500
+const promptOverheadTokens = 500
 
 // answerOf describes the end of a request to the judge.
-func answerOf(ended admission.Completion, seen admission.Observation, target string) rollout.Sample {
+func sampleOf(ended admission.Completion, seen admission.Observation, target string) rollout.Sample {
 	answer := rollout.Sample{
 		Route: ended.Route, Replica: ended.Replica, Begun: ended.Placed, Target: ended.Version == target, Failed: seen.Failed, Step: seen.Duration,
 	}
 	if seen.Events == 0 {
 		return answer
 	}
-	answer.First = seen.FirstEvent / time.Duration(ended.Prompt+promptOverhead)
+	answer.First = seen.FirstEvent / time.Duration(ended.Prompt+promptOverheadTokens)
 	answer.Step = 0
 	if seen.Events > 1 {
 		answer.Step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1)
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -22,54 +22,54 @@
 const (
 	// takeoverBurst is the share of a burst that the buckets of a scheduling node start
 	// with that does not know what others handed out.
-	takeoverBurst = 0.1
+	takeoverBurstShare = 0.1
 	// restartTime is the least time from the end of the last processes to the first
 	// requests of those that follow, in which nobody took anything; measured:
 	// 0.5 s. It is credited for restartCredit from the start of the process; later
 	// others have handed out quotas.
-	restartTime   = 400 * time.Millisecond
-	restartCredit = 3 * time.Second
+	minRestartTime    = 400 * time.Millisecond
+	restartCreditTime = 3 * time.Second
 	// settleLedger is how long a process that starts waits for others to tell what they handed
 	// out. They answer its first heartbeat, so that two milliseconds are usual; a second covers
 	// heartbeats that are lost.
-	settleLedger = time.Second
+	quotaSettleTime = time.Second
 )
 
 // placed is what the desk must remember of a request to settle its quota.
-type placed struct {
+type requestCharge struct {
 	tenant      string
 	cost        float64
 	fingerprint fingerprint.Fingerprint
 	// repeat is the repeat that the retry budget gave it, until it has its place.
-	repeat retrybudget.Permit
+	retryPermit retrybudget.Permit
 }
 
 // schedulingService is the scheduling side of a node: it decides for every node that takes
 // this one for the scheduling node, itself included.
 type schedulingService struct {
-	mutex     sync.Mutex
-	clock     func() structs.Instant
-	scheduler *admission.Scheduler
-	quotas    *quota.Buckets
-	budget    *retrybudget.Budget
-	term      uint64
+	mutex       sync.Mutex
+	clock       func() structs.Instant
+	scheduler   *admission.Scheduler
+	quotas      *quota.Buckets
+	retryBudget *retrybudget.Budget
+	term        uint64
 	// share is the part of the quotas that this side of a partition hands out, and leads is true
 	// while this node schedules for the others.
-	share float64
-	leads bool
+	quotaShare float64
+	isActive   bool
 	// epoch counts the times that this node began to schedule, last at ledSince.
-	epoch    uint64
-	ledSince structs.Instant
+	epoch       uint64
+	activeSince structs.Instant
 	// regions has the region of each zone.
 	regions map[string]string
 	// emptied are the zones that get nothing, and warmings bounds what cold replicas get, by service.
-	emptied  map[string]bool
-	warmings map[string]admission.SlowStart
+	evacuatedZones map[string]bool
+	slowStarts     map[string]admission.SlowStart
 	// first is true if no other process can have handed out anything before.
-	first   bool
-	waiters map[string]chan admission.Decision
-	placed  map[string]placed
-	refused *rejections.Recent
+	isFirst          bool
+	pending          map[string]chan admission.Decision
+	charges          map[string]requestCharge
+	recentRejections *rejections.Recent
 	// controllers step the roll-outs of services while this node schedules; longest is how
 	// long the long answers of a service take.
 	rolloutPolicy rollout.Policy
@@ -79,39 +79,39 @@
 	// onPoisonTransition is called with each change of a request's standing.
 	onPoisonTransition func(outcome string, record poisonrecords.Record)
 	controllers        map[string]*rollout.Controller
-	longest            map[string]time.Duration
+	longestAnswers     map[string]time.Duration
 	timer              *time.Timer
 	// decidedAt is when the last round of decisions was made.
 	decidedAt structs.Instant
 }
 
 func newSchedulingService(clock func() structs.Instant, policy retrybudget.Policy, first bool) *schedulingService {
-	d := &schedulingService{clock: clock, decidedAt: -decideInterval, share: 1, first: first, term: 1, budget: retrybudget.New(policy, first), poisonTracker: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, poisonrecords.Record) {}}
-	d.clear()
-	d.quotas.CreditDowntime(restartTime, clock()+restartCredit)
-	d.timer = time.AfterFunc(time.Hour, d.wake)
+	d := &schedulingService{clock: clock, decidedAt: -minDecideInterval, quotaShare: 1, isFirst: first, term: 1, retryBudget: retrybudget.New(policy, first), poisonTracker: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, poisonrecords.Record) {}}
+	d.clearState()
+	d.quotas.CreditDowntime(minRestartTime, clock()+restartCreditTime)
+	d.timer = time.AfterFunc(time.Hour, d.decideOnTimer)
 	return d
 }
 
-func (d *schedulingService) clear() {
+func (d *schedulingService) clearState() {
 	d.scheduler = admission.New()
 	d.scheduler.SetPoisonTracker(d.poisonTracker)
 	d.scheduler.SetRegions(d.regions)
-	d.scheduler.SetEvacuatedZones(d.clock(), d.emptied)
-	d.applyWarmings()
-	start := takeoverBurst
-	if d.first {
+	d.scheduler.SetEvacuatedZones(d.clock(), d.evacuatedZones)
+	d.applySlowStarts()
+	start := takeoverBurstShare
+	if d.isFirst {
 		start = 1
-		d.first = false
+		d.isFirst = false
 	}
 	d.quotas = quota.NewBuckets(start)
 	if start < 1 {
-		d.quotas.SetAuthoritativeAfter(d.clock() + settleLedger)
+		d.quotas.SetAuthoritativeAfter(d.clock() + quotaSettleTime)
 	}
-	d.waiters = map[string]chan admission.Decision{}
-	d.placed = map[string]placed{}
-	d.refused = rejections.New()
-	d.controllers, d.longest = map[string]*rollout.Controller{}, map[string]time.Duration{}
+	d.pending = map[string]chan admission.Decision{}
+	d.charges = map[string]requestCharge{}
+	d.recentRejections = rejections.New()
+	d.controllers, d.longestAnswers = map[string]*rollout.Controller{}, map[string]time.Duration{}
 }
 
 // reset forgets everything, as a process must that stood still for so long that
@@ -119,40 +119,40 @@
 func (d *schedulingService) reset(all []replicas.Replica, policies map[string]rollouts.VersionPolicy) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for _, waiter := range d.waiters {
+	for _, waiter := range d.pending {
 		close(waiter)
 	}
-	d.clear()
+	d.clearState()
 	d.epoch++
-	d.ledSince = d.clock()
-	d.budget.Reset()
+	d.activeSince = d.clock()
+	d.retryBudget.Reset()
 	for service, policy := range policies {
 		d.scheduler.SetVersions(service, policy)
 	}
 	d.scheduler.SetReplicas(d.clock(), all)
-	d.setWarms()
+	d.updateColdTraffic()
 	d.term++
 	return d.term
 }
 
 // majority is the part of all nodes beyond which no other part can be as large.
-const majority = 0.5
+const majorityShare = 0.5
 
 // setShare takes over which part of the quotas and of the retries may be given.
 func (d *schedulingService) setShare(share float64, policy retrybudget.Policy) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.poisonTracker.SetTrialsAllowed(share > majority)
-	d.share = share
-	d.setWarms()
-	d.budget.SetPolicy(policy)
+	d.poisonTracker.SetTrialsAllowed(share > majorityShare)
+	d.quotaShare = share
+	d.updateColdTraffic()
+	d.retryBudget.SetPolicy(policy)
 }
 
 // repeats returns what this desk counted for the retry budget, by service.
-func (d *schedulingService) repeats() map[string]retrybudget.Stats {
+func (d *schedulingService) retryStats() map[string]retrybudget.Stats {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.budget.Stats(d.clock())
+	return d.retryBudget.Stats(d.clock())
 }
 
 // setRegions takes over which region each zone is in.
@@ -164,18 +164,18 @@
 }
 
 // lead tells the desk whether this node schedules for the others from now on.
-func (d *schedulingService) lead(schedules bool) {
+func (d *schedulingService) setActive(schedules bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.sendRepeatsAway()
-	d.leads = schedules
-	d.setWarms()
+	d.releaseQueuedRetries()
+	d.isActive = schedules
+	d.updateColdTraffic()
 	if schedules {
 		d.epoch++
-		d.ledSince = d.clock()
-		d.budget.Activate()
+		d.activeSince = d.clock()
+		d.retryBudget.Activate()
 	} else {
-		d.budget.Deactivate()
+		d.retryBudget.Deactivate()
 		// Who schedules next goes on from the record; what was taken here is not used.
 		for service := range d.controllers {
 			d.scheduler.SetCanaryBudget(service, nil)
@@ -186,15 +186,15 @@
 
 // sendRepeatsAway has the repeats that wait here ask whoever schedules now: what this desk's
 // budget gave them is void when the scheduling node changes. The caller holds the mutex.
-func (d *schedulingService) sendRepeatsAway() {
-	for id, held := range d.placed {
-		waiter, waits := d.waiters[id]
-		if !waits || held.repeat == (retrybudget.Permit{}) {
+func (d *schedulingService) releaseQueuedRetries() {
+	for id, held := range d.charges {
+		waiter, waits := d.pending[id]
+		if !waits || held.retryPermit == (retrybudget.Permit{}) {
 			continue
 		}
 		d.scheduler.Cancel(id)
-		delete(d.waiters, id)
-		delete(d.placed, id)
+		delete(d.pending, id)
+		delete(d.charges, id)
 		d.quotas.Refund(held.tenant, held.cost)
 		close(waiter)
 	}
@@ -220,7 +220,7 @@
 			return &assignReply{Reason: reasonUnreachable}
 		}
 		return &assignReply{
-			Limit:   d.limitNote(decision),
+			Limit:   d.limitReport(decision),
 			Replica: decision.Replica, Reason: string(decision.Reason),
 			RetryAfter: decision.RetryAfter, Waited: decision.Waited, Term: d.currentTerm(),
 			Waiting: decision.QueuedAhead, Free: decision.Free, Expected: decision.Expected,
@@ -232,7 +232,7 @@
 }
 
 // limitNote returns what is known of the rate limit of the replica that was given, or nil.
-func (d *schedulingService) limitNote(decision admission.Decision) *pushback.Report {
+func (d *schedulingService) limitReport(decision admission.Decision) *pushback.Report {
 	if decision.Limit.Limit.State == pushback.LimitUnknown {
 		return nil
 	}
@@ -252,33 +252,33 @@
 	defer d.mutex.Unlock()
 	now := d.clock()
 	if request.Known != nil {
-		d.merge(now, []poisonrecords.Record{*request.Known})
+		d.mergePoisonLocked(now, []poisonrecords.Record{*request.Known})
 	}
 	for _, note := range request.Heard {
 		d.scheduler.ApplyPushbackReport(now, note)
 	}
 	d.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.Heard)
 	if request.First {
-		d.budget.RecordRequest(now, request.Request.Service)
+		d.retryBudget.RecordRequest(now, request.Request.Service)
 	}
 	var repeat retrybudget.Permit
 	if request.Repeat {
-		given, ok := d.budget.Reserve(now, request.Request.Service)
+		given, ok := d.retryBudget.Reserve(now, request.Request.Service)
 		if !ok {
 			return nil, &assignReply{Reason: reasonRetryBudget, RetryAfter: time.Second}
 		}
 		repeat = given
 	}
-	limit := request.Limit.Scaled(d.share)
+	limit := request.Limit.Scaled(d.quotaShare)
 	if wait, ok := d.quotas.Take(now, request.Tenant, limit, request.Cost); !ok {
-		d.budget.Cancel(repeat)
+		d.retryBudget.Cancel(repeat)
 		return nil, &assignReply{Reason: reasonQuota, RetryAfter: wait}
 	}
 	id := request.Request.ID
 	waiter := make(chan admission.Decision, 1)
-	d.waiters[id] = waiter
-	d.placed[id] = placed{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Content, repeat: repeat}
-	request.Request.Returned = d.refused.Has(now, request.Request.Content)
+	d.pending[id] = waiter
+	d.charges[id] = requestCharge{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Content, retryPermit: repeat}
+	request.Request.Returned = d.recentRejections.Has(now, request.Request.Content)
 	d.scheduler.Submit(now, request.Request)
 	d.decide()
 	return waiter, nil
@@ -289,7 +289,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.scheduler.Observe(d.clock(), service, replica, prompt, finished.Seen)
-	d.noteContent(admission.Completion{}, finished)
+	d.recordPoisonResult(admission.Completion{}, finished)
 }
 
 // recordFirstEvent notes that an answer began, and the load that came with it.
@@ -310,14 +310,14 @@
 	defer d.mutex.Unlock()
 	ended, found := d.scheduler.Finish(d.clock(), request.ID, request.Seen)
 	if found {
-		d.noteRollout(ended, request.Seen, request.NotRun)
+		d.recordRolloutResult(ended, request.Seen, request.NotRun)
 	}
-	d.noteContent(ended, request)
+	d.recordPoisonResult(ended, request)
 	d.scheduler.Cancel(request.ID)
-	delete(d.waiters, request.ID)
-	if held, found := d.placed[request.ID]; found {
-		delete(d.placed, request.ID)
-		d.budget.Cancel(held.repeat)
+	delete(d.pending, request.ID)
+	if held, found := d.charges[request.ID]; found {
+		delete(d.charges, request.ID)
+		d.retryBudget.Cancel(held.retryPermit)
 		if request.NotRun {
 			d.quotas.Refund(held.tenant, held.cost)
 		}
@@ -339,9 +339,9 @@
 }
 
 // patienceInterval is the time between looks at requests that waited too long.
-const patienceInterval = 50 * time.Millisecond
+const queueCheckInterval = 50 * time.Millisecond
 
-func (d *schedulingService) wake() {
+func (d *schedulingService) decideOnTimer() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.decide()
@@ -350,45 +350,45 @@
 // decideInterval is the least time between two rounds of decisions. A round costs
 // as much as there are replicas, places and waiting requests; so under load one
 // round serves many changes.
-const decideInterval = 2 * time.Millisecond
+const minDecideInterval = 2 * time.Millisecond
 
 // decide hands out decisions, or sees to it that this happens soon if there was
 // a round just now. The caller holds the mutex.
 func (d *schedulingService) decide() {
-	if len(d.waiters) == 0 {
+	if len(d.pending) == 0 {
 		return
 	}
 	now := d.clock()
-	if now-d.decidedAt < decideInterval {
-		d.timer.Reset(decideInterval)
+	if now-d.decidedAt < minDecideInterval {
+		d.timer.Reset(minDecideInterval)
 		return
 	}
 	d.decidedAt = now
 	for _, decision := range d.scheduler.Decide(d.clock()) {
-		waiter, found := d.waiters[decision.ID]
+		waiter, found := d.pending[decision.ID]
 		if !found {
 			continue
 		}
-		delete(d.waiters, decision.ID)
+		delete(d.pending, decision.ID)
 		if decision.Trial {
-			d.tellOf(contentTried, d.placed[decision.ID].fingerprint)
+			d.reportPoisonTransition(poisonTrial, d.charges[decision.ID].fingerprint)
 		}
 		if decision.Reason != admission.ReasonNone {
-			if held, charged := d.placed[decision.ID]; charged {
-				delete(d.placed, decision.ID)
+			if held, charged := d.charges[decision.ID]; charged {
+				delete(d.charges, decision.ID)
 				d.quotas.Refund(held.tenant, held.cost)
-				d.budget.Cancel(held.repeat)
-				d.refused.Add(d.clock(), held.fingerprint)
+				d.retryBudget.Cancel(held.retryPermit)
+				d.recentRejections.Add(d.clock(), held.fingerprint)
 			}
-		} else if held, charged := d.placed[decision.ID]; charged {
-			d.budget.Commit(held.repeat)
-			held.repeat = retrybudget.Permit{}
-			d.placed[decision.ID] = held
+		} else if held, charged := d.charges[decision.ID]; charged {
+			d.retryBudget.Commit(held.retryPermit)
+			held.retryPermit = retrybudget.Permit{}
+			d.charges[decision.ID] = held
 		}
 		waiter <- decision
 	}
-	if len(d.waiters) > 0 {
-		d.timer.Reset(patienceInterval)
+	if len(d.pending) > 0 {
+		d.timer.Reset(queueCheckInterval)
 	}
 }
 
--- a/entry/scheduling_service_test.go
+++ b/entry/scheduling_service_test.go
@@ -15,7 +15,7 @@
 
 // A round of decisions for each change would keep the scheduling node busy until its
 // memory runs out.
-func TestManyChangesShareARoundOfDecisions(t *testing.T) {
+func TestDecisionsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		begun := time.Now()
@@ -33,7 +33,7 @@
 		}
 		synctest.Wait()
 		g.Expect(len(done)).To(gomega.BeNumerically("<=", 1))
-		time.Sleep(decideInterval)
+		time.Sleep(minDecideInterval)
 		synctest.Wait()
 		g.Expect(done).To(gomega.HaveLen(50))
 		for range 50 {
@@ -52,7 +52,7 @@
 		begun := time.Now()
 		d := newSchedulingService(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Ratio: 1, Window: 10 * time.Second}, true)
 		defer d.timer.Stop()
-		d.lead(true)
+		d.setActive(true)
 		asked := 0
 		ask := func(first, repeat bool) string {
 			asked++
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -5,10 +5,10 @@
 // The desk's part in emptied zones and cold replicas.
 
 // setEmptied takes over which zones get nothing.
-func (d *schedulingService) setEmptied(zones map[string]bool) {
+func (d *schedulingService) setEvacuatedZones(zones map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.emptied = zones
+	d.evacuatedZones = zones
 	d.scheduler.SetEvacuatedZones(d.clock(), zones)
 	d.decide()
 }
@@ -17,21 +17,21 @@
 func (d *schedulingService) setWarmings(warmings map[string]admission.SlowStart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.warmings = warmings
-	d.applyWarmings()
+	d.slowStarts = warmings
+	d.applySlowStarts()
 	d.decide()
 }
 
-func (d *schedulingService) applyWarmings() {
-	for service, warming := range d.warmings {
+func (d *schedulingService) applySlowStarts() {
+	for service, warming := range d.slowStarts {
 		d.scheduler.SetSlowStart(service, warming)
 	}
 }
 
 // setWarms lets the scheduler send to cold replicas while this node schedules for most others: at
 // most two nodes take themselves for that at a time. The caller holds the mutex.
-func (d *schedulingService) setWarms() {
-	if warms := d.leads && d.share > majority; warms != d.scheduler.ColdTrafficAllowed() {
+func (d *schedulingService) updateColdTraffic() {
+	if warms := d.isActive && d.quotaShare > majorityShare; warms != d.scheduler.ColdTrafficAllowed() {
 		d.scheduler.SetColdTrafficAllowed(d.clock(), warms)
 	}
 }
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -12,15 +12,15 @@
 
 // juniorPause is the time between looks whether a node that is not senior has become so. Each
 // look wakes the process, which is paid for, and most nodes of a large fleet are not senior.
-const juniorPause = time.Second
+const nonCandidateCheckInterval = time.Second
 
 // slowNodeLoop measures by how much the timers of a node that may schedule are late, and tells
 // all nodes at once when it turns slow or well.
 func (n *Node) slowNodeLoop() {
-	gauge := newGauge()
+	gauge := newWorkProbe()
 	sleep := n.deps.Sleep
 	if sleep == nil {
-		sleep = oversleep
+		sleep = sleepLateness
 	}
 	for n.ctx.Err() == nil {
 		n.mutex.Lock()
@@ -28,7 +28,7 @@
 		n.mutex.Unlock()
 		if !senior {
 			// Others schedule while any of the senior nodes lives.
-			n.sleep(juniorPause)
+			n.sleep(nonCandidateCheckInterval)
 			continue
 		}
 		late, took := sleep(liveness.TimerLagInterval), gauge.run()
@@ -37,13 +37,13 @@
 		state := n.slowness
 		n.mutex.Unlock()
 		if changed {
-			n.noteSlow(state)
+			n.reportSlowness(state)
 		}
 	}
 }
 
 // oversleep pauses and returns how late that ended.
-func oversleep(pause time.Duration) time.Duration {
+func sleepLateness(pause time.Duration) time.Duration {
 	begun := time.Now()
 	time.Sleep(pause)
 	return time.Since(begun) - pause
@@ -51,25 +51,25 @@
 
 // gaugeBytes is what the fixed work goes over: 2 to 3 microseconds on a machine in order,
 // fifty times a second.
-const gaugeBytes = 16 << 10
+const workProbeBytes = 16 << 10
 
 // gauge is a fixed piece of work that needs a processor and nothing else.
-type gauge struct {
+type workProbe struct {
 	content []byte
 	sum     uint64
 }
 
-func newGauge() *gauge { return &gauge{content: make([]byte, gaugeBytes)} }
+func newWorkProbe() *workProbe { return &workProbe{content: make([]byte, workProbeBytes)} }
 
 // run does the work and returns how long it took.
-func (g *gauge) run() time.Duration {
+func (g *workProbe) run() time.Duration {
 	begun := time.Now()
 	g.sum += xxhash.Sum64(g.content)
 	return time.Since(begun)
 }
 
 // noteSlow tells that this node turned slow, or is not any more.
-func (n *Node) noteSlow(state liveness.SlowNodeDetector) {
+func (n *Node) reportSlowness(state liveness.SlowNodeDetector) {
 	outcome := "well"
 	if state.Slow() {
 		outcome = "slow"
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -12,13 +12,13 @@
 // While a zone is cut off, it is tried off the callers' path: zoneTrial is the time between two
 // trials, and zoneDial how long one may take.
 const (
-	zoneTrial = 100 * time.Millisecond
-	zoneDial  = 200 * time.Millisecond
+	zoneProbeInterval = 100 * time.Millisecond
+	zoneDialTimeout   = 200 * time.Millisecond
 )
 
 // zoneLoop tries the zones that nothing comes from.
 func (n *Node) zoneLoop() {
-	for n.sleep(zoneTrial) {
+	for n.sleep(zoneProbeInterval) {
 		n.mutex.Lock()
 		suspects := n.zones.SilentZones(n.now())
 		var all []replicas.Replica
@@ -27,13 +27,13 @@
 		}
 		n.mutex.Unlock()
 		for _, zone := range suspects {
-			n.tryZone(zone, all)
+			n.probeZone(zone, all)
 		}
 	}
 }
 
 // tryZone opens a connection to any replica of the zone.
-func (n *Node) tryZone(zone string, all []replicas.Replica) {
+func (n *Node) probeZone(zone string, all []replicas.Replica) {
 	var there []replicas.Replica
 	for _, replica := range all {
 		if replica.Zone == zone {
@@ -43,7 +43,7 @@
 	if len(there) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, zoneDial)
+	ctx, cancel := context.WithTimeout(n.ctx, zoneDialTimeout)
 	defer cancel()
 	conn, err := n.deps.Network.Dial(ctx, there[rand.IntN(len(there))].Address)
 	if err == nil {
