--- a/entry/active_calls.go
+++ b/entry/active_calls.go
@@ -8,20 +8,20 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// age returns for how long this node has had the request.
+// age returns the time since the request arrived at this node.
 func (c *call) age() time.Duration { return c.node.now() - c.arrived }
 
-// remaining returns what is left of the caller's or the route's time, and zero once it is over.
+// remaining returns the time left until the request's deadline; zero once it has passed.
 func (c *call) remaining() time.Duration { return max(c.deadline-c.node.now(), 0) }
 
-// activeCalls has the requests of callers in progress. Their contexts end by timers, which stand
-// still while the machine is suspended; the callers' time goes on.
+// activeCalls holds the callers' requests in progress. Their contexts end by timers, which stop
+// while the machine is suspended although the deadlines don't; see cancelExpired.
 type activeCalls struct {
 	mutex sync.Mutex
 	calls map[*call]context.CancelFunc
 }
 
-// add enters the request, and returns what takes it out.
+// add enters the request and returns a function that removes it.
 func (s *activeCalls) add(c *call, cancel context.CancelFunc) func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,16 +36,16 @@
 	}
 }
 
-// endOverdue ends the requests whose time is over, and returns how many these are.
+// cancelExpired cancels the requests whose deadline has passed and returns their number.
 func (s *activeCalls) cancelExpired(now structs.Instant) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	ended := 0
+	cancelled := 0
 	for c, cancel := range s.calls {
 		if now >= c.deadline {
 			cancel()
-			ended++
+			cancelled++
 		}
 	}
-	return ended
+	return cancelled
 }
--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -11,49 +11,52 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// grant is a place at a replica, or the reason why there is none.
+// grant is the scheduling node's decision on a request: a replica's slot, or the reason why there
+// is none.
 type grant struct {
 	*assignReply
-	// id names the place at the scheduling node, which is named by scheduler and address.
+	// id identifies the assignment at the scheduling node with this name and address. The address
+	// is empty if that is this node.
 	id        string
 	scheduler string
 	address   string
-	// asked is how often nodes were asked until there was this decision.
+	// asked is the number of nodes that were asked until there was a decision.
 	asked int
 }
 
-// maximumSchedulers bounds how many nodes are asked for one place.
+// maxSchedulerAttempts bounds the nodes that are asked for one assignment; the last one is this
+// node itself.
 const maxSchedulerAttempts = 3
 
-// requestAssignment asks the scheduling node for a place. If the connection to it broke, it is asked
-// once more by a new one; if it can't be reached, the next node is asked, and in the end
-// this node decides by itself.
+// requestAssignment asks the scheduling node for a slot at a replica and blocks until there is a
+// decision. If the connection breaks, it asks once more on a new one; if the node can't be reached,
+// it asks the next one, and finally this node's own scheduling service.
 func (n *Node) requestAssignment(ctx context.Context, request *assignRequest) *grant {
-	asked := request.Request
-	begun := n.now()
-	askedAgain := false
-	for try, left := 0, maxSchedulerAttempts; left > 0; try, left = try+1, left-1 {
-		request.Request = asked.WithElapsed(n.now() - begun)
-		request.Request.ID = asked.ID + "." + string(rune('a'+try))
-		request.First = request.First && try == 0 // one that was asked before may have counted it
+	original := request.Request
+	start := n.now()
+	reconnected := false
+	for attempt, attemptsLeft := 0, maxSchedulerAttempts; attemptsLeft > 0; attempt, attemptsLeft = attempt+1, attemptsLeft-1 {
+		request.Request = original.WithElapsed(n.now() - start)
+		request.Request.ID = original.ID + "." + string(rune('a'+attempt))
+		request.First = request.First && attempt == 0 // a node that was asked before may have counted the request
 		scheduler, address := n.currentScheduler()
-		if address == "" || left == 1 {
-			given := n.assignLocally(ctx, request)
-			given.asked = try + 1
-			return given
+		if address == "" || attemptsLeft == 1 {
+			granted := n.assignLocally(ctx, request)
+			granted.asked = attempt + 1
+			return granted
 		}
 		reply := &assignReply{}
 		err := n.callScheduler(ctx, scheduler, address, request, reply)
 		if err == nil && reply.Reason != reasonUnreachable {
-			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: try + 1})
+			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: attempt + 1})
 		}
 		n.sendFinish(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
 		if ctx.Err() != nil {
 			break
 		}
-		if errors.Is(err, peer.ErrLinkBroken) && !askedAgain {
-			askedAgain = true
-			left++
+		if errors.Is(err, peer.ErrLinkBroken) && !reconnected {
+			reconnected = true
+			attemptsLeft++
 			continue
 		}
 		n.counter("scheduler.unreachable").Inc(1)
@@ -63,27 +66,29 @@
 	return &grant{assignReply: &assignReply{Reason: reasonUnreachable}}
 }
 
-// placeHere lets this node's own desk decide.
+// assignLocally has this node's own scheduling service decide.
 func (n *Node) assignLocally(ctx context.Context, request *assignRequest) *grant {
 	reply := n.scheduling.assign(ctx, request)
 	return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: n.settings.Load().Name})
 }
 
-// hold enters a place that was given into this node's own count.
-func (n *Node) recordGrant(given *grant) *grant {
-	if given.Reason != "" {
-		return given
+// recordGrant adds a granted assignment to those of this node and merges the replica's rate limit.
+// It returns the grant.
+func (n *Node) recordGrant(granted *grant) *grant {
+	if granted.Reason != "" {
+		return granted
 	}
 	n.mutex.Lock()
-	n.assignments[given.id] = assignment{replica: given.Replica.ID, scheduler: given.scheduler, term: given.Term}
-	if given.Limit != nil {
-		n.pushback.MergeLimit(n.now(), *given.Limit)
+	n.assignments[granted.id] = assignment{replica: granted.Replica.ID, scheduler: granted.scheduler, term: granted.Term}
+	if granted.Limit != nil {
+		n.pushback.MergeLimit(n.now(), *granted.Limit)
 	}
 	n.mutex.Unlock()
-	return given
+	return granted
 }
 
-// currentScheduler returns the scheduling node, with no address if it is this one.
+// currentScheduler returns the scheduling node's name and address; the address is empty if it is
+// this node.
 func (n *Node) currentScheduler() (name, address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -97,10 +102,11 @@
 	return n.scheduler, member.Address
 }
 
-// silenceCheck is the time between looks whether the scheduling node still beats.
+// silenceCheckInterval is the time between checks that heartbeats of the scheduling node still
+// arrive.
 const silenceCheckInterval = 100 * time.Millisecond
 
-// callScheduler asks and waits for as long as the scheduling node is heard of.
+// callScheduler asks the scheduling node and waits for as long as its heartbeats arrive.
 func (n *Node) callScheduler(ctx context.Context, scheduler, address string, request *assignRequest, reply *assignReply) error {
 	callContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -108,7 +114,8 @@
 	return n.peers.Call(callContext, address, peerwire.KindPlace, request, reply)
 }
 
-// watchSilence cancels the call when the scheduling node is no longer heard of.
+// cancelOnSilence cancels the call when no heartbeat of the scheduling node arrived within its
+// failure timeout.
 func (n *Node) cancelOnSilence(ctx context.Context, cancel context.CancelFunc, scheduler string) {
 	for {
 		select {
@@ -127,35 +134,35 @@
 	}
 }
 
-// unackedFinish is a message about an ended request that its scheduling node did
-// not confirm.
+// unackedFinish is a message about an ended request that its scheduling node has not acknowledged.
 type unackedFinish struct {
 	address string
 	message *finishRequest
 	since   structs.Instant
 }
 
-// Bounds of messages that are sent again.
+// Bounds of messages about ended requests.
 const (
 	reportTimeout      = 400 * time.Millisecond
 	finishRetryWindow  = 8 * time.Second
 	maxUnackedFinishes = 2000
 )
 
-// finish ends a place that was given.
-func (n *Node) finish(given *grant, message *finishRequest) {
+// finish ends a granted assignment, here and at its scheduling node.
+func (n *Node) finish(granted *grant, message *finishRequest) {
 	n.mutex.Lock()
-	delete(n.assignments, given.id)
+	delete(n.assignments, granted.id)
 	n.mutex.Unlock()
-	message.ID = given.id
-	if given.address == "" {
+	message.ID = granted.id
+	if granted.address == "" {
 		n.scheduling.finish(message)
 		return
 	}
-	n.sendFinish(unackedFinish{address: given.address, message: message, since: n.now()})
+	n.sendFinish(unackedFinish{address: granted.address, message: message, since: n.now()})
 }
 
-// deliver sends the message in the background and keeps it if that fails.
+// sendFinish sends the message in the background. If that fails, the message is kept for
+// resendFinishes, up to finishRetryWindow after the request's end.
 func (n *Node) sendFinish(item unackedFinish) {
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, reportTimeout)
@@ -171,7 +178,7 @@
 	}()
 }
 
-// resendFinishes sends what was not confirmed.
+// resendFinishes sends the unacknowledged messages again.
 func (n *Node) resendFinishes() {
 	n.mutex.Lock()
 	items := n.unackedFinishes
@@ -182,17 +189,17 @@
 	}
 }
 
-// reportFirstEvent tells the scheduling node that the answer began. It is not sent again
-// if it gets lost.
-func (n *Node) reportFirstEvent(given *grant, load int, said *pushback.Signals) {
-	message := &firstEventRequest{ID: given.id, Load: load, Said: said}
-	if given.address == "" {
+// reportFirstEvent reports the start of a response to the scheduling node, in the background. It is
+// not sent again if it is lost.
+func (n *Node) reportFirstEvent(granted *grant, load int, said *pushback.Signals) {
+	message := &firstEventRequest{ID: granted.id, Load: load, Said: said}
+	if granted.address == "" {
 		n.scheduling.recordFirstEvent(message)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, reportTimeout)
 		defer cancel()
-		_ = n.peers.Call(ctx, given.address, peerwire.KindBegun, message, &firstEventReply{})
+		_ = n.peers.Call(ctx, granted.address, peerwire.KindBegun, message, &firstEventReply{})
 	}()
 }
--- a/entry/bucket_levels.go
+++ b/entry/bucket_levels.go
@@ -8,74 +8,76 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// How tenants' buckets go from one scheduling node to the next: whoever schedules tells them in
-// its heartbeats, all others follow, and a node that schedules beside another adopts them.
+// Levels of the tenants' token buckets pass from one scheduling node to the next in heartbeats: the
+// active scheduler reports them, all other nodes restore theirs from them, and a node that
+// schedules at the same time as another merges them.
 
 const (
-	// levelsMemory is how long the buckets of another scheduling node are worth going on from.
+	// bucketLevelsRetention is the age up to which another scheduling node's bucket levels are
+	// used.
 	bucketLevelsRetention = 10 * time.Second
-	// levelsToldFor is how long a node that schedules no more tells of its buckets: who took
-	// over may be a process that just started and knows none.
+	// formerSchedulerReportTime is how long a node goes on reporting its bucket levels after it
+	// stopped scheduling: its successor may be a process that just started and knows none.
 	formerSchedulerReportTime = time.Second
 )
 
-// noteLevels keeps what a heartbeat tells of the tenants' buckets, if it is newer than what is
-// known, and returns whether this node's own buckets are to follow: not while it still tells the
-// others of them. The caller holds the mutex.
-func (n *Node) recordBucketLevels(now structs.Instant, beat liveness.Heartbeat) bool {
-	told := now - time.Duration(beat.BucketLevelsAgeMS)*time.Millisecond
-	if beat.BucketLevels == nil || told < n.bucketLevelsAt {
+// recordBucketLevels keeps the bucket levels of a heartbeat that are newer than the known ones, and
+// reports whether this node restores its own buckets from them. It doesn't while it still reports
+// its own levels as a former scheduler. The caller holds the mutex.
+func (n *Node) recordBucketLevels(now structs.Instant, heartbeat liveness.Heartbeat) bool {
+	reportedAt := now - time.Duration(heartbeat.BucketLevelsAgeMS)*time.Millisecond
+	if heartbeat.BucketLevels == nil || reportedAt < n.bucketLevelsAt {
 		return false
 	}
-	n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil = beat.BucketLevels, told, told
-	if beat.BucketLevelsAgeMS == 0 {
-		n.bucketLevelsUntil += time.Duration(beat.IntervalMS) * time.Millisecond
+	n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil = heartbeat.BucketLevels, reportedAt, reportedAt
+	if heartbeat.BucketLevelsAgeMS == 0 {
+		n.bucketLevelsUntil += time.Duration(heartbeat.IntervalMS) * time.Millisecond
 	}
 	return now-n.lastActiveAt >= formerSchedulerReportTime
 }
 
-// takeLevels brings the desk's buckets up to what a heartbeat told. A node that does not schedule
-// follows as well: others ask it before it knows that it is its turn, and its buckets would be
-// those of the last time it was.
-func (n *Node) applyBucketLevels(leads bool, until structs.Instant, levels map[string]float64) {
-	if leads {
+// applyBucketLevels applies received levels to the buckets of the scheduling service. Inactive
+// nodes do so too: others may ask one before it learns that it is the scheduling node, and its
+// buckets would otherwise be out of date.
+func (n *Node) applyBucketLevels(isActive bool, until structs.Instant, levels map[string]float64) {
+	if isActive {
 		n.scheduling.mergeBucketLevels(until, levels)
 		return
 	}
 	n.scheduling.restoreBucketLevels(until, levels)
 }
 
-// receivedUsage is what was last heard of what another node handed out.
+// receivedUsage is the quota usage that another node last reported.
 type receivedUsage struct {
 	incarnation, epoch uint64
 	amounts            map[string]float64
 }
 
-// noteLedger keeps what a heartbeat tells of what its sender handed out, and returns what of it this
-// node, if it schedules as well, does not know yet. Only of two the one that has scheduled for longer
-// takes account of the other: what others handed out before this node began to schedule is in the
-// buckets that it went on from. The caller holds the mutex.
-func (n *Node) recordUsage(now structs.Instant, beat liveness.Heartbeat) quota.RemoteUsage {
-	if beat.Usage == nil {
+// recordUsage keeps the quota usage in a heartbeat and returns the part of it that this node still
+// has to charge. That is empty if the sender has been active for longer than this node: of two
+// active schedulers only the earlier one charges the other's usage, as the later one started from
+// bucket levels that include it. The caller holds the mutex.
+func (n *Node) recordUsage(now structs.Instant, heartbeat liveness.Heartbeat) quota.RemoteUsage {
+	if heartbeat.Usage == nil {
 		return quota.RemoteUsage{}
 	}
-	told := receivedUsage{incarnation: beat.Incarnation, epoch: beat.Usage.Epoch, amounts: beat.Usage.Taken}
-	before, found := n.peerUsage[beat.Name]
-	n.peerUsage[beat.Name] = told
-	isSame := found && before.incarnation == told.incarnation && before.epoch == told.epoch
-	led := time.Duration(beat.Usage.Led) * time.Millisecond
-	if led >= n.scheduling.activeFor() {
+	reported := receivedUsage{incarnation: heartbeat.Incarnation, epoch: heartbeat.Usage.Epoch, amounts: heartbeat.Usage.Taken}
+	before, found := n.peerUsage[heartbeat.Name]
+	n.peerUsage[heartbeat.Name] = reported
+	isSame := found && before.incarnation == reported.incarnation && before.epoch == reported.epoch
+	activeFor := time.Duration(heartbeat.Usage.Led) * time.Millisecond
+	if activeFor >= n.scheduling.activeFor() {
 		return quota.RemoteUsage{}
 	}
-	handed := quota.RemoteUsage{Since: now - led, Amounts: map[string]float64{}, Levels: beat.BucketLevels}
-	for tenant, taken := range told.amounts {
+	uncharged := quota.RemoteUsage{Since: now - activeFor, Amounts: map[string]float64{}, Levels: heartbeat.BucketLevels}
+	for tenant, amount := range reported.amounts {
 		known := 0.0
 		if isSame {
 			known = before.amounts[tenant]
 		}
-		if taken > known {
-			handed.Amounts[tenant] = taken - known
+		if amount > known {
+			uncharged.Amounts[tenant] = amount - known
 		}
 	}
-	return handed
+	return uncharged
 }
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -9,20 +9,20 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// A replica that broke a request off may have ended under it although that can't be told at
-// once: the look at its address is lost on a bad link, or it fell silent as a machine without
-// power does. What shows it later is that its entry is gone, that it has started again, or
-// that a connect is refused.
+// A replica that closed a connection under a request may have crashed even if that can't be proven
+// at once, as when the probe of its address is lost, or the replica fell silent like a machine
+// without power. Later its removed entry, a restart or a refused connection proves it.
 
 const (
-	// breakMemory is how long a broken request is remembered: a replica's entry lapses three
-	// of its heartbeats, about four seconds, after its end.
+	// disconnectRetention is how long such a request is kept. A replica's store entry expires about
+	// four seconds after the replica's end.
 	disconnectRetention = 10 * time.Second
-	// maximumBreaks bounds the broken requests that are remembered.
+	// maxDisconnects bounds the requests that are kept.
 	maxDisconnects = 512
 )
 
-// unresolvedDisconnect is a request that a replica broke off, by its end or not.
+// unresolvedDisconnect is a request that a replica broke off, where it is not known yet whether the
+// replica crashed.
 type unresolvedDisconnect struct {
 	replica replicas.Replica
 	content fingerprint.Fingerprint
@@ -30,31 +30,31 @@
 	at      structs.Instant
 }
 
-func (n *Node) deferDisconnect(broken unresolvedDisconnect) {
+func (n *Node) deferDisconnect(disconnect unresolvedDisconnect) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	broken.at = n.now()
-	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool { return broken.at-held.at > disconnectRetention })
+	disconnect.at = n.now()
+	n.disconnects = slices.DeleteFunc(n.disconnects, func(kept unresolvedDisconnect) bool { return disconnect.at-kept.at > disconnectRetention })
 	if len(n.disconnects) < maxDisconnects {
-		n.disconnects = append(n.disconnects, broken)
+		n.disconnects = append(n.disconnects, disconnect)
 	}
 }
 
-// resolveDisconnects tells of the requests that the replica broke off, now that its end is known.
-// The caller holds the mutex.
+// resolveDisconnects reports the requests that the replica broke off as crashes, now that its
+// incarnation is known to have ended. The caller holds the mutex.
 func (n *Node) resolveDisconnects(replica replicas.Replica) {
 	now := n.now()
-	n.disconnects = slices.DeleteFunc(n.disconnects, func(held unresolvedDisconnect) bool {
-		if !held.replica.IsSameIncarnation(replica) || now-held.at > disconnectRetention {
+	n.disconnects = slices.DeleteFunc(n.disconnects, func(kept unresolvedDisconnect) bool {
+		if !kept.replica.IsSameIncarnation(replica) || now-kept.at > disconnectRetention {
 			return false
 		}
-		go n.reportCrash(&finishRequest{Content: held.content, Ended: held.ended})
+		go n.reportCrash(&finishRequest{Content: kept.content, Ended: kept.ended})
 		return true
 	})
 }
 
-// tellEnd enters at this node and the scheduling node that a replica ended under a request
-// whose place was given back before.
+// reportCrash records, here and at the scheduling node, that a replica crashed under a request
+// whose assignment ended before.
 func (n *Node) reportCrash(finished *finishRequest) {
 	n.counter("contents.ends_found_later").Inc(1)
 	n.scheduling.finish(finished)
--- a/entry/disconnects_test.go
+++ b/entry/disconnects_test.go
@@ -13,17 +13,17 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// An end that could not be told at once speaks against the request once it is found, and
-// nothing else does.
+// Guards against crashes that are proven late and not counted, and against ends of other causes
+// being counted as crashes.
 func TestCrashFoundLaterCountsAgainstTheRequest(t *testing.T) {
-	for name, course := range map[string]struct {
-		happens func(n *Node, replica replicas.Replica)
-		counts  bool
+	for name, test := range map[string]struct {
+		event     func(n *Node, replica replicas.Replica)
+		isCounted bool
 	}{
 		"the entry is gone": {func(n *Node, replica replicas.Replica) {
 			n.handleEntryRemoved(outside.Gone{ID: replica.ID, Revision: 9})
 		}, true},
-		"it has started again": {func(n *Node, replica replicas.Replica) {
+		"it has restarted": {func(n *Node, replica replicas.Replica) {
 			replica.StartedAt, replica.Position = 2, 9
 			n.applyReplica(replica)
 		}, true},
@@ -49,11 +49,11 @@
 				content := fingerprint.Of("office", "POST", "a.example", "/x", nil)
 				n.deferDisconnect(unresolvedDisconnect{replica: replica, content: content, ended: &crashedIncarnation{Life: poisonrecords.IncarnationOf("r", 1)}})
 				n.mutex.Lock()
-				course.happens(n, replica)
+				test.event(n, replica)
 				n.mutex.Unlock()
 				synctest.Wait()
-				_, counted := n.scheduling.poisonTracker.Get(content)
-				g.Expect(counted).To(gomega.Equal(course.counts))
+				_, isRecorded := n.scheduling.poisonTracker.Get(content)
+				g.Expect(isRecorded).To(gomega.Equal(test.isCounted))
 			})
 		})
 	}
--- a/entry/discovery_test.go
+++ b/entry/discovery_test.go
@@ -11,24 +11,25 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// A new process greeted the nodes of the first part of a list while it knew under half of
-// all, so that each of them sent the whole list too.
+// Guards against every contacted peer sending the whole peer list to a node that is already
+// receiving one.
 func TestIncomingPeerListCountsAsKnown(t *testing.T) {
-	const names = 39
+	const peers = 39
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
-	part := liveness.Heartbeat{Name: "n0", KnownNodes: names}
+	part := liveness.Heartbeat{Name: "n0", KnownNodes: peers}
 	for i := range peersPerHeartbeat + peerSampleSize {
 		part.Peers = append(part.Peers, liveness.Peer{Name: fmt.Sprint("n", i+1), Address: fmt.Sprint("host", i+1)})
 	}
 	now := n.now()
 	n.recordIncomingPeerList(now, part)
 	n.addPeers(now, part.Peers)
-	g.Expect(n.buildHeartbeat(now).KnownNodes).To(gomega.Equal(names))
-	g.Expect(n.buildHeartbeat(now+peerListTimeout+time.Millisecond).KnownNodes).To(gomega.Equal(peersPerHeartbeat+peerSampleSize), "the rest did not come")
+	g.Expect(n.buildHeartbeat(now).KnownNodes).To(gomega.Equal(peers))
+	g.Expect(n.buildHeartbeat(now+peerListTimeout+time.Millisecond).KnownNodes).To(gomega.Equal(peersPerHeartbeat+peerSampleSize), "the remaining parts did not arrive")
 }
 
-// A regular heartbeat names a few nodes. Whoever takes it for a list would not be sent one.
+// Guards against a regular heartbeat being counted as a peer list, which would keep a node from
+// getting one.
 func TestRegularHeartbeatIsNoPeerList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := New(&Settings{Name: "new"}, Dependencies{Log: eventlog.New("new", nil)})
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -8,14 +8,13 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// How a node goes by the operators' orders to empty a zone. The nodes that follow the store hear
-// of an order; every heartbeat names all that its sender knows, so that whoever hears of the
-// replicas or the configuration has heard of the orders before. The scheduling node gives no place
-// in such a zone, and the node that sends looks once more just before it writes: the place may be
-// of a scheduling node that did not know yet.
+// Evacuation orders reach the nodes that watch the store, and from them all others: every heartbeat
+// carries all orders that its sender knows, so that no node gets newer replicas or configuration
+// without them. The scheduling node assigns no request to an evacuated zone, and the sending node
+// checks again before it writes, as the scheduling node may not have known of the order.
 
-// applyEvacuations takes what the store tells of emptied zones into force, and returns whether any
-// was emptied or taken back.
+// applyEvacuations applies the evacuation orders of a store update and reports whether any zone was
+// evacuated or any order lifted.
 func (n *Node) applyEvacuations(update *outside.Update) bool {
 	n.mutex.Lock()
 	orders := update.Evacuations
@@ -26,14 +25,14 @@
 	return n.applyEvacuationOrders(orders, "store")
 }
 
-// heardEvacuations takes what a peer knows of emptied zones into force.
-func (n *Node) mergeEvacuations(beat *liveness.Heartbeat) {
-	if len(beat.Evacuations) > 0 {
-		n.applyEvacuationOrders(beat.Evacuations[:min(len(beat.Evacuations), evacuations.MaxZones)], beat.Name)
+// mergeEvacuations applies the evacuation orders that a peer knows.
+func (n *Node) mergeEvacuations(heartbeat *liveness.Heartbeat) {
+	if len(heartbeat.Evacuations) > 0 {
+		n.applyEvacuationOrders(heartbeat.Evacuations[:min(len(heartbeat.Evacuations), evacuations.MaxZones)], heartbeat.Name)
 	}
 }
 
-// putEvacuations enters the orders and returns whether any zone was emptied or taken back by them.
+// applyEvacuationOrders applies the orders and reports whether any of them changed a zone.
 func (n *Node) applyEvacuationOrders(orders []evacuations.Order, source string) bool {
 	var changed []evacuations.Order
 	n.mutex.Lock()
@@ -43,7 +42,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		n.scheduling.setEvacuatedZones(n.evacuations.EvacuatedZones()) // in one step with the table: the later state stays
+		n.scheduling.setEvacuatedZones(n.evacuations.EvacuatedZones()) // under the mutex, so that an older set can't replace a newer one
 	}
 	n.mutex.Unlock()
 	for _, order := range changed {
@@ -57,27 +56,27 @@
 	return len(changed) > 0
 }
 
-// evacuationsStatus returns what operators see of the orders. The caller holds the mutex.
+// evacuationsStatus returns the orders as shown to operators. The caller holds the mutex.
 func (n *Node) evacuationsStatus() []EvacuationStatus {
-	var told []EvacuationStatus
+	var statuses []EvacuationStatus
 	for _, order := range n.evacuations.All() {
 		status := EvacuationStatus{Zone: order.Zone, Evacuated: !order.Lifted, Position: order.Position}
-		for _, place := range n.assignments {
-			if replica, known := n.table.Get(place.replica); known && replica.Zone == order.Zone {
+		for _, assigned := range n.assignments {
+			if replica, known := n.table.Get(assigned.replica); known && replica.Zone == order.Zone {
 				status.InProgress++
 			}
 		}
-		told = append(told, status)
+		statuses = append(statuses, status)
 	}
-	return told
+	return statuses
 }
 
-// EvacuationStatus is what operators see of a zone that is, or was, emptied.
+// EvacuationStatus is the state of a zone that is or was evacuated, as shown to operators.
 type EvacuationStatus struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"emptied"`
-	// Position is where the order stands in the store's history.
+	// Position is the order's store position.
 	Position structs.StorePosition `json:"place"`
-	// InProgress counts the requests of this node that still run there.
+	// InProgress counts this node's requests in flight in the zone.
 	InProgress int `json:"in_progress"`
 }
--- a/entry/heartbeat_relay.go
+++ b/entry/heartbeat_relay.go
@@ -6,36 +6,38 @@
 	"github.com/thornwalk/thornwalk/coordination/liveness"
 )
 
-// Heartbeats cross a zone's border once where the zone is large: one of its nodes, the
-// relay, passes them on and confirms that. coordination/liveness chooses the relay.
+// Heartbeats to a large zone cross its border once: one of the zone's nodes, the relay, sends them
+// on to the others and confirms that. coordination/liveness chooses the relay.
 
-// receive handles one heartbeat, for this node or to be passed on.
-func (n *Node) handleHeartbeat(beat liveness.Heartbeat) {
-	if beat.RelayedTo > 0 {
+// handleHeartbeat handles a received heartbeat: it relays it, answers it and applies it as its
+// fields request.
+func (n *Node) handleHeartbeat(heartbeat liveness.Heartbeat) {
+	if heartbeat.RelayedTo > 0 {
 		n.mutex.Lock()
-		n.relays.Confirmed(beat.Zone, beat.Name, beat.RelayedTo)
+		n.relays.Confirmed(heartbeat.Zone, heartbeat.Name, heartbeat.RelayedTo)
 		n.mutex.Unlock()
 		return
 	}
-	if beat.RelayRequested {
-		n.relayHeartbeat(beat)
+	if heartbeat.RelayRequested {
+		n.relayHeartbeat(heartbeat)
 	}
-	if beat.WantsReply || beat.WantsPeers {
-		n.sendDiscoveryHeartbeat(beat.Address, beat.Zone, beat.WantsPeers)
+	if heartbeat.WantsReply || heartbeat.WantsPeers {
+		n.sendDiscoveryHeartbeat(heartbeat.Address, heartbeat.Zone, heartbeat.WantsPeers)
 	}
-	n.applyHeartbeat(beat)
+	n.applyHeartbeat(heartbeat)
 }
 
-// passOn sends another zone's heartbeat to the nodes of this one and confirms it.
-func (n *Node) relayHeartbeat(beat liveness.Heartbeat) {
+// relayHeartbeat sends another zone's heartbeat to the nodes of this zone and confirms that to the
+// sender.
+func (n *Node) relayHeartbeat(heartbeat liveness.Heartbeat) {
 	own := n.settings.Load().Zone
-	if beat.Zone == own {
-		return // the sender reaches them itself
+	if heartbeat.Zone == own {
+		return // the sender reaches this zone's nodes itself
 	}
-	copied := beat
-	copied.RelayRequested, copied.Relayed, copied.WantsReply, copied.WantsPeers = false, true, false, false
-	// The copy is about as long as the original, which had room in a datagram.
-	content, err := msgpack.Marshal(copied)
+	relayed := heartbeat
+	relayed.RelayRequested, relayed.Relayed, relayed.WantsReply, relayed.WantsPeers = false, true, false, false
+	// The copy is about as long as the original, which fitted a datagram.
+	content, err := msgpack.Marshal(relayed)
 	if err != nil {
 		n.counter("beats.unencodable").Inc(1)
 		return
@@ -50,19 +52,20 @@
 	n.mutex.Unlock()
 	n.sendEncoded(content, addresses)
 	n.counter("beats.passed_on").Inc(1)
-	n.sendHeartbeat(liveness.Heartbeat{Name: n.settings.Load().Name, Zone: own, RelayedTo: len(addresses) + 1}, []string{beat.Address})
+	n.sendHeartbeat(liveness.Heartbeat{Name: n.settings.Load().Name, Zone: own, RelayedTo: len(addresses) + 1}, []string{heartbeat.Address})
 }
 
-// suspect takes the node for dead, and asks it to show at once that this node reaches it.
+// suspectNode marks the node as suspected and asks it for a heartbeat, which would prove that this
+// node reaches it.
 func (n *Node) suspectNode(name string) {
 	n.mutex.Lock()
 	n.members.Suspect(name)
 	member, found := n.members.Get(name)
-	beat := n.buildHeartbeat(n.now())
+	heartbeat := n.buildHeartbeat(n.now())
 	n.mutex.Unlock()
 	if !found {
 		return
 	}
-	beat.WantsReply = true
-	n.sendHeartbeat(beat, []string{member.Address})
+	heartbeat.WantsReply = true
+	n.sendHeartbeat(heartbeat, []string{member.Address})
 }
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -15,40 +15,39 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Times of heartbeats. The interval grows with the number of nodes, so that
-// what one node spends on them does not.
+// Times and bounds of heartbeats. The interval grows with the number of nodes, so that one node's
+// cost does not.
 const (
 	heartbeatInterval         = 100 * time.Millisecond
 	nodesPerHeartbeatInterval = 9
-	// senior is how many of the nodes that may schedule beat often; these are the
-	// first in rendezvous order, and seniorInterval is the longest between two of
-	// their heartbeats.
+	// maxCandidates is the number of candidates, the first eligible nodes in rendezvous order.
+	// Their heartbeats are at most maxCandidateInterval apart.
 	maxCandidates        = 8
 	maxCandidateInterval = 250 * time.Millisecond
-	// seniorOfLarge is senior in a large fleet, whose delegates beat each delegateInterval and whose
-	// other nodes beat each largeInterval. A zone that is cut off is found once three heartbeats of
-	// its delegates are missing, and until then requests are sent there in vain.
+	// maxLargeFleetCandidates is the same for a large fleet. Its delegates send heartbeats each
+	// delegateInterval, which bounds the time until a partitioned zone is found, and its other
+	// nodes each nonDelegateInterval.
 	maxLargeFleetCandidates = 3
 	delegateInterval        = 500 * time.Millisecond
 	nonDelegateInterval     = time.Second
-	// frozenAfter is the pause of this process after which others will have
-	// decided in its place.
+	// suspensionThreshold is the suspension of this process after which other nodes will have
+	// replaced it.
 	suspensionThreshold = time.Second
-	// toldPeers is how many other nodes a heartbeat names.
+	// peerSampleSize is the number of other nodes that a heartbeat names.
 	peerSampleSize   = 2
 	maxDatagramBytes = 4096
-	// silentShare is how much less often a silent node is sent to, and mostSilent how many of a
-	// large fleet one heartbeat goes to.
+	// Silent nodes get a heartbeat in one of silentNodeRounds rounds, and in a large fleet at most
+	// maxSilentRecipients of them at a time.
 	silentNodeRounds    = 5
 	maxSilentRecipients = 20
 )
 
-// interval returns the time between heartbeats among so many nodes.
+// heartbeatIntervalFor returns the time between heartbeats in a fleet with this number of nodes.
 func heartbeatIntervalFor(members int) time.Duration {
 	return heartbeatInterval * time.Duration(max(1, (members+nodesPerHeartbeatInterval-1)/nodesPerHeartbeatInterval))
 }
 
-// interval returns the time to this node's next heartbeat. The caller holds the mutex.
+// nextHeartbeatInterval returns the time to this node's next heartbeat. The caller holds the mutex.
 func (n *Node) nextHeartbeatInterval() time.Duration {
 	wait := nonDelegateInterval
 	switch {
@@ -81,12 +80,12 @@
 	}
 }
 
-// stoodStill returns whether the process paused between two rounds of a loop that were to be
-// so far apart.
+// isSuspension reports whether a loop's rounds, planned to be wait apart, were so far apart that
+// the process must have been suspended.
 func isSuspension(since, wait time.Duration) bool { return since > wait+suspensionThreshold }
 
-// detectSuspension handles a pause of the process since a loop's last round, which was to be so
-// long ago, unless another loop has done so, and returns the time of this round.
+// detectSuspension handles a suspension since a loop's last round, unless another loop has done so.
+// Wait is the planned time between rounds. It returns the time of this round.
 func (n *Node) detectSuspension(last structs.Instant, wait time.Duration) structs.Instant {
 	now := n.now()
 	n.mutex.Lock()
@@ -101,9 +100,9 @@
 	return n.now()
 }
 
-// resume handles that the process stood still or the machine was suspended: what it scheduled
-// before is void, requests whose time went by meanwhile end, and connections to replicas that
-// rested may be gone without a word.
+// handleResume handles the end of a suspension of the process or machine: it drops all assignments
+// of the scheduling service, cancels requests past their deadline and closes idle connections to
+// replicas, which may be broken without notice.
 func (n *Node) handleResume(pause time.Duration) {
 	overdue := n.calls.cancelExpired(n.now())
 	n.pool.CloseRested(0)
@@ -118,55 +117,56 @@
 	n.mutex.Unlock()
 }
 
-// sendHeartbeats sends a heartbeat to every node that this one beats to, by relays where these save
-// much, and to the seeds while few nodes are known. Suspected nodes get each one, which asks for an
-// answer.
+// sendHeartbeats sends this node's heartbeat to its recipients, to the seeds while few nodes are
+// known, and to suspected nodes with a request for an answer.
 func (n *Node) sendHeartbeats() {
 	n.mutex.Lock()
 	now := n.now()
-	beat := n.buildHeartbeat(now)
-	routes := n.heartbeatRecipients(now)
+	heartbeat := n.buildHeartbeat(now)
+	recipients := n.heartbeatRecipients(now)
 	var suspected []string
 	for _, member := range n.members.All(now) {
 		if member.Suspected() {
 			suspected = append(suspected, member.Address)
 		}
 	}
-	asksNames, isStarting := n.beginPeerRequestIfDue(now), !n.isLarge && now < readinessDelay
+	requestsPeers, isStarting := n.beginPeerRequestIfDue(now), !n.isLarge && now < readinessDelay
 	n.mutex.Unlock()
-	if len(routes.Direct)+len(routes.Relays) < len(n.settings.Load().Seeds) {
-		routes.Direct = append(routes.Direct, n.seedAddresses()...)
+	if len(recipients.Direct)+len(recipients.Relays) < len(n.settings.Load().Seeds) {
+		recipients.Direct = append(recipients.Direct, n.seedAddresses()...)
 	}
-	n.sendToRecipients(beat, routes)
-	beat.RelayRequested, beat.WantsReply = false, true
-	n.sendHeartbeat(beat, suspected)
+	n.sendToRecipients(heartbeat, recipients)
+	heartbeat.RelayRequested, heartbeat.WantsReply = false, true
+	n.sendHeartbeat(heartbeat, suspected)
 	switch {
-	case asksNames:
-		n.requestPeers(beat, append(routes.Direct, routes.Relays...))
+	case requestsPeers:
+		n.requestPeers(heartbeat, append(recipients.Direct, recipients.Relays...))
 	case isStarting:
-		n.requestFleetSize(beat)
+		n.requestFleetSize(heartbeat)
 	}
 }
 
-// sendRoutes sends a heartbeat directly and by relays.
-func (n *Node) sendToRecipients(beat liveness.Heartbeat, routes liveness.Recipients) {
-	n.sendHeartbeat(beat, routes.Direct)
-	beat.RelayRequested = true
-	n.sendHeartbeat(beat, routes.Relays)
+// sendToRecipients sends a heartbeat directly and by relays.
+func (n *Node) sendToRecipients(heartbeat liveness.Heartbeat, recipients liveness.Recipients) {
+	n.sendHeartbeat(heartbeat, recipients.Direct)
+	heartbeat.RelayRequested = true
+	n.sendHeartbeat(heartbeat, recipients.Relays)
 }
 
-// beatRoutes returns whom this node beats to. The caller holds the mutex.
+// heartbeatRecipients returns the recipients of this node's next heartbeat. The caller holds the
+// mutex.
 func (n *Node) heartbeatRecipients(now structs.Instant) liveness.Recipients {
 	live := n.members.Live(now)
 	if n.isNonDelegate {
 		return liveness.Recipients{Direct: n.delegateAddresses(live)}
 	}
-	routes := n.relays.Recipients(now, n.settings.Load().Zone, live, n.isLarge)
-	routes.Direct = append(routes.Direct, n.silentNodeAddresses(now)...)
-	return routes
+	recipients := n.relays.Recipients(now, n.settings.Load().Zone, live, n.isLarge)
+	recipients.Direct = append(recipients.Direct, n.silentNodeAddresses(now)...)
+	return recipients
 }
 
-// superiors returns the addresses of the delegates of this node's zone and of the scheduling node.
+// delegateAddresses returns the addresses of the delegates of this node's zone and of the
+// scheduling node. The caller holds the mutex.
 func (n *Node) delegateAddresses(live []*liveness.Member) []string {
 	var addresses []string
 	for _, member := range liveness.Delegates(live) {
@@ -177,9 +177,9 @@
 	return addresses
 }
 
-// silentMembers returns some of the nodes that fell silent: they may be back, or a cut healed. Each
-// gets one heartbeat in silentShare, and in a large fleet a bounded number of them each, while roles
-// change there: who becomes a delegate knows its zone by names only. The caller holds the mutex.
+// silentNodeAddresses returns the addresses of the silent nodes that get the next heartbeat: they
+// may be back, or a partition may have healed. In a large fleet these are more of them while roles
+// change, as a new delegate knows its zone's nodes by name only. The caller holds the mutex.
 func (n *Node) silentNodeAddresses(now structs.Instant) []string {
 	var addresses []string
 	for _, member := range n.members.All(now) {
@@ -196,12 +196,12 @@
 	return addresses
 }
 
-// sendBeat sends one heartbeat to the addresses.
-func (n *Node) sendHeartbeat(beat liveness.Heartbeat, addresses []string) {
+// sendHeartbeat sends one heartbeat to the addresses.
+func (n *Node) sendHeartbeat(heartbeat liveness.Heartbeat, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
-	content, err := encodeHeartbeat(beat)
+	content, err := encodeHeartbeat(heartbeat)
 	if err != nil {
 		n.counter("beats.unencodable").Inc(1)
 		return
@@ -209,34 +209,34 @@
 	n.sendEncoded(content, addresses)
 }
 
-// sendAll sends the encoded heartbeat to the addresses. One that is lost is made up for by
-// the next.
+// sendEncoded sends the encoded heartbeat to the addresses. Errors are ignored: the next heartbeat
+// makes up for a lost one.
 func (n *Node) sendEncoded(content []byte, addresses []string) {
 	for _, address := range addresses {
 		_ = n.heartbeatConn.Send(address, content)
 	}
 }
 
-// datagramBudget is the length of a heartbeat that any network carries whole.
+// maxHeartbeatBytes is the length of a datagram that networks carry without fragmentation.
 const maxHeartbeatBytes = 1200
 
-// encodeBeat encodes the heartbeat. One that is too long leaves out first the
-// requests that the scheduling node placed itself, then the tenants' buckets and
-// the failing replicas: that the node lives matters most.
-func encodeHeartbeat(beat liveness.Heartbeat) ([]byte, error) {
-	content, err := msgpack.Marshal(beat)
+// encodeHeartbeat encodes the heartbeat within maxHeartbeatBytes. To that end it leaves out, in
+// this order, the counts of requests that the scheduling node itself assigned, the bucket levels,
+// the failing replicas and the other counts of requests.
+func encodeHeartbeat(heartbeat liveness.Heartbeat) ([]byte, error) {
+	content, err := msgpack.Marshal(heartbeat)
 	if err != nil || len(content) <= maxHeartbeatBytes {
 		return content, err
 	}
-	foreign := map[string]liveness.InFlightCount{}
-	for replica, count := range beat.InFlight {
+	external := map[string]liveness.InFlightCount{}
+	for replica, count := range heartbeat.InFlight {
 		if count.External > 0 {
-			foreign[replica] = count
+			external[replica] = count
 		}
 	}
-	beat.InFlight = foreign
-	for _, shorten := range []func(){func() { beat.BucketLevels, beat.Usage = nil, nil }, func() { beat.FailingReplicas = nil }, func() { beat.InFlight = nil }, func() {}} {
-		if content, err = msgpack.Marshal(beat); err != nil || len(content) <= maxHeartbeatBytes {
+	heartbeat.InFlight = external
+	for _, shorten := range []func(){func() { heartbeat.BucketLevels, heartbeat.Usage = nil, nil }, func() { heartbeat.FailingReplicas = nil }, func() { heartbeat.InFlight = nil }, func() {}} {
+		if content, err = msgpack.Marshal(heartbeat); err != nil || len(content) <= maxHeartbeatBytes {
 			return content, err
 		}
 		shorten()
@@ -264,42 +264,41 @@
 	return addresses
 }
 
-// beat returns this node's heartbeat. The caller holds the mutex.
+// buildHeartbeat returns this node's heartbeat. The caller holds the mutex.
 func (n *Node) buildHeartbeat(now structs.Instant) liveness.Heartbeat {
 	settings := n.settings.Load()
-	beat := liveness.Heartbeat{
+	heartbeat := liveness.Heartbeat{
 		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.nextHeartbeatInterval().Milliseconds(), Incarnation: n.deps.Incarnation,
 		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.knownPeerCount(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.storeDown, LatestPosition: n.latest(), ReplicasAgeMS: n.fresh.Age(now), ConfigurationAgeMS: n.freshConfiguration.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
 		InFlight: map[string]liveness.InFlightCount{}, CanRelay: true, Rollouts: n.rolloutViews(),
 	}
-	beat.Version, beat.Evacuations = n.version(), n.evacuations.All()
-	n.addEra(now, &beat)
-	if mark := n.scheduling.poisonSummary(); mark.ChangeCount > 0 {
-		beat.Poison = &liveness.PoisonSummary{Weight: mark.ChangeCount, Digest: mark.Digest}
+	heartbeat.Version, heartbeat.Evacuations = n.version(), n.evacuations.All()
+	n.addEra(now, &heartbeat)
+	if summary := n.scheduling.poisonSummary(); summary.ChangeCount > 0 {
+		heartbeat.Poison = &liveness.PoisonSummary{Weight: summary.ChangeCount, Digest: summary.Digest}
 	}
 	if n.scheduler == settings.Name || now-n.lastActiveAt < formerSchedulerReportTime {
-		beat.BucketLevels, beat.Usage = n.scheduling.bucketLevels(), n.scheduling.quotaUsage()
+		heartbeat.BucketLevels, heartbeat.Usage = n.scheduling.bucketLevels(), n.scheduling.quotaUsage()
 	}
 	term := n.schedulerTerm()
-	for _, place := range n.assignments {
-		count := beat.InFlight[place.replica]
+	for _, assigned := range n.assignments {
+		count := heartbeat.InFlight[assigned.replica]
 		count.Total++
-		if place.scheduler != n.scheduler || place.term != term {
+		if assigned.scheduler != n.scheduler || assigned.term != term {
 			count.External++
 		}
-		beat.InFlight[place.replica] = count
+		heartbeat.InFlight[assigned.replica] = count
 	}
-	beat.NonDelegate, beat.FleetSize = n.isNonDelegate, n.size.Known
+	heartbeat.NonDelegate, heartbeat.FleetSize = n.isNonDelegate, n.size.Known
 	if n.isLarge {
-		beat.ZoneLive, beat.ZoneKnown = n.zone.Live, n.zone.Known
-		return beat
+		heartbeat.ZoneLive, heartbeat.ZoneKnown = n.zone.Live, n.zone.Known
+		return heartbeat
 	}
-	beat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), peerSampleSize)
-	return beat
+	heartbeat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), peerSampleSize)
+	return heartbeat
 }
 
-// schedulerTerm returns the term of the present scheduling node. The caller
-// holds the mutex.
+// schedulerTerm returns the term of the current scheduling node. The caller holds the mutex.
 func (n *Node) schedulerTerm() uint64 {
 	if n.scheduler == n.settings.Load().Name {
 		return n.term
@@ -320,86 +319,87 @@
 			}
 			continue
 		}
-		var beat liveness.Heartbeat
-		if err := msgpack.Unmarshal(buffer[:size], &beat); err != nil {
+		var heartbeat liveness.Heartbeat
+		if err := msgpack.Unmarshal(buffer[:size], &heartbeat); err != nil {
 			n.counter("beats.malformed").Inc(1)
 			continue
 		}
-		n.handleHeartbeat(beat)
+		n.handleHeartbeat(heartbeat)
 	}
 }
 
-// heard applies the heartbeat of another node.
-func (n *Node) applyHeartbeat(beat liveness.Heartbeat) {
-	n.mergeEvacuations(&beat)
+// applyHeartbeat applies the heartbeat of another node and starts the pulls, selections and answers
+// that it calls for.
+func (n *Node) applyHeartbeat(heartbeat liveness.Heartbeat) {
+	n.mergeEvacuations(&heartbeat)
 	n.mutex.Lock()
 	now := n.now()
 	n.lastContactAt = now
-	before, found := n.members.Get(beat.Name)
-	rankNews := found && (before.StoreUnreachable != beat.StoreUnreachable || before.Slow != beat.Slow || before.NonDelegate != beat.NonDelegate)
-	news := n.members.Observe(now, beat)
-	n.detectLargeFleet(&beat)
-	n.zones.Observe(now, beat)
-	n.recordIncomingPeerList(now, beat)
-	var newcomers []string
+	before, found := n.members.Get(heartbeat.Name)
+	rankChanged := found && (before.StoreUnreachable != heartbeat.StoreUnreachable || before.Slow != heartbeat.Slow || before.NonDelegate != heartbeat.NonDelegate)
+	isNew := n.members.Observe(now, heartbeat)
+	n.detectLargeFleet(&heartbeat)
+	n.zones.Observe(now, heartbeat)
+	n.recordIncomingPeerList(now, heartbeat)
+	var unknownAddresses []string
 	if n.isLarge {
-		n.recordDiscoveredPeers(beat)
+		n.recordDiscoveredPeers(heartbeat)
 	} else {
-		newcomers = n.addPeers(now, beat.Peers)
+		unknownAddresses = n.addPeers(now, heartbeat.Peers)
 	}
-	newcomer := n.isNewcomer(beat)
-	greets := news && !(n.isNonDelegate && beat.Relayed)
-	chooses := news && (!n.isLarge || !beat.NonDelegate) || rankNews
-	handed := n.recordUsage(now, beat)
-	follows := n.recordBucketLevels(now, beat)
+	isNewcomer := n.isNewcomer(heartbeat)
+	answers := isNew && !(n.isNonDelegate && heartbeat.Relayed)
+	needsSelection := isNew && (!n.isLarge || !heartbeat.NonDelegate) || rankChanged
+	uncharged := n.recordUsage(now, heartbeat)
+	restoresLevels := n.recordBucketLevels(now, heartbeat)
 	levelsUntil := n.bucketLevelsUntil
-	asksAll := n.mergePeerEra(beat)
-	behindReplicas, behindConfiguration := n.replicaPullDue(beat), n.configurationPullDue(beat)
-	behindContents := n.poisonPullDue(now, beat)
-	n.recordFreshness(now, beat)
-	leads := n.scheduler == n.settings.Load().Name
+	pullsAll := n.mergePeerEra(heartbeat)
+	pullsReplicas, pullsConfiguration := n.replicaPullDue(heartbeat), n.configurationPullDue(heartbeat)
+	pullsPoison := n.poisonPullDue(now, heartbeat)
+	n.recordFreshness(now, heartbeat)
+	isActive := n.scheduler == n.settings.Load().Name
 	n.mutex.Unlock()
-	if leads && len(handed.Amounts) > 0 {
-		n.scheduling.chargeRemoteUsage(handed)
+	if isActive && len(uncharged.Amounts) > 0 {
+		n.scheduling.chargeRemoteUsage(uncharged)
 	}
-	if leads && beat.BucketLevels != nil || follows {
-		n.applyBucketLevels(leads, levelsUntil, beat.BucketLevels)
+	if isActive && heartbeat.BucketLevels != nil || restoresLevels {
+		n.applyBucketLevels(isActive, levelsUntil, heartbeat.BucketLevels)
 	}
-	if greets {
-		n.sendDiscoveryHeartbeat(beat.Address, beat.Zone, newcomer)
+	if answers {
+		n.sendDiscoveryHeartbeat(heartbeat.Address, heartbeat.Zone, isNewcomer)
 	}
-	for _, address := range newcomers {
+	for _, address := range unknownAddresses {
 		n.sendDiscoveryHeartbeat(address, "", false)
 	}
-	if news {
-		n.log.Write(eventlog.Event{Kind: "peer", Peer: beat.Name, Outcome: "heard", Detail: beat.Address})
+	if isNew {
+		n.log.Write(eventlog.Event{Kind: "peer", Peer: heartbeat.Name, Outcome: "heard", Detail: heartbeat.Address})
 	}
-	if chooses {
+	if needsSelection {
 		n.requestSelection()
 	}
 	counts := map[string]int{}
-	for replica, held := range beat.InFlight {
-		count := held.Total
-		if leads {
-			count = held.External
+	for replica, inFlight := range heartbeat.InFlight {
+		count := inFlight.Total
+		if isActive {
+			count = inFlight.External
 		}
 		if count > 0 {
 			counts[replica] = count
 		}
 	}
 	n.scheduling.update(func(scheduler *admission.Scheduler) {
-		scheduler.SetExternalInFlight(processName(beat.Name, beat.Incarnation), counts)
+		scheduler.SetExternalInFlight(processName(heartbeat.Name, heartbeat.Incarnation), counts)
 	})
-	if asksAll {
-		go n.pullAll(beat.Address)
+	if pullsAll {
+		go n.pullAll(heartbeat.Address)
 	}
-	if behindReplicas {
-		go n.pullUpdates(beat.Address)
+	if pullsReplicas {
+		go n.pullUpdates(heartbeat.Address)
 	}
-	if behindContents {
-		go n.pullPoisonRecords(beat.Address)
+	if pullsPoison {
+		go n.pullPoisonRecords(heartbeat.Address)
 	}
-	if behindConfiguration {
-		go n.fetchConfiguration(beat.Address)
+	if pullsConfiguration {
+		go n.fetchConfiguration(heartbeat.Address)
 	}
 }
--- a/entry/idle_connections.go
+++ b/entry/idle_connections.go
@@ -8,14 +8,12 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// linkTrial is how long a peer whose connection fell silent may take to answer by a new
-// one.
+// pingTimeout bounds the check of a peer on a new connection after the old one fell silent.
 const pingTimeout = 500 * time.Millisecond
 
-// handleSilentLink tries a peer whose connection was given up for its silence. If it answers
-// by a new one, something between took old connections away without a word, and those to
-// replicas that rest may be gone as well. They are closed: a request that must not run
-// twice and is written to one of them is lost.
+// handleSilentLink checks a peer whose connection was closed as silent. If it answers on a new
+// connection, something on the path drops connections without notice, and idle ones to replicas may
+// be broken as well. These are closed, as a request written to one would be lost.
 func (n *Node) handleSilentLink(address string) {
 	ctx, cancel := context.WithTimeout(n.ctx, pingTimeout)
 	defer cancel()
@@ -30,8 +28,8 @@
 	n.closeIdle("connection to a peer silent: " + address)
 }
 
-// closeIdle closes the connections to replicas that rested for as long as it takes to
-// find out that connections fell silent; those used since then are well.
+// closeIdle closes the connections to replicas that have been idle for at least the time in which
+// silence is detected.
 func (n *Node) closeIdle(reason string) {
 	closed := n.pool.CloseRested(peer.SilenceTime)
 	n.counter("links.silent").Inc(1)
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -13,66 +13,64 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// assignRequest asks the scheduling node for a place at a replica.
+// assignRequest asks the scheduling node for a slot at a replica.
 type assignRequest struct {
 	Request admission.Request
-	// Tenant, Limit and Cost are for the quota; a rate of zero means none.
+	// Tenant, Limit and Cost are for the quota; a rate of zero means that there is none.
 	Tenant string
 	Limit  quota.Limit
 	Cost   float64
-	// First is true if no place was asked for before, and Repeat if the request came to a
-	// replica before. One whose connect failed is neither.
+	// First is true for the first assignment of a request, and Repeat if an earlier attempt reached
+	// a replica. Neither is true after a failed connect.
 	First, Repeat bool
-	// Heard is what replicas of the service said to the asking node to hold requests back.
+	// Heard are the pushback reports on the service's replicas that the asking node knows.
 	Heard []pushback.Report `msgpack:",omitempty"`
-	// Known is what the asking node saw lately of replicas that ended under the request; nil
-	// if it saw none.
+	// Known is the asking node's recent poison record of the request, nil if there is none.
 	Known *poisonrecords.Record
 }
 
-// assignReply is the decision on an assignRequest.
+// assignReply is the decision on an assignRequest. Reason is empty if a replica was assigned.
 type assignReply struct {
 	Replica    replicas.Replica
 	Reason     string
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// Waiting, Free and Expected are what the decision went by: the requests ahead,
-	// the free places of the service, and the wait that was predicted.
+	// Waiting, Free and Expected describe the queue at the decision: the requests ahead, the
+	// service's free slots and the predicted wait.
 	Waiting, Free int
 	Expected      time.Duration
-	// Term is that of the scheduling process.
+	// Term is the term of the scheduling node.
 	Term uint64
-	// Limit is what the scheduling node knows of the replica's rate limit, nil if it knows of none.
-	// If there is one, the place counts against it.
+	// Limit is the replica's rate limit as the scheduling node knows it, nil if it knows of none.
+	// The assignment counts against it.
 	Limit *pushback.Report `msgpack:",omitempty"`
 }
 
-// Reasons of refusals beside those of package admission.
+// Reasons of rejections, besides those of package admission.
 const (
 	reasonQuota       = "quota"
 	reasonRetryBudget = "retry-budget"
 	reasonUnreachable = "no-scheduler"
 	reasonStopping    = "stopping"
-	// reasonConfigurationStale means that this node lacks a newer configuration.
+	// reasonConfigurationStale means that this node's configuration is stale.
 	reasonConfigurationStale = "configuration-behind"
 )
 
-// finishRequest tells that a request with a place ended, or that one is no
-// longer waited for.
+// finishRequest reports that an assigned request ended, or that a queued one was given up.
 type finishRequest struct {
 	ID string
-	// Seen is what the replica did.
+	// Seen is what the sending node observed of the response.
 	Seen admission.Observation
-	// NotRun is true if the replica surely did not run the request; its cost is
-	// given back to the tenant.
+	// NotRun is true if the replica certainly did not run the request; its cost is refunded to the
+	// tenant.
 	NotRun bool
-	// Content is what was asked for.
+	// Content is the request's fingerprint.
 	Content fingerprint.Fingerprint
-	// Ended tells that the replica's life ended under the request; nil if it did not.
+	// Ended is the incarnation that crashed under the request, nil if none did.
 	Ended *crashedIncarnation
 }
 
-// crashedIncarnation tells that a replica ended while a request was there.
+// crashedIncarnation is an incarnation of a replica that crashed under a request.
 type crashedIncarnation struct {
 	Life           poisonrecords.Incarnation
 	Service, Route string
@@ -80,26 +78,26 @@
 
 type finishReply struct{}
 
-// firstEventRequest tells that the answer to a request with a place began.
+// firstEventRequest reports that the response to an assigned request started.
 type firstEventRequest struct {
 	ID string
-	// Load is the number of requests that the replica said to have, or -1.
+	// Load is the number of requests that the replica reported, or -1.
 	Load int
-	// Said is what the answer says to hold requests back, nil if it changes nothing.
+	// Said are the pushback signals of the response, nil if they change nothing.
 	Said *pushback.Signals `msgpack:",omitempty"`
 }
 
 type firstEventReply struct{}
 
-// updatesRequest asks a peer for what it knows of the replicas beyond one revision, and of the
-// roll-outs beyond another.
+// updatesRequest asks a peer for changes of the replicas after one store position, and of the
+// roll-outs after another.
 type updatesRequest struct {
 	Latest   structs.StorePosition
 	Rollouts structs.StorePosition
 }
 
-// updatesReply is what a peer knows of the replicas and of roll-outs. It knows all roll-outs up
-// to the revision Known.
+// updatesReply has a peer's changes of the replicas and roll-outs. Those of roll-outs are complete
+// up to the store position Known.
 type updatesReply struct {
 	Replicas []replicas.Replica
 	Removed  map[string]structs.StorePosition
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -17,38 +17,38 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// How a node learns and tells under which requests replicas end (coordination/poison). What
-// a node sees goes to the scheduling node with the end of the request; from there all nodes
-// hear of it by heartbeat and fetch it, and what is barred is written to the store, which
-// outlives a loss of power of all nodes.
+// Poison records spread as follows (coordination/poison): the node that sees a crash reports it to
+// the scheduling node with the end of the request; other nodes see in heartbeats that records
+// changed and pull them; records of blocked requests are also written to the store, which survives
+// the loss of all nodes.
 
 const (
-	// endedDial bounds the look whether a replica ended that broke a request off. A host
-	// that can't be reached says nothing, and a caller waits meanwhile.
+	// crashProbeTimeout bounds the probe of a replica that broke a request off. An unreachable host
+	// proves nothing, and a caller waits meanwhile.
 	crashProbeTimeout = 100 * time.Millisecond
-	// contentsStep is the time between two looks at whether the store knows what is barred, at
-	// the node that schedules; contentsRest is that at all others, as each look wakes the
-	// process.
+	// poisonSyncInterval is the time between checks that the store has the scheduling node's
+	// records, and poisonIdleInterval that at all other nodes.
 	poisonSyncInterval = 250 * time.Millisecond
 	poisonIdleInterval = time.Second
-	// contentsWriteLimit bounds a write or read of what is barred.
+	// poisonStoreTimeout bounds a write to the store and the read that follows a failed one.
 	poisonStoreTimeout = 800 * time.Millisecond
 )
 
-// lifeState is what is known of the life of a replica that broke a request off.
+// incarnationState is what is known of an incarnation that broke a request off.
 type incarnationState int
 
 const (
-	// lifeGoesOn means that the request can't have ended it: it goes on, or was to end anyway.
+	// incarnationNotCrashed means that the replica still runs, or that its end was planned.
 	incarnationNotCrashed incarnationState = iota
 	incarnationEnded
-	// incarnationUnknown means that the replica can't be reached, which need not be its own doing.
+	// incarnationUnknown means that the replica is unreachable, which proves no crash.
 	incarnationUnknown
 )
 
-// probeIncarnation looks whether the replica, which broke off a request, has ended: nobody listens at
-// its address any more. A reset alone, a cut link or a planned end say nothing of the request:
-// a replica that drains, or whose entry is gone, was to end anyway.
+// probeIncarnation finds out whether the replica that broke a request off has crashed: connections
+// to its address are refused, or it has a new incarnation. A replica that drains or whose entry is
+// gone was to end anyway, and a reset or partition alone proves nothing. It blocks up to
+// crashProbeTimeout.
 func (n *Node) probeIncarnation(replica replicas.Replica) incarnationState {
 	n.mutex.Lock()
 	known, listed := n.table.Get(replica.ID)
@@ -57,7 +57,7 @@
 		return incarnationNotCrashed
 	}
 	if !known.IsSameIncarnation(replica) {
-		return incarnationEnded // it has started again already
+		return incarnationEnded // it has restarted
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, crashProbeTimeout)
 	defer cancel()
@@ -72,34 +72,34 @@
 	return incarnationUnknown
 }
 
-// logPoisonTransition tells of a change of a request's standing.
+// logPoisonTransition counts and logs a change of a request's poison state.
 func (n *Node) logPoisonTransition(outcome string, record poisonrecords.Record) {
 	n.counter("contents." + outcome).Inc(1)
-	lives := make([]string, 0, len(record.Incarnations))
-	for _, life := range record.Incarnations {
-		lives = append(lives, string(life))
+	incarnations := make([]string, 0, len(record.Incarnations))
+	for _, incarnation := range record.Incarnations {
+		incarnations = append(incarnations, string(incarnation))
 	}
 	n.log.Write(eventlog.Event{
 		Kind: "content", Outcome: outcome, Content: record.Fingerprint.String(), Service: record.Service, Route: record.Route,
-		Count: len(record.Incarnations), Detail: strings.Join(lives, " "),
+		Count: len(record.Incarnations), Detail: strings.Join(incarnations, " "),
 	})
 }
 
-// behindContents returns whether the peer knows more of barred requests and is to be asked
-// now. The caller holds the mutex.
-func (n *Node) poisonPullDue(now structs.Instant, beat liveness.Heartbeat) bool {
-	if beat.Poison == nil {
+// poisonPullDue reports whether the peer has poison records that this node lacks and should be
+// asked for them now. The caller holds the mutex.
+func (n *Node) poisonPullDue(now structs.Instant, heartbeat liveness.Heartbeat) bool {
+	if heartbeat.Poison == nil {
 		return false
 	}
 	own := n.scheduling.poisonSummary()
-	told := beat.Poison.Weight
-	if told == own.ChangeCount && beat.Poison.Digest != own.Digest {
-		told++ // as much, but not the same
+	changeCount := heartbeat.Poison.Weight
+	if changeCount == own.ChangeCount && heartbeat.Poison.Digest != own.Digest {
+		changeCount++ // as many changes, but different ones
 	}
-	return n.poisonPull.ShouldPull(now, own.ChangeCount, told, 0)
+	return n.poisonPull.ShouldPull(now, own.ChangeCount, changeCount, 0)
 }
 
-// contentsRequest asks a peer for what it knows of requests that replicas ended under.
+// poisonRequest asks a peer for its poison records.
 type poisonRequest struct{}
 
 type poisonReply struct{ Records []poisonrecords.Record }
@@ -108,8 +108,8 @@
 	return &poisonReply{Records: n.scheduling.sharedPoisonRecords()}, nil
 }
 
-// pullContents asks a peer that knows more than this node. One that brought nothing new is
-// followed by a longer pause, as one that failed is.
+// pullPoisonRecords pulls and merges a peer's poison records. A pull that brings nothing new delays
+// the next one as a failed pull does.
 func (n *Node) pullPoisonRecords(address string) {
 	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
@@ -121,35 +121,36 @@
 	} else if n.ctx.Err() == nil {
 		n.counter("contents.pulls_failed").Inc(1)
 	}
-	news := n.scheduling.poisonSummary() != before
+	changed := n.scheduling.poisonSummary() != before
 	n.mutex.Lock()
-	n.poisonPull.PullDone(n.now(), news)
+	n.poisonPull.PullDone(n.now(), changed)
 	n.mutex.Unlock()
-	if news {
+	if changed {
 		n.sendHeartbeats()
 	}
 }
 
-// storedPoisonRecords is what the store is known to hold.
+// storedPoisonRecords describes the records that the store is known to have.
 type storedPoisonRecords struct {
 	position structs.StorePosition
 	summary  poisonrecords.Summary
 }
 
-// applyPoisonRecords takes what the store holds into force.
-func (n *Node) applyPoisonRecords(records []poisonrecords.Record, revision structs.StorePosition) {
-	if revision == 0 {
+// applyPoisonRecords merges the records that the store has at the position. It does nothing if the
+// position is zero.
+func (n *Node) applyPoisonRecords(records []poisonrecords.Record, position structs.StorePosition) {
+	if position == 0 {
 		return
 	}
 	n.mutex.Lock()
-	if revision > n.poisonStored.position {
-		n.poisonStored = storedPoisonRecords{position: revision, summary: poisonrecords.SummaryOf(records)}
+	if position > n.poisonStored.position {
+		n.poisonStored = storedPoisonRecords{position: position, summary: poisonrecords.SummaryOf(records)}
 	}
 	n.mutex.Unlock()
 	n.scheduling.mergePoisonRecords(records)
 }
 
-// poisonSyncLoop sees to it, while this node schedules, that the store holds what is barred.
+// poisonSyncLoop keeps the store's records up to date while this node is the active scheduler.
 func (n *Node) poisonSyncLoop() {
 	if n.deps.PoisonRecords == nil {
 		return
@@ -161,37 +162,37 @@
 			continue
 		}
 		wait = poisonSyncInterval
-		lasting := n.scheduling.persistentPoisonRecords()
+		records := n.scheduling.persistentPoisonRecords()
 		n.mutex.Lock()
 		stored := n.poisonStored
 		n.mutex.Unlock()
-		if poisonrecords.SummaryOf(lasting) != stored.summary {
-			n.writePoisonRecords(lasting, stored.position)
+		if poisonrecords.SummaryOf(records) != stored.summary {
+			n.writePoisonRecords(records, stored.position)
 		}
 	}
 }
 
-// schedules returns whether this node schedules and goes on to do so.
+// isActiveScheduler reports whether this node schedules and is not stopping.
 func (n *Node) isActiveScheduler() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.scheduler == n.settings.Load().Name && n.stopping.Load() == 0
 }
 
-// storeContents writes what is barred. If the store holds something else than this node
-// thought, that is merged, and written with the next step.
-func (n *Node) writePoisonRecords(lasting []poisonrecords.Record, revision structs.StorePosition) {
+// writePoisonRecords writes the records to the store if that is still at the position. Otherwise it
+// merges the store's records, and the next round writes the result.
+func (n *Node) writePoisonRecords(persistent []poisonrecords.Record, position structs.StorePosition) {
 	ctx, cancel := context.WithTimeout(n.ctx, poisonStoreTimeout)
 	defer cancel()
-	written, err := n.deps.PoisonRecords.WriteContents(ctx, lasting, revision)
+	written, err := n.deps.PoisonRecords.WriteContents(ctx, persistent, position)
 	if err == nil {
 		n.counter("contents.writes").Inc(1)
-		n.applyPoisonRecords(lasting, written)
+		n.applyPoisonRecords(persistent, written)
 		return
 	}
 	n.counter("contents.writes_failed").Inc(1)
 	if errors.Is(err, errkind.StoreUnavailable) {
-		return // nothing was written, and the store is not asked twice in one step
+		return // nothing was written, and a second call would fail too
 	}
 	records, found, err := n.deps.PoisonRecords.ReadContents(ctx)
 	if err != nil {
@@ -201,30 +202,31 @@
 	n.applyPoisonRecords(records, found)
 }
 
-// PoisonStatus is what operators see of a barred request.
+// PoisonStatus is a blocked request as shown to operators.
 type PoisonStatus struct {
 	poisonrecords.Record
-	// Unchanged is for how long nothing was learned of it, in milliseconds.
+	// Unchanged is the time since the record last changed, in milliseconds.
 	Unchanged int64 `json:"unchanged_ms"`
 }
 
-// poisonStatus returns what is barred.
+// poisonStatus returns the blocked requests.
 func (n *Node) poisonStatus() []PoisonStatus {
-	var told []PoisonStatus
+	var statuses []PoisonStatus
 	for _, record := range n.scheduling.blockedRequests() {
-		told = append(told, PoisonStatus{Record: record, Unchanged: record.Age})
+		statuses = append(statuses, PoisonStatus{Record: record, Unchanged: record.Age})
 	}
-	return told
+	return statuses
 }
 
-// Unblock lets a barred request be sent again, at all nodes.
+// Unblock lets the suspect or blocked request with this fingerprint be sent again, on all nodes. It
+// returns an error if the text is no fingerprint or this node has no such record.
 func (n *Node) Unblock(content string) error {
-	var wanted poisonrecords.Record
-	if err := wanted.Fingerprint.UnmarshalText([]byte(content)); err != nil {
+	var record poisonrecords.Record
+	if err := record.Fingerprint.UnmarshalText([]byte(content)); err != nil {
 		return err
 	}
-	if !n.scheduling.unblock(wanted.Fingerprint) {
-		return fmt.Errorf("%s: nothing speaks against this request here", content)
+	if !n.scheduling.unblock(record.Fingerprint) {
+		return fmt.Errorf("unblock %s: request is neither suspect nor blocked on this node", content)
 	}
 	n.sendHeartbeats()
 	return nil
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -12,57 +12,57 @@
 	"github.com/thornwalk/thornwalk/transport/replicahttp"
 )
 
-// What a replica says of itself in its answers (state/pushback).
+// Pushback that replicas send in their responses (state/pushback).
 
-// applyPushback enters what the answer to a request says that was sent at the instant. It returns that if the
-// node that schedules has to hear of it, and else nil.
-func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sent structs.Instant) *pushback.Signals {
-	said, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
+// applyPushback applies the pushback signals in the response to a request that was sent at the
+// given time. It returns the signals if the scheduling node needs them, and nil otherwise.
+func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sentAt structs.Instant) *pushback.Signals {
+	signals, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
 	if err != nil {
 		n.recordUnreadablePushback(replica, err)
 	}
 	n.mutex.Lock()
-	change := n.pushback.Observe(n.now(), sent, pushback.IncarnationOf(replica), said)
+	change := n.pushback.Observe(n.now(), sentAt, pushback.IncarnationOf(replica), signals)
 	n.mutex.Unlock()
-	n.logPushback(replica, said, change)
-	if said.Leaving || change.PauseRequested || said.Limit.State == pushback.LimitSet || change.LimitChanged {
-		return &said
+	n.logPushback(replica, signals, change)
+	if signals.Leaving || change.PauseRequested || signals.Limit.State == pushback.LimitSet || change.LimitChanged {
+		return &signals
 	}
 	return nil
 }
 
-// pushbackReports returns what the node that schedules has to know of the service's replicas.
+// pushbackReports returns the reports on the service's replicas that the scheduling node needs.
 func (n *Node) pushbackReports(service string) []pushback.Report {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.pushback.Reports(n.now(), func(life pushback.Incarnation) bool {
-		known, found := n.table.Get(life.Replica)
-		return found && known.Service == service && pushback.IncarnationOf(known) == life && !known.Draining // whoever schedules knows those that drain
+	return n.pushback.Reports(n.now(), func(incarnation pushback.Incarnation) bool {
+		known, found := n.table.Get(incarnation.Replica)
+		return found && known.Service == service && pushback.IncarnationOf(known) == incarnation && !known.Draining // the scheduling node knows the draining ones
 	})
 }
 
-// notePushback writes a line for each thing that an answer changed.
-func (n *Node) logPushback(replica replicas.Replica, said pushback.Signals, change pushback.Change) {
-	tell := func(outcome, detail string) {
+// logPushback counts and logs each change that a response caused.
+func (n *Node) logPushback(replica replicas.Replica, signals pushback.Signals, change pushback.Change) {
+	log := func(outcome, detail string) {
 		n.counter("pushback." + outcome).Inc(1)
 		n.log.Write(eventlog.Event{Kind: "replica.said", Service: replica.Service, Replica: replica.ID, Outcome: outcome, Detail: detail})
 	}
 	if change.StartedLeaving {
-		tell("leaving", "")
+		log("leaving", "")
 	}
 	switch {
-	case change.LimitChanged && said.Limit.State == pushback.LimitSet:
-		tell("limited", strconv.FormatFloat(said.Limit.PerSecond, 'g', 6, 64)+" a second")
+	case change.LimitChanged && signals.Limit.State == pushback.LimitSet:
+		log("limited", strconv.FormatFloat(signals.Limit.PerSecond, 'g', 6, 64)+" a second")
 	case change.LimitChanged:
-		tell("unlimited", "")
+		log("unlimited", "")
 	}
 	if change.PauseRequested {
-		tell("pause", said.Pause.String())
+		log("pause", signals.Pause.String())
 	}
 }
 
-// noteUnreadableAnswer counts an answer that can't be read in part, and tells of the first from
-// each replica.
+// recordUnreadablePushback counts a response whose pushback signals can't be parsed, and logs each
+// distinct error of a replica once.
 func (n *Node) recordUnreadablePushback(replica replicas.Replica, err error) {
 	n.counter("pushback.unreadable").Inc(1)
 	n.mutex.Lock()
@@ -73,26 +73,28 @@
 	}
 }
 
-// PushbackStatus is what operators see of a replica that holds requests back.
+// PushbackStatus is the pushback of a replica as shown to operators.
 type PushbackStatus struct {
 	Replica string `json:"replica"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Limit is the requests a second that it takes from all nodes together; nil if it names none.
+	// Limit is the number of requests per second that the replica accepts from all nodes together;
+	// nil if it sets none.
 	Limit *float64 `json:"limit_per_s,omitempty"`
-	// Pause is for how many milliseconds this node sends it nothing.
+	// Pause is the time for which this node sends the replica nothing, in milliseconds.
 	Pause int64 `json:"pause_ms,omitempty"`
 }
 
-// pushbackStatus returns what operators see. The caller holds the mutex.
+// pushbackStatus returns the pushback of all replicas, sorted by replica. The caller holds the
+// mutex.
 func (n *Node) pushbackStatus(now structs.Instant) []PushbackStatus {
-	var told []PushbackStatus
-	for _, note := range n.pushback.Reports(now, func(pushback.Incarnation) bool { return true }) {
-		status := PushbackStatus{Replica: note.Life.Replica, Leaving: note.Leaving, Pause: note.Pause.Milliseconds()}
-		if note.Limit.State == pushback.LimitSet {
-			status.Limit = &note.Limit.PerSecond
+	var statuses []PushbackStatus
+	for _, report := range n.pushback.Reports(now, func(pushback.Incarnation) bool { return true }) {
+		status := PushbackStatus{Replica: report.Life.Replica, Leaving: report.Leaving, Pause: report.Pause.Milliseconds()}
+		if report.Limit.State == pushback.LimitSet {
+			status.Limit = &report.Limit.PerSecond
 		}
-		told = append(told, status)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(told, func(a, b PushbackStatus) int { return strings.Compare(a.Replica, b.Replica) })
-	return told
+	slices.SortFunc(statuses, func(a, b PushbackStatus) int { return strings.Compare(a.Replica, b.Replica) })
+	return statuses
 }
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -13,24 +13,24 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// How a node takes part in roll-outs. Every node goes by the orders and records that it
-// knows; the one that schedules also steps them (coordination/rollout).
+// Roll-outs as seen by each node. Every node follows the orders and records that it knows; the
+// scheduling node also steps the roll-outs (coordination/rollout).
 
 const (
-	// rolloutStep is the time between two looks at the roll-outs at the node that steps them,
-	// and rolloutRest elsewhere and while there are none.
+	// rolloutStepInterval is the time between steps at the node that steps roll-outs, and
+	// rolloutIdleInterval the time between checks elsewhere and while there are none.
 	rolloutStepInterval = 100 * time.Millisecond
 	rolloutIdleInterval = 500 * time.Millisecond
-	// rolloutWriteLimit bounds one write of a record.
+	// rolloutWriteTimeout bounds one write of a record, with the read that follows a failed one.
 	rolloutWriteTimeout = 800 * time.Millisecond
 )
 
-// applyRollouts takes news of roll-outs into force. Known is the revision up to which the
-// news is whole; zero means that it is not.
+// applyRollouts applies updates of orders and records. Known is the store position up to which they
+// are complete; zero means that they are not.
 func (n *Node) applyRollouts(orders []rollouts.Order, records []rollouts.Record, known structs.StorePosition) {
 	n.mutex.Lock()
 	now := n.now()
-	// What is known farther explains versions that were barred; where none is, nothing changes.
+	// Versions may be excluded only because their order was not known; see versionPolicy.
 	changed := n.rollouts.CompleteTo() < known && len(n.policies) > 0
 	for _, order := range orders {
 		if n.rollouts.PutOrder(now, order) {
@@ -38,7 +38,7 @@
 			n.log.Write(eventlog.Event{Kind: "rollout", Service: order.Service, Outcome: "ordered", Revision: order.Position.Revision(), Era: order.Position.Era(), Detail: order.Target, Remaining: order.Duration.Milliseconds()})
 		}
 	}
-	moved := false
+	phaseChanged := false
 	for _, record := range records {
 		before, _ := n.rollouts.Record(record.Service)
 		if !n.rollouts.PutRecord(now, record) {
@@ -46,7 +46,7 @@
 		}
 		changed = true
 		if before.Phase != record.Phase || before.OrderPosition != record.OrderPosition {
-			moved = true
+			phaseChanged = true
 			n.log.Write(eventlog.Event{Kind: "rollout", Service: record.Service, Outcome: record.Phase.String(), Revision: record.Position.Revision(), Era: record.Position.Era(), Detail: record.Target, Reason: record.Reason})
 		}
 	}
@@ -55,16 +55,16 @@
 	if changed {
 		n.applyPolicies()
 	}
-	if moved {
-		n.sendHeartbeats() // whoever steps the roll-out waits for every node to confirm the phase
+	if phaseChanged {
+		n.sendHeartbeats() // the scheduling node waits until every node confirms the phase
 	}
 }
 
-// policyOf returns which versions of the service, which has these replicas, get new
-// requests. The caller holds the mutex.
+// versionPolicy returns which versions of the service get new requests. The pool has the service's
+// replicas. The caller holds the mutex.
 func (n *Node) versionPolicy(service string, pool []replicas.Replica) rollouts.VersionPolicy {
-	order, ordered := n.rollouts.Order(service)
-	policy := n.rollouts.Policy(service, ordered && isInService(order, pool))
+	order, hasOrder := n.rollouts.Order(service)
+	policy := n.rollouts.Policy(service, hasOrder && isInService(order, pool))
 	unexplained := unexplainedVersions(pool, n.rollouts.CompleteTo())
 	if len(unexplained) > 0 {
 		policy.Service = service
@@ -73,49 +73,48 @@
 	return policy
 }
 
-// inService returns whether the order's target served before the order, and nothing else
-// is left of the service's replicas.
+// isInService reports whether the order's target has replicas from before the order and all other
+// versions are gone.
 func isInService(order rollouts.Order, pool []replicas.Replica) bool {
-	served := false
+	servedBefore := false
 	for _, replica := range pool {
 		if replica.Version != order.Target {
 			return false
 		}
-		served = served || replica.Position < order.Position
+		servedBefore = servedBefore || replica.Position < order.Position
 	}
-	return served
+	return servedBefore
 }
 
-// unexplainedVersions returns the versions of a service beside others whose replicas are
-// all newer than what is known of roll-outs: an order may bring them that this node has
-// not heard of.
+// unexplainedVersions returns the versions of a service whose replicas all appeared after the store
+// position up to which roll-outs are known: they may belong to an order that has not reached this
+// node. It returns nil if that holds for all versions.
 func unexplainedVersions(pool []replicas.Replica, known structs.StorePosition) []string {
 	oldest := map[string]structs.StorePosition{}
 	for _, replica := range pool {
-		if revision, found := oldest[replica.Version]; !found || replica.Position < revision {
+		if position, found := oldest[replica.Version]; !found || replica.Position < position {
 			oldest[replica.Version] = replica.Position
 		}
 	}
 	var versions []string
-	for version, revision := range oldest {
-		if revision > known {
+	for version, position := range oldest {
+		if position > known {
 			versions = append(versions, version)
 		}
 	}
 	if len(versions) == len(oldest) {
-		return nil // nothing is known of any of them, as at the start of a process
+		return nil // nothing is known of any of them, as after the start of a process
 	}
 	return versions
 }
 
-// isExcluded returns whether the replica's version gets no new requests. The caller holds
-// the mutex.
+// isExcluded reports whether the replica's version gets no new requests. The caller holds the
+// mutex.
 func (n *Node) isExcluded(replica replicas.Replica) bool {
 	policy, found := n.policies[replica.Service]
 	return found && policy.AccessFor(replica.Version) == rollouts.AccessDenied
 }
 
-// poolsOf groups the replicas by their service.
 func groupByService(all []replicas.Replica) map[string][]replicas.Replica {
 	pools := map[string][]replicas.Replica{}
 	for _, replica := range all {
@@ -124,8 +123,9 @@
 	return pools
 }
 
-// applyPolicies tells the desk which versions get new requests. The replicas are read in the
-// same step in which the policies are replaced: older ones must not replace newer ones.
+// applyPolicies computes which versions get new requests and applies that to the scheduling
+// service. Replicas are read and policies replaced under one lock, so that policies for older
+// replicas can't replace newer ones.
 func (n *Node) applyPolicies() {
 	n.mutex.Lock()
 	pools := groupByService(n.table.All())
@@ -153,8 +153,8 @@
 	}
 }
 
-// rolloutViews returns what this node's heartbeat tells of roll-outs that are not at their
-// end. The caller holds the mutex.
+// rolloutViews returns this node's views of the unfinished roll-outs for its heartbeat. The caller
+// holds the mutex.
 func (n *Node) rolloutViews() map[string]liveness.RolloutView {
 	var views map[string]liveness.RolloutView
 	for service, policy := range n.policies {
@@ -169,19 +169,19 @@
 	return views
 }
 
-// busyAtBarred counts this node's requests at replicas of the service whose version gets no
-// new ones. The caller holds the mutex.
+// inFlightAtExcluded counts this node's requests at replicas of the service whose version is
+// excluded. The caller holds the mutex.
 func (n *Node) inFlightAtExcluded(service string) int {
-	busy := 0
-	for _, place := range n.assignments {
-		if replica, known := n.table.Get(place.replica); known && replica.Service == service && n.isExcluded(replica) {
-			busy++
+	count := 0
+	for _, assigned := range n.assignments {
+		if replica, known := n.table.Get(assigned.replica); known && replica.Service == service && n.isExcluded(replica) {
+			count++
 		}
 	}
-	return busy
+	return count
 }
 
-// rolloutLoop steps the roll-outs while this node schedules.
+// rolloutLoop restores and steps the roll-outs while this node is the active scheduler.
 func (n *Node) rolloutLoop() {
 	if n.deps.Rollouts == nil {
 		return
@@ -203,8 +203,7 @@
 	}
 }
 
-// steppedRollouts returns the services whose roll-outs this node steps: those that are not
-// at their end.
+// rolloutsInProgress returns the services whose roll-outs this node steps.
 func (n *Node) rolloutsInProgress() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -217,35 +216,35 @@
 
 // stepRollout writes the next record of the service's roll-out if one is due.
 func (n *Node) stepRollout(service string) {
-	situation, record := n.rolloutInputs(service)
-	if situation.Order.Position == 0 || !n.isConfigured(service) {
+	inputs, record := n.rolloutInputs(service)
+	if inputs.Order.Position == 0 || !n.isConfigured(service) {
 		return
 	}
-	next, due := n.scheduling.proposeRollout(situation, record)
+	next, due := n.scheduling.proposeRollout(inputs, record)
 	if !due {
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
-	revision, err := n.deps.Rollouts.WriteRollout(ctx, next)
-	n.scheduling.recordRolloutWrite(next, revision, err)
+	position, err := n.deps.Rollouts.WriteRollout(ctx, next)
+	n.scheduling.recordRolloutWrite(next, position, err)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
 		n.rereadRollout(ctx, service)
 		return
 	}
 	n.counter("rollouts.writes").Inc(1)
-	next.Position = revision
+	next.Position = position
 	n.applyRollouts(nil, []rollouts.Record{next}, 0)
 }
 
-// rereadRollout learns what the store holds after a write that did not succeed: another node
-// may have written, or this one without hearing of it.
+// rereadRollout reads the record from the store after a failed write: another node may have written
+// it, or the write's outcome is unknown.
 func (n *Node) rereadRollout(ctx context.Context, service string) {
 	record, err := n.deps.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
 		n.counter("rollouts.reads_failed").Inc(1)
-		return // the next write fails, and is followed by another read
+		return // the next write fails as well and is followed by another read
 	}
 	n.mutex.Lock()
 	n.rollouts.OverwriteRecord(n.now(), record)
@@ -253,13 +252,14 @@
 	n.applyPolicies()
 }
 
-// knowsService returns whether the configuration names the service.
+// isConfigured reports whether the configuration has the service.
 func (n *Node) isConfigured(service string) bool {
-	current := n.catalog.Load()
-	return current != nil && current.Service(service) != nil
+	configuration := n.catalog.Load()
+	return configuration != nil && configuration.Service(service) != nil
 }
 
-// rolloutSituation returns what the next step of the service's roll-out goes by.
+// rolloutInputs returns the inputs of the next step of the service's roll-out, and its current
+// record.
 func (n *Node) rolloutInputs(service string) (rollout.Inputs, rollouts.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -267,30 +267,30 @@
 	order, _ := n.rollouts.Order(service)
 	record, _ := n.rollouts.Record(service)
 	pool := groupByService(n.table.All())[service]
-	seen := rollout.Inputs{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: isInService(order, pool)}
+	inputs := rollout.Inputs{Order: order, Elapsed: n.rollouts.Elapsed(now, service), InService: isInService(order, pool)}
 	for _, replica := range pool {
 		switch {
 		case replica.Draining:
 		case replica.Version == order.Target:
-			seen.TargetSlots += replica.Slots
+			inputs.TargetSlots += replica.Slots
 		default:
-			seen.OtherSlots += replica.Slots
+			inputs.OtherSlots += replica.Slots
 		}
 	}
-	seen.Busy, seen.Confirmed = n.inFlightAtExcluded(service), true
+	inputs.Busy, inputs.Confirmed = n.inFlightAtExcluded(service), true
 	for _, member := range n.confirmingNodes(now, record.Phase) {
-		view, told := member.Rollouts[service]
-		if !told || view.OrderPosition != record.OrderPosition || view.Phase != uint8(record.Phase) {
-			seen.Confirmed = false
+		view, reported := member.Rollouts[service]
+		if !reported || view.OrderPosition != record.OrderPosition || view.Phase != uint8(record.Phase) {
+			inputs.Confirmed = false
 		}
-		seen.Busy += view.Busy
+		inputs.Busy += view.Busy
 	}
-	return seen, record
+	return inputs, record
 }
 
-// mayServe returns the other nodes that have to confirm the phase. Before replicas stop
-// without a drain these are all whose processes may still be at work, and else those that
-// are heard of: a target that is given up drains. The caller holds the mutex.
+// confirmingNodes returns the other nodes that have to confirm the phase. In the switching phase,
+// after which replicas stop without a drain, these are all nodes whose processes may still run, and
+// otherwise the live ones. The caller holds the mutex.
 func (n *Node) confirmingNodes(now structs.Instant, phase rollouts.Phase) []*liveness.Member {
 	if phase == rollouts.PhaseSwitching {
 		return n.members.PossiblyRunning(now)
--- a/entry/rollout_restore.go
+++ b/entry/rollout_restore.go
@@ -6,8 +6,8 @@
 	"github.com/thornwalk/thornwalk/state/rollouts"
 )
 
-// lostRollouts returns the services whose records the store lost when it came back from a copy, as
-// far as this node knows, at the node that schedules.
+// lostRollouts returns the services whose records the restored store lacks, as far as this node
+// knows; nil if this node is not the active scheduler.
 func (n *Node) lostRollouts() []string {
 	if !n.isActiveScheduler() {
 		return nil
@@ -17,8 +17,9 @@
 	return n.rollouts.ServicesToRewrite(n.era.present)
 }
 
-// restoreRollout writes a record again that the store lost, unless the store knows better. Until
-// then the roll-out is not stepped: a step goes by a revision that may belong to another value now.
+// restoreRollout writes a record again that the restored store lacks, unless the store has a newer
+// one. Until then the roll-out is not stepped, as the record's position may belong to another value
+// in the restored store.
 func (n *Node) restoreRollout(service string) {
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
@@ -47,7 +48,7 @@
 	written, err := n.deps.Rollouts.WriteRollout(ctx, record)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
-		return // read again with the next step
+		return // read again in the next round
 	}
 	n.counter("rollouts.restored").Inc(1)
 	record.Position = written
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -9,23 +9,23 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// RolloutStatus is what operators see of one roll-out.
+// RolloutStatus is a roll-out as shown to operators.
 type RolloutStatus struct {
 	rollouts.Record
 	Step string `json:"step"`
-	// Left is the time to the deadline in milliseconds; negative once it passed.
+	// Left is the time to the deadline in milliseconds; negative once it has passed.
 	Left int64 `json:"left_ms"`
-	// RegressionScore is how far the evidence against the target is at the node that schedules: from
-	// 1 on it is rolled back. RegressionRoute is the route that shows most.
+	// RegressionScore is the evidence against the target at the scheduling node; the target is
+	// rolled back from 1 on. RegressionRoute is the route with the highest score.
 	RegressionScore float64 `json:"doubt"`
 	RegressionRoute string  `json:"doubt_route,omitempty"`
-	// Evidence tells of each route the bad answers of the target and of the others.
+	// Evidence describes, by route, the bad responses of the target and of the other versions.
 	Evidence []string `json:"evidence,omitempty"`
 }
 
-// rolloutStatus returns what is known of the roll-outs. The caller holds the mutex.
+// rolloutStatus returns the roll-outs by service. The caller holds the mutex.
 func (n *Node) rolloutStatus(now structs.Instant) map[string]RolloutStatus {
-	told := map[string]RolloutStatus{}
+	statuses := map[string]RolloutStatus{}
 	for _, service := range n.rollouts.Services() {
 		record, found := n.rollouts.Record(service)
 		if !found {
@@ -37,7 +37,7 @@
 		for _, route := range slices.Sorted(maps.Keys(record.EvidenceByRoute)) {
 			status.Evidence = append(status.Evidence, rollout.Describe(route, record.EvidenceByRoute[route]))
 		}
-		told[service] = status
+		statuses[service] = status
 	}
-	return told
+	return statuses
 }
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -11,41 +11,39 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// hearingTime is how long a process that starts takes itself to be in touch with all nodes,
-// which tell of themselves once in that time. With the share of those that it has heard yet,
-// buckets that it adopted would be cut to a part, and tenants below their quotas refused.
+// startupFullShareTime is the age of the process up to which it counts as connected to all nodes,
+// whose heartbeats arrive within that time. The share of nodes received from so far would cut
+// restored buckets and reject tenants below their quotas.
 const startupFullShareTime = heartbeatInterval
 
-// chooseGather is the least time between two choices that follow from news of nodes in a large
-// fleet. A choice looks at all nodes that are heard of, and when many nodes start at once each of
-// them is news.
+// minSelectionInterval is the minimum time between selections in a large fleet. A selection
+// iterates over all live nodes, and each node of many that start at once requests one.
 const minSelectionInterval = 10 * time.Millisecond
 
-// role is what this node is among the others.
+// role is this node's role in the fleet.
 type role struct {
-	// scheduler is the node that schedules.
+	// scheduler is the name of the scheduling node.
 	scheduler string
-	// isLarge is true in a large fleet, and isNonDelegate if this node is none of its delegates
-	// there.
+	// isLarge is true in a large fleet, and isNonDelegate if this node is not one of its delegates.
 	isLarge, isNonDelegate bool
-	// size is that of the fleet as far as this node and its delegates hear, and fleet also what
-	// others take its size to be. zone is the size of this node's zone by its own ears.
+	// size is the fleet's size as this node and the delegates observe it, fleet the maximum of that
+	// and the size that other nodes report, and zone the size of this node's zone as observed by
+	// this node.
 	size, zone liveness.Size
 	fleet      int
-	// watchRank is this node's place among the live nodes that reach the store, and senior is
-	// true if it is one of the first that may schedule.
+	// watchRank is this node's rank among the live nodes that reach the store, and isCandidate is
+	// true if it is a candidate for scheduling.
 	watchRank   int
 	isCandidate bool
-	// storeCallRank is this node's place among all live nodes in the order in which they call the
-	// store.
+	// storeCallRank is this node's rank in the order in which all live nodes call the store.
 	storeCallRank int
 }
 
-// share is the part of the quotas and repeats that the nodes in touch may hand out.
+// liveShare is the share of the quotas and retries that the live nodes may grant.
 func (r *role) liveShare() float64 { return min(float64(r.size.Live)/float64(r.size.Known), 1) }
 
-// followers returns the part of all nodes that go by this one when it schedules, and zero if it does
-// not. The caller holds the mutex.
+// followerShare returns the share of all nodes that use this node's assignments, and zero if it
+// does not schedule. The caller holds the mutex.
 func (n *Node) followerShare(now structs.Instant, live []*liveness.Member) float64 {
 	name := n.settings.Load().Name
 	if n.scheduler != name {
@@ -60,7 +58,8 @@
 	return min(float64(count)/float64(n.size.Known), 1)
 }
 
-// chooseSoon has the scheduling node chosen by news of nodes, of which many may come at once.
+// requestSelection selects the scheduling node now, or after minSelectionInterval in a large fleet.
+// Requests meanwhile are served by the same selection.
 func (n *Node) requestSelection() {
 	n.mutex.Lock()
 	wait := n.selectedAt + minSelectionInterval - n.now()
@@ -82,8 +81,8 @@
 	}
 }
 
-// selectScheduler takes the first live node in rendezvous order that is not slow for the
-// scheduling node.
+// selectScheduler selects the first live node in rendezvous order that is not slow as scheduling
+// node, and updates this node's role and share of the quotas.
 func (n *Node) selectScheduler() {
 	settings := n.settings.Load()
 	n.mutex.Lock()
@@ -92,79 +91,79 @@
 	live := n.members.Live(now)
 	previous := n.role
 	n.updateRole(now, live)
-	moved := n.scheduler != previous.scheduler
+	schedulerChanged := n.scheduler != previous.scheduler
 	levels, levelsAt, levelsUntil := n.bucketLevels, n.bucketLevelsAt, n.bucketLevelsUntil
 	if previous.scheduler == settings.Name {
 		n.lastActiveAt = now
 	}
-	takesOver := moved && n.scheduler == settings.Name && levels != nil && now-levelsAt < bucketLevelsRetention
+	restoresLevels := schedulerChanged && n.scheduler == settings.Name && levels != nil && now-levelsAt < bucketLevelsRetention
 	share := n.role.liveShare()
 	if now < startupFullShareTime {
 		share = 1
 	}
 	if n.size.Known-n.size.Live > 1 {
-		// More than the scheduling node was lost: it may be on the other side of a cut, where it
-		// hands out until it finds so.
+		// More nodes than the scheduling node were lost: it may be partitioned and grant quotas
+		// until it detects that.
 		levelsUntil = now
 	}
-	avoided := n.ejectedReplicas(live)
+	ejected := n.ejectedReplicas(live)
 	for _, id := range n.unreachableZoneReplicas() {
-		avoided[id] = true
+		ejected[id] = true
 	}
-	chosen, followers := n.role, n.followerShare(now, live)
-	held := now - n.roleAt
-	if moved || chosen.isNonDelegate != previous.isNonDelegate {
+	current, followers := n.role, n.followerShare(now, live)
+	roleTime := now - n.roleAt
+	if schedulerChanged || current.isNonDelegate != previous.isNonDelegate {
 		n.roleAt = now
 	}
 	n.mutex.Unlock()
-	if takesOver {
+	if restoresLevels {
 		n.scheduling.restoreBucketLevels(levelsUntil, levels)
 	}
-	if moved {
+	if schedulerChanged {
 		if previous.scheduler == settings.Name {
 			n.logRetryBudget()
 		}
-		n.scheduling.setActive(chosen.scheduler == settings.Name)
-		n.log.Write(eventlog.Event{Kind: "scheduler", Peer: chosen.scheduler, Outcome: "moved", Detail: "from " + previous.scheduler, Count: chosen.size.Live})
+		n.scheduling.setActive(current.scheduler == settings.Name)
+		n.log.Write(eventlog.Event{Kind: "scheduler", Peer: current.scheduler, Outcome: "moved", Detail: "from " + previous.scheduler, Count: current.size.Live})
 	}
-	if chosen.isNonDelegate != previous.isNonDelegate {
-		n.announceRole(chosen, held)
+	if current.isNonDelegate != previous.isNonDelegate {
+		n.announceRole(current, roleTime)
 	}
-	if moved {
-		n.announceSelection(chosen, previous.scheduler)
+	if schedulerChanged {
+		n.announceSelection(current, previous.scheduler)
 	}
 	n.scheduling.setShare(share, settings.retryPolicy(share))
 	n.scheduling.update(func(scheduler *admission.Scheduler) {
-		scheduler.SetEjected(avoided)
+		scheduler.SetEjected(ejected)
 		scheduler.SetFollowerShare(now, followers)
 	})
 }
 
-// takeRole finds what this node is among the live ones. The caller holds the mutex.
+// updateRole computes this node's role among the live nodes. The caller holds the mutex.
 func (n *Node) updateRole(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	own := n.ownHeartbeat()
 	n.updateFleetSize(now, live)
 	n.isNonDelegate = n.isLarge && !liveness.IsDelegate(own, live)
-	core := liveness.Delegates(live)
-	beats := liveness.Heartbeats(core)
+	delegates := liveness.Delegates(live)
+	heartbeats := liveness.Heartbeats(delegates)
 	if !n.isNonDelegate {
-		beats = append(beats, own)
+		heartbeats = append(heartbeats, own)
 	}
 	n.scheduler = settings.Name
-	order := liveness.TopEligible(beats, maxCandidates)
-	if first := liveness.FirstNotSlow(order, beats); first != "" {
+	order := liveness.TopEligible(heartbeats, maxCandidates)
+	if first := liveness.FirstNotSlow(order, heartbeats); first != "" {
 		n.scheduler = first
 	}
 	if n.isLarge {
 		order = order[:min(len(order), maxLargeFleetCandidates)]
 	}
 	n.isCandidate = slices.Contains(order, settings.Name)
-	n.storeCallRank = n.storeCallRankAmong(liveness.Heartbeats(core))
-	n.watchRank = n.watchRankAmong(core)
+	n.storeCallRank = n.storeCallRankAmong(liveness.Heartbeats(delegates))
+	n.watchRank = n.watchRankAmong(delegates)
 }
 
-// takeSize finds how large the fleet is. The caller holds the mutex.
+// updateFleetSize computes the fleet's size and whether it is large. The caller holds the mutex.
 func (n *Node) updateFleetSize(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	n.size, n.zone = n.members.Size(now, settings.Zone)
@@ -172,20 +171,21 @@
 	if n.isLarge = liveness.IsLarge(n.fleet, n.isLarge); n.isLarge {
 		return
 	}
-	// Every node hears every other one.
+	// In a small fleet every node receives heartbeats from all others.
 	n.size = liveness.Size{Live: len(live) + 1, Known: max(len(n.members.All(now)), len(settings.Seeds)-1) + 1}
 }
 
-// noteFleet finds from a heartbeat that the fleet is large, before the next choice: in the first
-// moments of a start of all, whoever takes it for small would be told all names and greet all nodes.
-// The caller holds the mutex.
-func (n *Node) detectLargeFleet(beat *liveness.Heartbeat) {
-	if fleet := max(n.members.Known()+1, beat.KnownNodes, beat.FleetSize); !n.isLarge && liveness.IsLarge(fleet, false) {
+// detectLargeFleet marks the fleet as large if the heartbeat shows that, before the next selection:
+// when many nodes start at once, one that regards the fleet as small would contact all of them. The
+// caller holds the mutex.
+func (n *Node) detectLargeFleet(heartbeat *liveness.Heartbeat) {
+	if fleet := max(n.members.Known()+1, heartbeat.KnownNodes, heartbeat.FleetSize); !n.isLarge && liveness.IsLarge(fleet, false) {
 		n.isLarge, n.fleet = true, fleet
 	}
 }
 
-// ownHeartbeat returns what this node is chosen by. The caller holds the mutex.
+// ownHeartbeat returns the fields of this node's heartbeat that selections use. The caller holds
+// the mutex.
 func (n *Node) ownHeartbeat() *liveness.Heartbeat {
 	settings := n.settings.Load()
 	return &liveness.Heartbeat{
@@ -194,84 +194,85 @@
 	}
 }
 
-// tellScheduler has the node that schedules from now on, and the one that did, hear of this one, and
-// in a small fleet, or if it is this one, all nodes.
-func (n *Node) announceSelection(chosen role, previous string) {
-	if !chosen.isLarge || chosen.scheduler == n.settings.Load().Name {
+// announceSelection sends a heartbeat to the new and the previous scheduling node, or to all nodes
+// in a small fleet or if this node is the new one.
+func (n *Node) announceSelection(current role, previous string) {
+	if !current.isLarge || current.scheduler == n.settings.Load().Name {
 		n.sendHeartbeats()
 		return
 	}
 	n.mutex.Lock()
-	beat := n.buildHeartbeat(n.now())
+	heartbeat := n.buildHeartbeat(n.now())
 	var addresses []string
-	for _, name := range []string{chosen.scheduler, previous} {
+	for _, name := range []string{current.scheduler, previous} {
 		if member, found := n.members.Get(name); found {
 			addresses = append(addresses, member.Address)
 		}
 	}
 	n.mutex.Unlock()
-	n.sendHeartbeat(beat, addresses)
+	n.sendHeartbeat(heartbeat, addresses)
 }
 
-// noteRole handles that this node became a delegate of its zone, or is none any more. Who takes it
-// for one would beat to it in vain, so that one that all nodes have heard of tells them at once. What
-// else changed goes with the next heartbeat: at a start of all, each node finds that it is none.
-func (n *Node) announceRole(chosen role, held time.Duration) {
+// announceRole logs that this node became a delegate or ceased to be one. A former delegate that
+// all nodes may know, as it held that role for delegateKnownTime, also sends them a heartbeat, so
+// that they stop sending theirs to it. Other changes are announced with the next heartbeat.
+func (n *Node) announceRole(current role, roleTime time.Duration) {
 	outcome := "taken-up"
-	if chosen.isNonDelegate {
+	if current.isNonDelegate {
 		outcome = "laid-down"
 	}
-	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: chosen.fleet})
-	if !chosen.isNonDelegate || held < delegateKnownTime {
+	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: current.fleet})
+	if !current.isNonDelegate || roleTime < delegateKnownTime {
 		return
 	}
 	n.mutex.Lock()
 	now := n.now()
-	beat := n.buildHeartbeat(now)
-	routes := n.relays.Recipients(now, beat.Zone, n.members.Live(now), chosen.isLarge)
+	heartbeat := n.buildHeartbeat(now)
+	recipients := n.relays.Recipients(now, heartbeat.Zone, n.members.Live(now), current.isLarge)
 	n.mutex.Unlock()
-	n.sendToRecipients(beat, routes)
+	n.sendToRecipients(heartbeat, recipients)
 }
 
-// delegateKnown is the time after which all nodes have heard of a delegate.
+// delegateKnownTime is the time after which all nodes know a delegate.
 const delegateKnownTime = 2 * nonDelegateInterval
 
-// noteRepeats tells what this node's retry budget gave while it scheduled: whether the repeats of
-// several scheduling nodes add up can be seen from their lines together.
+// logRetryBudget logs what this node's retry budget granted while it scheduled. The lines of
+// several nodes show whether their retries add up.
 func (n *Node) logRetryBudget() {
-	for service, use := range n.scheduling.retryStats() {
-		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: use.Retries, Detail: fmt.Sprintf("%d requests, %d refused", use.Requests, use.Rejected)})
+	for service, stats := range n.scheduling.retryStats() {
+		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: stats.Retries, Detail: fmt.Sprintf("%d requests, %d retries rejected", stats.Requests, stats.Rejected)})
 	}
 }
 
-// agreeing is how many nodes must find a replica failing for all to avoid it.
+// minFailureReports is the number of nodes that must find a replica failing for its ejection.
 const minFailureReports = 2
 
-// avoidedByMany returns the replicas that several nodes find failing, unless
-// these were more than half of all. The caller holds the mutex.
+// ejectedReplicas returns the replicas that several nodes find failing, or none if these are more
+// than half of all replicas. The caller holds the mutex.
 func (n *Node) ejectedReplicas(live []*liveness.Member) map[string]bool {
-	votes := map[string]int{}
+	reports := map[string]int{}
 	for _, id := range n.health.Failing(n.now()) {
-		votes[id]++
+		reports[id]++
 	}
 	for _, member := range live {
 		for _, id := range member.FailingReplicas {
-			votes[id]++
+			reports[id]++
 		}
 	}
-	avoided := map[string]bool{}
-	for id, count := range votes {
+	ejected := map[string]bool{}
+	for id, count := range reports {
 		if count >= minFailureReports {
-			avoided[id] = true
+			ejected[id] = true
 		}
 	}
-	if len(avoided)*2 > n.table.Count() {
+	if len(ejected)*2 > n.table.Count() {
 		return map[string]bool{}
 	}
-	return avoided
+	return ejected
 }
 
-// releaseDeadNodes frees at the desk what processes held that have ended.
+// releaseDeadNodes ends, at this node's scheduling service, the assignments of processes that have
+// ended.
 func (n *Node) releaseDeadNodes() {
 	n.mutex.Lock()
 	now := n.now()
--- a/entry/scheduling_poison.go
+++ b/entry/scheduling_poison.go
@@ -8,10 +8,10 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// The desk's part in requests that replicas end under: it holds the ledger, by which the
-// scheduler goes, and enters how requests ended.
+// Poison requests at the scheduling service: it holds the tracker that the scheduler consults, and
+// records how requests ended.
 
-// What happens to a request's standing, in lines and counters.
+// Changes of a request's poison state, in logs and counters.
 const (
 	poisonSuspected     = "suspected"
 	poisonBlocked       = "barred"
@@ -21,114 +21,117 @@
 	poisonBlockedByPeer = "heard-barred"
 )
 
-func (d *schedulingService) setContentPolicy(policy poison.Policy) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.poisonTracker.SetPolicy(policy)
+func (s *schedulingService) setContentPolicy(policy poison.Policy) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.poisonTracker.SetPolicy(policy)
 }
 
-// noteContent enters what the end of a request says of what it asked for. The place is zero
-// if another node gave it.
-func (d *schedulingService) recordPoisonResult(place admission.Completion, finished *finishRequest) {
-	now := d.clock()
+// recordPoisonResult records what the end of a request shows about its fingerprint. The completion
+// is zero if another node assigned the request. The caller holds the mutex.
+func (s *schedulingService) recordPoisonResult(completion admission.Completion, finished *finishRequest) {
+	now := s.clock()
 	switch {
 	case finished.Ended != nil:
-		placed := place.Placed
-		if place.Content.IsZero() {
-			placed = -1 // not known, so that a life counts once
+		assignedAt := completion.Placed
+		if completion.Content.IsZero() {
+			assignedAt = -1 // unknown, so that an incarnation counts once
 		}
-		of := poisonrecords.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
-		standing, news := d.poisonTracker.RecordCrash(now, of, finished.Ended.Life, placed)
-		if !news {
+		record := poisonrecords.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
+		state, changed := s.poisonTracker.RecordCrash(now, record, finished.Ended.Life, assignedAt)
+		if !changed {
 			return
 		}
 		outcome := poisonSuspected
-		if standing == poison.Blocked {
+		if state == poison.Blocked {
 			outcome = poisonBlocked
 		}
-		d.reportPoisonTransition(outcome, finished.Content)
+		s.reportPoisonTransition(outcome, finished.Content)
 	case finished.NotRun:
-		d.poisonTracker.CancelTrial(place.Content)
+		s.poisonTracker.CancelTrial(completion.Content)
 	case finished.Seen.Whole:
-		if d.poisonTracker.RecordSuccess(now, finished.Content) {
-			d.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: place.Service, Route: place.Route})
+		if s.poisonTracker.RecordSuccess(now, finished.Content) {
+			s.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: completion.Service, Route: completion.Route})
 		}
 	}
 }
 
-// tellOf tells of a change of the request's standing. The caller holds the mutex.
-func (d *schedulingService) reportPoisonTransition(outcome string, content fingerprint.Fingerprint) {
-	if record, found := d.poisonTracker.Get(content); found {
-		d.onPoisonTransition(outcome, record)
+// reportPoisonTransition reports a change of the request's poison state. The caller holds the
+// mutex.
+func (s *schedulingService) reportPoisonTransition(outcome string, key fingerprint.Fingerprint) {
+	if record, found := s.poisonTracker.Get(key); found {
+		s.onPoisonTransition(outcome, record)
 	}
 }
 
-// merge takes over what others know of requests. The caller holds the mutex.
-func (d *schedulingService) mergePoisonLocked(now structs.Instant, records []poisonrecords.Record) {
-	for _, record := range d.poisonTracker.Merge(now, records) {
-		d.onPoisonTransition(poisonBlockedByPeer, record)
+// mergePoisonLocked merges the records of other nodes or the store. The caller holds the mutex.
+func (s *schedulingService) mergePoisonLocked(now structs.Instant, records []poisonrecords.Record) {
+	for _, record := range s.poisonTracker.Merge(now, records) {
+		s.onPoisonTransition(poisonBlockedByPeer, record)
 	}
 }
 
-// mergeContents takes over what others know of requests, and decides what follows.
-func (d *schedulingService) mergePoisonRecords(records []poisonrecords.Record) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.mergePoisonLocked(d.clock(), records)
-	d.decide()
+// mergePoisonRecords merges the records of other nodes or the store and makes the decisions that
+// they allow.
+func (s *schedulingService) mergePoisonRecords(records []poisonrecords.Record) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.mergePoisonLocked(s.clock(), records)
+	s.decide()
 }
 
-// poisonRecordOf returns what this node saw lately of replicas that ended under the request.
-func (d *schedulingService) poisonRecordOf(content fingerprint.Fingerprint) *poisonrecords.Record {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.poisonTracker.Recent(d.clock(), content)
+// poisonRecordOf returns the request's poison record if this node changed it recently, and nil
+// otherwise.
+func (s *schedulingService) poisonRecordOf(key fingerprint.Fingerprint) *poisonrecords.Record {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.poisonTracker.Recent(s.clock(), key)
 }
 
-// contentsMark marks what other nodes are told.
-func (d *schedulingService) poisonSummary() poisonrecords.Summary {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.poisonTracker.Summary()
+// poisonSummary returns the summary of the records that are shared with other nodes.
+func (s *schedulingService) poisonSummary() poisonrecords.Summary {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.poisonTracker.Summary()
 }
 
-// toldContents returns what other nodes are told.
-func (d *schedulingService) sharedPoisonRecords() []poisonrecords.Record {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.poisonTracker.Shared(d.clock())
+// sharedPoisonRecords returns the records that are shared with other nodes.
+func (s *schedulingService) sharedPoisonRecords() []poisonrecords.Record {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.poisonTracker.Shared(s.clock())
 }
 
-// lastingContents returns what has to outlive all nodes.
-func (d *schedulingService) persistentPoisonRecords() []poisonrecords.Record {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.poisonTracker.Persistent(d.clock())
+// persistentPoisonRecords returns the records that the store has to keep.
+func (s *schedulingService) persistentPoisonRecords() []poisonrecords.Record {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.poisonTracker.Persistent(s.clock())
 }
 
-// expirePoison drops what is old.
-func (d *schedulingService) expirePoison() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.poisonTracker.Sweep(d.clock())
+// expirePoison drops expired records.
+func (s *schedulingService) expirePoison() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.poisonTracker.Sweep(s.clock())
 }
 
-// barredContents returns the requests that are barred.
-func (d *schedulingService) blockedRequests() []poisonrecords.Record {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.poisonTracker.Blocked(d.clock())
+// blockedRequests returns the records of the blocked requests.
+func (s *schedulingService) blockedRequests() []poisonrecords.Record {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.poisonTracker.Blocked(s.clock())
 }
 
-// liftContent clears the request, and returns false if nothing speaks against it.
-func (d *schedulingService) unblock(content fingerprint.Fingerprint) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	record, _ := d.poisonTracker.Get(content)
-	lifted := d.poisonTracker.Unblock(d.clock(), content)
-	if lifted {
-		d.onPoisonTransition(poisonUnblocked, record)
-		d.decide()
+// unblock clears the request and returns false if it is neither suspect nor blocked.
+func (s *schedulingService) unblock(key fingerprint.Fingerprint) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	record, _ := s.poisonTracker.Get(key)
+	unblocked := s.poisonTracker.Unblock(s.clock(), key)
+	if unblocked {
+		s.onPoisonTransition(poisonUnblocked, record)
+		s.decide()
 	}
-	return lifted
+	return unblocked
 }
--- a/entry/scheduling_quota.go
+++ b/entry/scheduling_quota.go
@@ -8,60 +8,60 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// The desk's part in tenants' quotas: what it tells of its buckets, and what it makes of what other
-// scheduling nodes tell of theirs.
+// Tenants' quotas at the scheduling service: the bucket levels and usage that it reports, and those
+// of other scheduling nodes that it applies.
 
-// maximumLevels bounds the tenants whose buckets are told to other nodes.
+// maxReportedBuckets bounds the tenants whose buckets are reported to other nodes.
 const maxReportedBuckets = 48
 
-// levels returns the tenants' buckets that another node would have to know, or nil. One that
-// hands out a small share has small buckets, which say nothing of the tenants' own.
-func (d *schedulingService) bucketLevels() map[string]float64 {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if d.quotaShare <= majorityShare {
+// bucketLevels returns the bucket levels that another node needs to take over, or nil if they are
+// incomplete. A node that grants only a minority share of the quotas has scaled buckets, which
+// don't show the tenants' levels.
+func (s *schedulingService) bucketLevels() map[string]float64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.quotaShare <= majorityShare {
 		return nil
 	}
-	return d.quotas.Levels(d.clock(), maxReportedBuckets)
+	return s.quotas.Levels(s.clock(), maxReportedBuckets)
 }
 
-// takeOver goes on from the buckets that the last scheduling node told of, which may have handed
-// out until the time given. Were all the time since it told credited, nodes killed each 0.8 s
-// would hand out a tenth of a window too much; were none, tenants below their quotas were refused.
-func (d *schedulingService) restoreBucketLevels(until structs.Instant, levels map[string]float64) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.quotas = quota.NewBuckets(takeoverBurstShare)
-	d.quotas.Restore(until, levels)
+// restoreBucketLevels replaces the buckets by those that the previous scheduling node reported.
+// Until the given time that node may have granted quotas, so no refill is credited before it.
+func (s *schedulingService) restoreBucketLevels(until structs.Instant, levels map[string]float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.quotas = quota.NewBuckets(takeoverBurstShare)
+	s.quotas.Restore(until, levels)
 }
 
-// adopt takes account of what another node handed out that schedules as well, or did until
-// just now. A process that starts on the first node of the order schedules at once and knows
-// nothing: killed each 0.8 s, it handed out a third more than the quotas allow.
-func (d *schedulingService) mergeBucketLevels(until structs.Instant, levels map[string]float64) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.quotas.MergeRemote(d.clock(), until, levels)
+// mergeBucketLevels applies the bucket levels of another node that schedules at the same time or
+// did until just now. A process that starts as the first in rendezvous order schedules at once,
+// before it knows any levels.
+func (s *schedulingService) mergeBucketLevels(until structs.Instant, levels map[string]float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.quotas.MergeRemote(s.clock(), until, levels)
 }
 
-// ledgerView returns what this desk handed out since it began to schedule.
-func (d *schedulingService) quotaUsage() *liveness.QuotaUsage {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	now := d.clock()
-	return &liveness.QuotaUsage{Epoch: d.epoch, Led: (now - d.activeSince).Milliseconds(), Taken: d.quotas.Taken(now, maxReportedBuckets)}
+// quotaUsage returns what this node granted since it became active.
+func (s *schedulingService) quotaUsage() *liveness.QuotaUsage {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	now := s.clock()
+	return &liveness.QuotaUsage{Epoch: s.epoch, Led: (now - s.activeSince).Milliseconds(), Taken: s.quotas.Taken(now, maxReportedBuckets)}
 }
 
-// charge takes account of what other scheduling nodes handed out while this one schedules.
-func (d *schedulingService) chargeRemoteUsage(handed quota.RemoteUsage) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.quotas.ChargeRemote(handed)
+// chargeRemoteUsage charges what other scheduling nodes granted while this node is active.
+func (s *schedulingService) chargeRemoteUsage(usage quota.RemoteUsage) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.quotas.ChargeRemote(usage)
 }
 
-// ledFor returns for how long this node has scheduled, or has since it last began to.
-func (d *schedulingService) activeFor() time.Duration {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.clock() - d.activeSince
+// activeFor returns the time since this node last became active.
+func (s *schedulingService) activeFor() time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.clock() - s.activeSince
 }
--- a/entry/scheduling_rollout.go
+++ b/entry/scheduling_rollout.go
@@ -11,96 +11,99 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// The desk's part in roll-outs: it holds the controllers, lets the scheduler go by the
-// versions' policies and enters how requests ended.
+// Roll-outs at the scheduling service: it holds the controllers, applies the version policies to
+// the scheduler and records how requests ended.
 
-// rolloutDoubt returns the evidence against the target of the service's roll-out; zero at a
-// node that does not step it.
-func (d *schedulingService) regressionScore(service string) (float64, string) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if controller, found := d.controllers[service]; found {
+// regressionScore returns the score of the evidence against the target of the service's roll-out,
+// and the route with the highest one; zero at a node that does not step it.
+func (s *schedulingService) regressionScore(service string) (float64, string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if controller, found := s.controllers[service]; found {
 		return controller.RegressionScore()
 	}
 	return 0, ""
 }
 
-// setVersions takes over which versions of the service get new requests.
-func (d *schedulingService) setVersions(service string, policy rollouts.VersionPolicy) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.scheduler.SetVersions(service, policy)
-	d.decide()
+// setVersions sets which versions of the service get new requests.
+func (s *schedulingService) setVersions(service string, policy rollouts.VersionPolicy) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.scheduler.SetVersions(service, policy)
+	s.decide()
 }
 
-// proposeRollout returns the record that is to be written next.
-func (d *schedulingService) proposeRollout(seen rollout.Inputs, known rollouts.Record) (rollouts.Record, bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	service := seen.Order.Service
-	controller, found := d.controllers[service]
+// proposeRollout returns the record that has to be written next, and false if there is none. After
+// true, recordRolloutWrite must follow.
+func (s *schedulingService) proposeRollout(inputs rollout.Inputs, known rollouts.Record) (rollouts.Record, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	service := inputs.Order.Service
+	controller, found := s.controllers[service]
 	if !found {
-		controller = rollout.NewController(d.rolloutPolicy, d.clock(), known)
-		d.controllers[service] = controller
-		d.scheduler.SetCanaryBudget(service, controller.CanaryBudget())
+		controller = rollout.NewController(s.rolloutPolicy, s.clock(), known)
+		s.controllers[service] = controller
+		s.scheduler.SetCanaryBudget(service, controller.CanaryBudget())
 	}
 	controller.Adopt(known)
-	seen.Busy = max(seen.Busy, d.scheduler.InFlightAt(service))
-	seen.Longest = d.longestAnswers[service]
-	return controller.Propose(d.clock(), seen)
+	inputs.Busy = max(inputs.Busy, s.scheduler.InFlightAt(service))
+	inputs.Longest = s.longestAnswers[service]
+	return controller.Propose(s.clock(), inputs)
 }
 
-// rolloutWritten enters what became of a write.
-func (d *schedulingService) recordRolloutWrite(written rollouts.Record, revision structs.StorePosition, err error) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	controller, found := d.controllers[written.Service]
+// recordRolloutWrite records the outcome of a write.
+func (s *schedulingService) recordRolloutWrite(written rollouts.Record, position structs.StorePosition, err error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	controller, found := s.controllers[written.Service]
 	if !found {
 		return // this node no longer schedules
 	}
 	switch {
 	case err == nil:
-		controller.WriteCommitted(d.clock(), written, revision)
+		controller.WriteCommitted(s.clock(), written, position)
 	case errors.Is(err, errkind.StoreUnknown):
-		controller.WriteUnknown(d.clock())
+		controller.WriteUnknown(s.clock())
 	default:
-		controller.WriteRejected(d.clock())
+		controller.WriteRejected(s.clock())
 	}
 }
 
-// longestShare is the weight by which the longest known answer of a service yields to a
-// shorter one: after 100 of half its length it is near that.
+// longestDecayFraction is the weight of a shorter response in the running maximum of a service's
+// response times.
 const longestDecayFraction = 0.02
 
-// noteRollout enters the end of a request into the judgement of its service's versions.
-func (d *schedulingService) recordRolloutResult(ended admission.Completion, seen admission.Observation, notRun bool) {
-	if seen.Duration > 0 {
-		before := d.longestAnswers[ended.Service]
-		d.longestAnswers[ended.Service] = max(seen.Duration, before-time.Duration(longestDecayFraction*float64(before-seen.Duration)))
+// recordRolloutResult records the end of a request as evidence for its service's roll-out. The
+// caller holds the mutex.
+func (s *schedulingService) recordRolloutResult(ended admission.Completion, observed admission.Observation, isNotRun bool) {
+	if observed.Duration > 0 {
+		before := s.longestAnswers[ended.Service]
+		s.longestAnswers[ended.Service] = max(observed.Duration, before-time.Duration(longestDecayFraction*float64(before-observed.Duration)))
 	}
-	controller, found := d.controllers[ended.Service]
-	if !found || notRun {
+	controller, found := s.controllers[ended.Service]
+	if !found || isNotRun {
 		return
 	}
-	controller.RecordResult(sampleOf(ended, seen, controller.Record().Target), !seen.Left)
+	controller.RecordResult(sampleOf(ended, observed, controller.Record().Target), !observed.Left)
 }
 
-// promptOverhead is the part of the time to a first event that does not depend on the
-// prompt, in tokens that are read meanwhile.
+// promptOverheadTokens is the part of the time to the first event that does not depend on the
+// prompt's length, as an equivalent number of prompt tokens.
 const promptOverheadTokens = 500
 
-// answerOf describes the end of a request to the judge.
-func sampleOf(ended admission.Completion, seen admission.Observation, target string) rollout.Sample {
-	answer := rollout.Sample{
-		Route: ended.Route, Replica: ended.Replica, Begun: ended.Placed, Target: ended.Version == target, Failed: seen.Failed, Step: seen.Duration,
+// sampleOf converts the end of a request to a sample for the roll-out's analysis: per token for the
+// first event, and per event for the others.
+func sampleOf(ended admission.Completion, observed admission.Observation, target string) rollout.Sample {
+	sample := rollout.Sample{
+		Route: ended.Route, Replica: ended.Replica, Begun: ended.Placed, Target: ended.Version == target, Failed: observed.Failed, Step: observed.Duration,
 	}
-	if seen.Events == 0 {
-		return answer
+	if observed.Events == 0 {
+		return sample
 	}
-	answer.First = seen.FirstEvent / time.Duration(ended.Prompt+promptOverheadTokens)
-	answer.Step = 0
-	if seen.Events > 1 {
-		answer.Step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1)
+	sample.First = observed.FirstEvent / time.Duration(ended.Prompt+promptOverheadTokens)
+	sample.Step = 0
+	if observed.Events > 1 {
+		sample.Step = (observed.Duration - observed.FirstEvent) / time.Duration(observed.Events-1)
 	}
-	return answer
+	return sample
 }
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -20,32 +20,30 @@
 )
 
 const (
-	// takeoverBurst is the share of a burst that the buckets of a scheduling node start
-	// with that does not know what others handed out.
+	// takeoverBurstShare is the share of a burst that new buckets hold at a scheduling node that
+	// does not know what others granted.
 	takeoverBurstShare = 0.1
-	// restartTime is the least time from the end of the last processes to the first
-	// requests of those that follow, in which nobody took anything; measured:
-	// 0.5 s. It is credited for restartCredit from the start of the process; later
-	// others have handed out quotas.
+	// minRestartTime is the minimum time between the end of all processes and the first requests of
+	// the next ones, in which no quota was granted. It is credited only until restartCreditTime
+	// after the start, as other nodes may have granted quotas later.
 	minRestartTime    = 400 * time.Millisecond
 	restartCreditTime = 3 * time.Second
-	// settleLedger is how long a process that starts waits for others to tell what they handed
-	// out. They answer its first heartbeat, so that two milliseconds are usual; a second covers
-	// heartbeats that are lost.
+	// quotaSettleTime is how long a new process waits for other nodes' quota usage. They answer its
+	// first heartbeat; the time covers lost ones.
 	quotaSettleTime = time.Second
 )
 
-// placed is what the desk must remember of a request to settle its quota.
+// requestCharge is what a queued or assigned request was charged, to settle it at the end.
 type requestCharge struct {
 	tenant      string
 	cost        float64
 	fingerprint fingerprint.Fingerprint
-	// repeat is the repeat that the retry budget gave it, until it has its place.
+	// retryPermit is the permit of the retry budget until the request is assigned.
 	retryPermit retrybudget.Permit
 }
 
-// schedulingService is the scheduling side of a node: it decides for every node that takes
-// this one for the scheduling node, itself included.
+// schedulingService is the scheduling side of a node: it assigns the requests of every node that
+// regards this one as scheduling node, itself included. It is safe for concurrent use.
 type schedulingService struct {
 	mutex       sync.Mutex
 	clock       func() structs.Instant
@@ -53,348 +51,352 @@
 	quotas      *quota.Buckets
 	retryBudget *retrybudget.Budget
 	term        uint64
-	// share is the part of the quotas that this side of a partition hands out, and leads is true
-	// while this node schedules for the others.
+	// quotaShare is the share of the quotas that this side of a partition grants, and isActive is
+	// true while this node is the active scheduler.
 	quotaShare float64
 	isActive   bool
-	// epoch counts the times that this node began to schedule, last at ledSince.
+	// epoch counts the times that this node became active, last at activeSince.
 	epoch       uint64
 	activeSince structs.Instant
-	// regions has the region of each zone.
+	// regions maps zones to regions.
 	regions map[string]string
-	// emptied are the zones that get nothing, and warmings bounds what cold replicas get, by service.
+	// evacuatedZones get no requests, and slowStarts limits the traffic to cold replicas, by
+	// service.
 	evacuatedZones map[string]bool
 	slowStarts     map[string]admission.SlowStart
-	// first is true if no other process can have handed out anything before.
+	// isFirst is true if no other process can have granted quotas before.
 	isFirst          bool
 	pending          map[string]chan admission.Decision
 	charges          map[string]requestCharge
 	recentRejections *rejections.Recent
-	// controllers step the roll-outs of services while this node schedules; longest is how
-	// long the long answers of a service take.
+	// controllers step the roll-outs of services while this node is active; longestAnswers has a
+	// decaying maximum of each service's response times.
 	rolloutPolicy rollout.Policy
-	// contents says which requests replicas ended under. It outlives what the desk forgets:
-	// what a request did is true whoever schedules.
+	// poisonTracker holds the poison records. Reset keeps it: a crash stays true whichever node
+	// schedules.
 	poisonTracker *poison.Tracker
-	// onPoisonTransition is called with each change of a request's standing.
+	// onPoisonTransition is called, with the mutex held, at each change of a request's poison
+	// state.
 	onPoisonTransition func(outcome string, record poisonrecords.Record)
 	controllers        map[string]*rollout.Controller
 	longestAnswers     map[string]time.Duration
 	timer              *time.Timer
-	// decidedAt is when the last round of decisions was made.
+	// decidedAt is the time of the last round of decisions.
 	decidedAt structs.Instant
 }
 
-func newSchedulingService(clock func() structs.Instant, policy retrybudget.Policy, first bool) *schedulingService {
-	d := &schedulingService{clock: clock, decidedAt: -minDecideInterval, quotaShare: 1, isFirst: first, term: 1, retryBudget: retrybudget.New(policy, first), poisonTracker: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, poisonrecords.Record) {}}
-	d.clearState()
-	d.quotas.CreditDowntime(minRestartTime, clock()+restartCreditTime)
-	d.timer = time.AfterFunc(time.Hour, d.decideOnTimer)
-	return d
+func newSchedulingService(clock func() structs.Instant, policy retrybudget.Policy, isFirst bool) *schedulingService {
+	s := &schedulingService{clock: clock, decidedAt: -minDecideInterval, quotaShare: 1, isFirst: isFirst, term: 1, retryBudget: retrybudget.New(policy, isFirst), poisonTracker: poison.NewTracker(poison.DefaultPolicy()), onPoisonTransition: func(string, poisonrecords.Record) {}}
+	s.clearState()
+	s.quotas.CreditDowntime(minRestartTime, clock()+restartCreditTime)
+	s.timer = time.AfterFunc(time.Hour, s.decideOnTimer)
+	return s
 }
 
-func (d *schedulingService) clearState() {
-	d.scheduler = admission.New()
-	d.scheduler.SetPoisonTracker(d.poisonTracker)
-	d.scheduler.SetRegions(d.regions)
-	d.scheduler.SetEvacuatedZones(d.clock(), d.evacuatedZones)
-	d.applySlowStarts()
+func (s *schedulingService) clearState() {
+	s.scheduler = admission.New()
+	s.scheduler.SetPoisonTracker(s.poisonTracker)
+	s.scheduler.SetRegions(s.regions)
+	s.scheduler.SetEvacuatedZones(s.clock(), s.evacuatedZones)
+	s.applySlowStarts()
 	start := takeoverBurstShare
-	if d.isFirst {
+	if s.isFirst {
 		start = 1
-		d.isFirst = false
+		s.isFirst = false
 	}
-	d.quotas = quota.NewBuckets(start)
+	s.quotas = quota.NewBuckets(start)
 	if start < 1 {
-		d.quotas.SetAuthoritativeAfter(d.clock() + quotaSettleTime)
+		s.quotas.SetAuthoritativeAfter(s.clock() + quotaSettleTime)
 	}
-	d.pending = map[string]chan admission.Decision{}
-	d.charges = map[string]requestCharge{}
-	d.recentRejections = rejections.New()
-	d.controllers, d.longestAnswers = map[string]*rollout.Controller{}, map[string]time.Duration{}
+	s.pending = map[string]chan admission.Decision{}
+	s.charges = map[string]requestCharge{}
+	s.recentRejections = rejections.New()
+	s.controllers, s.longestAnswers = map[string]*rollout.Controller{}, map[string]time.Duration{}
 }
 
-// reset forgets everything, as a process must that stood still for so long that
-// others decided in its place.
-func (d *schedulingService) reset(all []replicas.Replica, policies map[string]rollouts.VersionPolicy) uint64 {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	for _, waiter := range d.pending {
-		close(waiter)
+// reset drops all assignments and queued requests after a suspension, in which other nodes may have
+// scheduled. It returns the new term.
+func (s *schedulingService) reset(all []replicas.Replica, policies map[string]rollouts.VersionPolicy) uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, decided := range s.pending {
+		close(decided)
 	}
-	d.clearState()
-	d.epoch++
-	d.activeSince = d.clock()
-	d.retryBudget.Reset()
+	s.clearState()
+	s.epoch++
+	s.activeSince = s.clock()
+	s.retryBudget.Reset()
 	for service, policy := range policies {
-		d.scheduler.SetVersions(service, policy)
+		s.scheduler.SetVersions(service, policy)
 	}
-	d.scheduler.SetReplicas(d.clock(), all)
-	d.updateColdTraffic()
-	d.term++
-	return d.term
+	s.scheduler.SetReplicas(s.clock(), all)
+	s.updateColdTraffic()
+	s.term++
+	return s.term
 }
 
-// majority is the part of all nodes beyond which no other part can be as large.
+// majorityShare is the share of nodes that only one side of a partition can exceed.
 const majorityShare = 0.5
 
-// setShare takes over which part of the quotas and of the retries may be given.
-func (d *schedulingService) setShare(share float64, policy retrybudget.Policy) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.poisonTracker.SetTrialsAllowed(share > majorityShare)
-	d.quotaShare = share
-	d.updateColdTraffic()
-	d.retryBudget.SetPolicy(policy)
+// setShare sets the share of the quotas that may be granted and the policy of the retry budget.
+func (s *schedulingService) setShare(share float64, policy retrybudget.Policy) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.poisonTracker.SetTrialsAllowed(share > majorityShare)
+	s.quotaShare = share
+	s.updateColdTraffic()
+	s.retryBudget.SetPolicy(policy)
 }
 
-// repeats returns what this desk counted for the retry budget, by service.
-func (d *schedulingService) retryStats() map[string]retrybudget.Stats {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.retryBudget.Stats(d.clock())
+// retryStats returns the retry budget's counts by service.
+func (s *schedulingService) retryStats() map[string]retrybudget.Stats {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.retryBudget.Stats(s.clock())
 }
 
-// setRegions takes over which region each zone is in.
-func (d *schedulingService) setRegions(regions map[string]string) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.regions = regions
-	d.scheduler.SetRegions(regions)
+// setRegions sets the region of each zone.
+func (s *schedulingService) setRegions(regions map[string]string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.regions = regions
+	s.scheduler.SetRegions(regions)
 }
 
-// lead tells the desk whether this node schedules for the others from now on.
-func (d *schedulingService) setActive(schedules bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.releaseQueuedRetries()
-	d.isActive = schedules
-	d.updateColdTraffic()
-	if schedules {
-		d.epoch++
-		d.activeSince = d.clock()
-		d.retryBudget.Activate()
+// setActive sets whether this node is the active scheduler.
+func (s *schedulingService) setActive(isActive bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.releaseQueuedRetries()
+	s.isActive = isActive
+	s.updateColdTraffic()
+	if isActive {
+		s.epoch++
+		s.activeSince = s.clock()
+		s.retryBudget.Activate()
 	} else {
-		d.retryBudget.Deactivate()
-		// Who schedules next goes on from the record; what was taken here is not used.
-		for service := range d.controllers {
-			d.scheduler.SetCanaryBudget(service, nil)
+		s.retryBudget.Deactivate()
+		// The next active scheduler continues from the record; the unused canary budget is lost.
+		for service := range s.controllers {
+			s.scheduler.SetCanaryBudget(service, nil)
 		}
-		clear(d.controllers)
+		clear(s.controllers)
 	}
 }
 
-// sendRepeatsAway has the repeats that wait here ask whoever schedules now: what this desk's
-// budget gave them is void when the scheduling node changes. The caller holds the mutex.
-func (d *schedulingService) releaseQueuedRetries() {
-	for id, held := range d.charges {
-		waiter, waits := d.pending[id]
-		if !waits || held.retryPermit == (retrybudget.Permit{}) {
+// releaseQueuedRetries makes queued retries ask the new scheduling node, as their permits are void
+// when the scheduling node changes. The caller holds the mutex.
+func (s *schedulingService) releaseQueuedRetries() {
+	for id, charge := range s.charges {
+		decided, waits := s.pending[id]
+		if !waits || charge.retryPermit == (retrybudget.Permit{}) {
 			continue
 		}
-		d.scheduler.Cancel(id)
-		delete(d.pending, id)
-		delete(d.charges, id)
-		d.quotas.Refund(held.tenant, held.cost)
-		close(waiter)
+		s.scheduler.Cancel(id)
+		delete(s.pending, id)
+		delete(s.charges, id)
+		s.quotas.Refund(charge.tenant, charge.cost)
+		close(decided)
 	}
 }
 
-// update runs a change of the scheduler and decides what it makes possible.
-func (d *schedulingService) update(change func(*admission.Scheduler)) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	change(d.scheduler)
-	d.decide()
+// update changes the scheduler and makes the decisions that this allows.
+func (s *schedulingService) update(change func(*admission.Scheduler)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	change(s.scheduler)
+	s.decide()
 }
 
-// assign waits for a decision on the request.
-func (d *schedulingService) assign(ctx context.Context, request *assignRequest) *assignReply {
-	waiter, refused := d.submit(request)
-	if refused != nil {
-		return refused
+// assign queues the request and blocks until there is a decision on it or the context ends.
+func (s *schedulingService) assign(ctx context.Context, request *assignRequest) *assignReply {
+	decided, rejection := s.submit(request)
+	if rejection != nil {
+		return rejection
 	}
 	select {
-	case decision, open := <-waiter:
+	case decision, open := <-decided:
 		if !open {
 			return &assignReply{Reason: reasonUnreachable}
 		}
 		return &assignReply{
-			Limit:   d.limitReport(decision),
+			Limit:   s.limitReport(decision),
 			Replica: decision.Replica, Reason: string(decision.Reason),
-			RetryAfter: decision.RetryAfter, Waited: decision.Waited, Term: d.currentTerm(),
+			RetryAfter: decision.RetryAfter, Waited: decision.Waited, Term: s.currentTerm(),
 			Waiting: decision.QueuedAhead, Free: decision.Free, Expected: decision.Expected,
 		}
 	case <-ctx.Done():
-		d.finish(&finishRequest{ID: request.Request.ID, NotRun: true})
+		s.finish(&finishRequest{ID: request.Request.ID, NotRun: true})
 		return &assignReply{Reason: reasonUnreachable}
 	}
 }
 
-// limitNote returns what is known of the rate limit of the replica that was given, or nil.
-func (d *schedulingService) limitReport(decision admission.Decision) *pushback.Report {
+// limitReport returns what is known of the rate limit of the assigned replica, or nil.
+func (s *schedulingService) limitReport(decision admission.Decision) *pushback.Report {
 	if decision.Limit.Limit.State == pushback.LimitUnknown {
 		return nil
 	}
-	note := decision.Limit.ReportOf(d.clock(), pushback.IncarnationOf(decision.Replica))
-	return &note
+	report := decision.Limit.ReportOf(s.clock(), pushback.IncarnationOf(decision.Replica))
+	return &report
 }
 
-func (d *schedulingService) currentTerm() uint64 {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.term
+func (s *schedulingService) currentTerm() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.term
 }
 
-// submit checks quota and budget and queues the request.
-func (d *schedulingService) submit(request *assignRequest) (chan admission.Decision, *assignReply) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	now := d.clock()
+// submit charges the quota and the retry budget and queues the request. It returns the channel of
+// the decision, which is closed without one if the request has to ask another node, or the
+// rejection.
+func (s *schedulingService) submit(request *assignRequest) (chan admission.Decision, *assignReply) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	now := s.clock()
 	if request.Known != nil {
-		d.mergePoisonLocked(now, []poisonrecords.Record{*request.Known})
+		s.mergePoisonLocked(now, []poisonrecords.Record{*request.Known})
 	}
-	for _, note := range request.Heard {
-		d.scheduler.ApplyPushbackReport(now, note)
+	for _, report := range request.Heard {
+		s.scheduler.ApplyPushbackReport(now, report)
 	}
-	d.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.Heard)
+	s.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.Heard)
 	if request.First {
-		d.retryBudget.RecordRequest(now, request.Request.Service)
+		s.retryBudget.RecordRequest(now, request.Request.Service)
 	}
-	var repeat retrybudget.Permit
+	var permit retrybudget.Permit
 	if request.Repeat {
-		given, ok := d.retryBudget.Reserve(now, request.Request.Service)
+		reserved, ok := s.retryBudget.Reserve(now, request.Request.Service)
 		if !ok {
 			return nil, &assignReply{Reason: reasonRetryBudget, RetryAfter: time.Second}
 		}
-		repeat = given
+		permit = reserved
 	}
-	limit := request.Limit.Scaled(d.quotaShare)
-	if wait, ok := d.quotas.Take(now, request.Tenant, limit, request.Cost); !ok {
-		d.retryBudget.Cancel(repeat)
+	limit := request.Limit.Scaled(s.quotaShare)
+	if wait, ok := s.quotas.Take(now, request.Tenant, limit, request.Cost); !ok {
+		s.retryBudget.Cancel(permit)
 		return nil, &assignReply{Reason: reasonQuota, RetryAfter: wait}
 	}
 	id := request.Request.ID
-	waiter := make(chan admission.Decision, 1)
-	d.pending[id] = waiter
-	d.charges[id] = requestCharge{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Content, retryPermit: repeat}
-	request.Request.Returned = d.recentRejections.Has(now, request.Request.Content)
-	d.scheduler.Submit(now, request.Request)
-	d.decide()
-	return waiter, nil
+	decided := make(chan admission.Decision, 1)
+	s.pending[id] = decided
+	s.charges[id] = requestCharge{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Content, retryPermit: permit}
+	request.Request.Returned = s.recentRejections.Has(now, request.Request.Content)
+	s.scheduler.Submit(now, request.Request)
+	s.decide()
+	return decided, nil
 }
 
-// observe learns from a request of this node that another node placed.
-func (d *schedulingService) observe(service string, prompt int, finished *finishRequest, replica string) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.scheduler.Observe(d.clock(), service, replica, prompt, finished.Seen)
-	d.recordPoisonResult(admission.Completion{}, finished)
+// observe records the end of a request of this node that another node assigned.
+func (s *schedulingService) observe(service string, prompt int, finished *finishRequest, replica string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.scheduler.Observe(s.clock(), service, replica, prompt, finished.Seen)
+	s.recordPoisonResult(admission.Completion{}, finished)
 }
 
-// recordFirstEvent notes that an answer began, and the load that came with it.
-func (d *schedulingService) recordFirstEvent(request *firstEventRequest) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	now := d.clock()
-	d.scheduler.RecordFirstEvent(now, request.ID, request.Load)
+// recordFirstEvent records the start of a response and the load and pushback signals that came with
+// it.
+func (s *schedulingService) recordFirstEvent(request *firstEventRequest) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	now := s.clock()
+	s.scheduler.RecordFirstEvent(now, request.ID, request.Load)
 	if request.Said != nil {
-		d.scheduler.ApplyPushback(now, request.ID, *request.Said)
+		s.scheduler.ApplyPushback(now, request.ID, *request.Said)
 	}
-	d.decide()
+	s.decide()
 }
 
-// finish frees the place or ends the wait of a request.
-func (d *schedulingService) finish(request *finishRequest) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	ended, found := d.scheduler.Finish(d.clock(), request.ID, request.Seen)
+// finish ends an assignment or removes a queued request.
+func (s *schedulingService) finish(request *finishRequest) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	ended, found := s.scheduler.Finish(s.clock(), request.ID, request.Seen)
 	if found {
-		d.recordRolloutResult(ended, request.Seen, request.NotRun)
+		s.recordRolloutResult(ended, request.Seen, request.NotRun)
 	}
-	d.recordPoisonResult(ended, request)
-	d.scheduler.Cancel(request.ID)
-	delete(d.pending, request.ID)
-	if held, found := d.charges[request.ID]; found {
-		delete(d.charges, request.ID)
-		d.retryBudget.Cancel(held.retryPermit)
+	s.recordPoisonResult(ended, request)
+	s.scheduler.Cancel(request.ID)
+	delete(s.pending, request.ID)
+	if charge, found := s.charges[request.ID]; found {
+		delete(s.charges, request.ID)
+		s.retryBudget.Cancel(charge.retryPermit)
 		if request.NotRun {
-			d.quotas.Refund(held.tenant, held.cost)
+			s.quotas.Refund(charge.tenant, charge.cost)
 		}
 	}
-	d.decide()
+	s.decide()
 }
 
-// dropEndedNodes frees what nodes held that live no longer.
-func (d *schedulingService) dropEndedNodes(live map[string]bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	for node := range d.scheduler.Nodes() {
+// dropEndedNodes ends the assignments of processes that are not live.
+func (s *schedulingService) dropEndedNodes(live map[string]bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for node := range s.scheduler.Nodes() {
 		if !live[node] {
-			d.scheduler.DropNode(node)
+			s.scheduler.DropNode(node)
 		}
 	}
-	d.scheduler.Sweep(d.clock())
-	d.decide()
+	s.scheduler.Sweep(s.clock())
+	s.decide()
 }
 
-// patienceInterval is the time between looks at requests that waited too long.
+// queueCheckInterval is the time between checks for queued requests that waited too long.
 const queueCheckInterval = 50 * time.Millisecond
 
-func (d *schedulingService) decideOnTimer() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.decide()
+func (s *schedulingService) decideOnTimer() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.decide()
 }
 
-// decideInterval is the least time between two rounds of decisions. A round costs
-// as much as there are replicas, places and waiting requests; so under load one
-// round serves many changes.
+// minDecideInterval is the minimum time between two rounds of decisions. The cost of a round grows
+// with replicas, slots and queued requests, so under load one round serves many changes.
 const minDecideInterval = 2 * time.Millisecond
 
-// decide hands out decisions, or sees to it that this happens soon if there was
-// a round just now. The caller holds the mutex.
-func (d *schedulingService) decide() {
-	if len(d.pending) == 0 {
+// decide runs a round of decisions, or schedules one if the last was less than minDecideInterval
+// ago. The caller holds the mutex.
+func (s *schedulingService) decide() {
+	if len(s.pending) == 0 {
 		return
 	}
-	now := d.clock()
-	if now-d.decidedAt < minDecideInterval {
-		d.timer.Reset(minDecideInterval)
+	now := s.clock()
+	if now-s.decidedAt < minDecideInterval {
+		s.timer.Reset(minDecideInterval)
 		return
 	}
-	d.decidedAt = now
-	for _, decision := range d.scheduler.Decide(d.clock()) {
-		waiter, found := d.pending[decision.ID]
+	s.decidedAt = now
+	for _, decision := range s.scheduler.Decide(s.clock()) {
+		decided, found := s.pending[decision.ID]
 		if !found {
 			continue
 		}
-		delete(d.pending, decision.ID)
+		delete(s.pending, decision.ID)
 		if decision.Trial {
-			d.reportPoisonTransition(poisonTrial, d.charges[decision.ID].fingerprint)
+			s.reportPoisonTransition(poisonTrial, s.charges[decision.ID].fingerprint)
 		}
 		if decision.Reason != admission.ReasonNone {
-			if held, charged := d.charges[decision.ID]; charged {
-				delete(d.charges, decision.ID)
-				d.quotas.Refund(held.tenant, held.cost)
-				d.retryBudget.Cancel(held.retryPermit)
-				d.recentRejections.Add(d.clock(), held.fingerprint)
+			if charge, charged := s.charges[decision.ID]; charged {
+				delete(s.charges, decision.ID)
+				s.quotas.Refund(charge.tenant, charge.cost)
+				s.retryBudget.Cancel(charge.retryPermit)
+				s.recentRejections.Add(s.clock(), charge.fingerprint)
 			}
-		} else if held, charged := d.charges[decision.ID]; charged {
-			d.retryBudget.Commit(held.retryPermit)
-			held.retryPermit = retrybudget.Permit{}
-			d.charges[decision.ID] = held
+		} else if charge, charged := s.charges[decision.ID]; charged {
+			s.retryBudget.Commit(charge.retryPermit)
+			charge.retryPermit = retrybudget.Permit{}
+			s.charges[decision.ID] = charge
 		}
-		waiter <- decision
+		decided <- decision
 	}
-	if len(d.pending) > 0 {
-		d.timer.Reset(queueCheckInterval)
+	if len(s.pending) > 0 {
+		s.timer.Reset(queueCheckInterval)
 	}
 }
 
-// counts returns the state of every service.
-func (d *schedulingService) counts() map[string]admission.Count {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.scheduler.Counts()
+// counts returns the counts of every service.
+func (s *schedulingService) counts() map[string]admission.Count {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.scheduler.Counts()
 }
--- a/entry/scheduling_service_test.go
+++ b/entry/scheduling_service_test.go
@@ -13,20 +13,19 @@
 	"github.com/thornwalk/thornwalk/state/replicas"
 )
 
-// A round of decisions for each change would keep the scheduling node busy until its
-// memory runs out.
+// Guards against a round of decisions for each change, which would overload the scheduling node.
 func TestDecisionsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		begun := time.Now()
-		d := newSchedulingService(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Window: time.Second}, true)
-		d.update(func(s *admission.Scheduler) {
-			s.SetReplicas(0, []replicas.Replica{{ID: "r", Service: "s", Slots: 100}})
+		start := time.Now()
+		service := newSchedulingService(func() time.Duration { return time.Since(start) }, retrybudget.Policy{Window: time.Second}, true)
+		service.update(func(scheduler *admission.Scheduler) {
+			scheduler.SetReplicas(0, []replicas.Replica{{ID: "r", Service: "s", Slots: 100}})
 		})
 		done := make(chan *assignReply, 50)
 		for i := range 50 {
 			go func() {
-				done <- d.assign(t.Context(), &assignRequest{Request: admission.Request{
+				done <- service.assign(t.Context(), &assignRequest{Request: admission.Request{
 					ID: fmt.Sprint(i), Node: "n", Service: "s", Patience: time.Second, Target: time.Second, Deadline: time.Second,
 				}})
 			}()
@@ -39,34 +38,33 @@
 		for range 50 {
 			g.Expect((<-done).Reason).To(gomega.BeEmpty())
 		}
-		d.timer.Stop()
+		service.timer.Stop()
 	})
 }
 
-// While many replicas were down, each place that a request asked for after a connect that failed
-// counted as one more request, and the share of repeats that the operators allow grew with it:
-// 3,258 repeats in ten seconds for 8,047 requests, where 1,807 are allowed.
+// Guards against a request counting several times for the retry budget after failed connects, which
+// would raise the number of retries beyond the operators' bound.
 func TestARequestCountsOnceForTheRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		begun := time.Now()
-		d := newSchedulingService(func() time.Duration { return time.Since(begun) }, retrybudget.Policy{Ratio: 1, Window: 10 * time.Second}, true)
-		defer d.timer.Stop()
-		d.setActive(true)
-		asked := 0
-		ask := func(first, repeat bool) string {
-			asked++
-			_, refused := d.submit(&assignRequest{First: first, Repeat: repeat, Request: admission.Request{ID: fmt.Sprint(asked), Node: "n", Service: "s"}})
-			if refused != nil {
-				return refused.Reason
+		start := time.Now()
+		service := newSchedulingService(func() time.Duration { return time.Since(start) }, retrybudget.Policy{Ratio: 1, Window: 10 * time.Second}, true)
+		defer service.timer.Stop()
+		service.setActive(true)
+		count := 0
+		submit := func(first, repeat bool) string {
+			count++
+			_, rejection := service.submit(&assignRequest{First: first, Repeat: repeat, Request: admission.Request{ID: fmt.Sprint(count), Node: "n", Service: "s"}})
+			if rejection != nil {
+				return rejection.Reason
 			}
 			return ""
 		}
-		g.Expect(ask(true, false)).To(gomega.BeEmpty())
-		for range 5 { // connects that failed
-			g.Expect(ask(false, false)).To(gomega.BeEmpty())
+		g.Expect(submit(true, false)).To(gomega.BeEmpty())
+		for range 5 { // failed connects
+			g.Expect(submit(false, false)).To(gomega.BeEmpty())
 		}
-		g.Expect(ask(false, true)).To(gomega.BeEmpty())
-		g.Expect(ask(false, true)).To(gomega.Equal(reasonRetryBudget))
+		g.Expect(submit(false, true)).To(gomega.BeEmpty())
+		g.Expect(submit(false, true)).To(gomega.Equal(reasonRetryBudget))
 	})
 }
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -2,36 +2,37 @@
 
 import "github.com/thornwalk/thornwalk/coordination/admission"
 
-// The desk's part in emptied zones and cold replicas.
+// Evacuated zones and the slow start of replicas at the scheduling service.
 
-// setEmptied takes over which zones get nothing.
-func (d *schedulingService) setEvacuatedZones(zones map[string]bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.evacuatedZones = zones
-	d.scheduler.SetEvacuatedZones(d.clock(), zones)
-	d.decide()
+// setEvacuatedZones sets the zones that get no requests.
+func (s *schedulingService) setEvacuatedZones(zones map[string]bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.evacuatedZones = zones
+	s.scheduler.SetEvacuatedZones(s.clock(), zones)
+	s.decide()
 }
 
-// setWarmings takes over what cold replicas get, by service.
-func (d *schedulingService) setWarmings(warmings map[string]admission.SlowStart) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.slowStarts = warmings
-	d.applySlowStarts()
-	d.decide()
+// setWarmings sets the limits of cold replicas by service.
+func (s *schedulingService) setWarmings(slowStarts map[string]admission.SlowStart) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.slowStarts = slowStarts
+	s.applySlowStarts()
+	s.decide()
 }
 
-func (d *schedulingService) applySlowStarts() {
-	for service, warming := range d.slowStarts {
-		d.scheduler.SetSlowStart(service, warming)
+func (s *schedulingService) applySlowStarts() {
+	for service, slowStart := range s.slowStarts {
+		s.scheduler.SetSlowStart(service, slowStart)
 	}
 }
 
-// setWarms lets the scheduler send to cold replicas while this node schedules for most others: at
-// most two nodes take themselves for that at a time. The caller holds the mutex.
-func (d *schedulingService) updateColdTraffic() {
-	if warms := d.isActive && d.quotaShare > majorityShare; warms != d.scheduler.ColdTrafficAllowed() {
-		d.scheduler.SetColdTrafficAllowed(d.clock(), warms)
+// updateColdTraffic lets the scheduler send to cold replicas while this node is active with a
+// majority of the nodes; at most two nodes regard themselves as that at a time. The caller holds
+// the mutex.
+func (s *schedulingService) updateColdTraffic() {
+	if allowed := s.isActive && s.quotaShare > majorityShare; allowed != s.scheduler.ColdTrafficAllowed() {
+		s.scheduler.SetColdTrafficAllowed(s.clock(), allowed)
 	}
 }
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -10,30 +10,30 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// juniorPause is the time between looks whether a node that is not senior has become so. Each
-// look wakes the process, which is paid for, and most nodes of a large fleet are not senior.
+// nonCandidateCheckInterval is the time between checks whether this node became a candidate. It is
+// long because each check wakes the process, and most nodes of a large fleet are no candidates.
 const nonCandidateCheckInterval = time.Second
 
-// slowNodeLoop measures by how much the timers of a node that may schedule are late, and tells
-// all nodes at once when it turns slow or well.
+// slowNodeLoop measures, while this node is a candidate, how late its timers are and how long fixed
+// work takes, and announces when the node becomes slow or recovers.
 func (n *Node) slowNodeLoop() {
-	gauge := newWorkProbe()
+	probe := newWorkProbe()
 	sleep := n.deps.Sleep
 	if sleep == nil {
 		sleep = sleepLateness
 	}
 	for n.ctx.Err() == nil {
 		n.mutex.Lock()
-		senior := n.isCandidate
+		isCandidate := n.isCandidate
 		n.mutex.Unlock()
-		if !senior {
-			// Others schedule while any of the senior nodes lives.
+		if !isCandidate {
+			// Other nodes schedule as long as any candidate lives.
 			n.sleep(nonCandidateCheckInterval)
 			continue
 		}
-		late, took := sleep(liveness.TimerLagInterval), gauge.run()
+		lateness, duration := sleep(liveness.TimerLagInterval), probe.run()
 		n.mutex.Lock()
-		changed := n.slowness.Observe(n.now(), late, took)
+		changed := n.slowness.Observe(n.now(), lateness, duration)
 		state := n.slowness
 		n.mutex.Unlock()
 		if changed {
@@ -42,18 +42,18 @@
 	}
 }
 
-// oversleep pauses and returns how late that ended.
+// sleepLateness sleeps and returns how late the sleep ended.
 func sleepLateness(pause time.Duration) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	time.Sleep(pause)
-	return time.Since(begun) - pause
+	return time.Since(start) - pause
 }
 
-// gaugeBytes is what the fixed work goes over: 2 to 3 microseconds on a machine in order,
-// fifty times a second.
+// workProbeBytes is the length of the input of the fixed work, a few microseconds on a healthy
+// machine.
 const workProbeBytes = 16 << 10
 
-// gauge is a fixed piece of work that needs a processor and nothing else.
+// workProbe is a fixed piece of work that needs only the processor.
 type workProbe struct {
 	content []byte
 	sum     uint64
@@ -62,20 +62,20 @@
 func newWorkProbe() *workProbe { return &workProbe{content: make([]byte, workProbeBytes)} }
 
 // run does the work and returns how long it took.
-func (g *workProbe) run() time.Duration {
-	begun := time.Now()
-	g.sum += xxhash.Sum64(g.content)
-	return time.Since(begun)
+func (p *workProbe) run() time.Duration {
+	start := time.Now()
+	p.sum += xxhash.Sum64(p.content)
+	return time.Since(start)
 }
 
-// noteSlow tells that this node turned slow, or is not any more.
+// reportSlowness logs and announces that this node became slow or recovered.
 func (n *Node) reportSlowness(state liveness.SlowNodeDetector) {
 	outcome := "well"
 	if state.Slow() {
 		outcome = "slow"
 		n.counter("slowness.turned_slow").Inc(1)
 	}
-	n.log.Write(eventlog.Event{Kind: "slowness", Outcome: outcome, Detail: fmt.Sprintf("timers %v late, work %.1f times as long", state.TimerLag(), state.Slowdown())})
+	n.log.Write(eventlog.Event{Kind: "slowness", Outcome: outcome, Detail: fmt.Sprintf("timers %v late, fixed work takes %.1f times the usual time", state.TimerLag(), state.Slowdown())})
 	n.sendHeartbeats()
 	n.selectScheduler()
 }
