--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -191,8 +191,8 @@
 
 // reportFirstEvent reports the start of a response to the scheduling node, in the background. It is
 // not sent again if it is lost.
-func (n *Node) reportFirstEvent(granted *grant, load int, said *pushback.Signals) {
-	message := &firstEventRequest{ID: granted.id, Load: load, Said: said}
+func (n *Node) reportFirstEvent(granted *grant, load int, signals *pushback.Signals) {
+	message := &firstEventRequest{ID: granted.id, Load: load, Said: signals}
 	if granted.address == "" {
 		n.scheduling.recordFirstEvent(message)
 		return
--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -26,11 +26,12 @@
 	maxDiscoveredPeers = 64
 	informedPercent    = 90
 	// peersPerHeartbeat is the number of nodes that one heartbeat to a newcomer names, and
-	// maxPeerListHeartbeats the number of such heartbeats.
+	// maxPeerListHeartbeats bounds the number of such heartbeats.
 	peersPerHeartbeat     = 16
 	maxPeerListHeartbeats = 26
 	// peerRequestInterval is the time between two requests for a peer list in a large fleet, and
-	// settlingInterval that within settlingTime of a start or a change of roles.
+	// settlingInterval that within settlingTime of a start or a change of roles, when delegates
+	// also send their heartbeats at that interval.
 	peerRequestInterval = 4 * time.Second
 	settlingInterval    = 300 * time.Millisecond
 	settlingTime        = 3 * time.Second
@@ -58,7 +59,7 @@
 }
 
 // recordDiscoveredPeers gathers the peers that a heartbeat names. When many nodes start at once,
-// each has its own idea of the delegates; the lists of the peers that know most nodes are used. The
+// each computes different delegates; the lists of the peers that know most nodes are used. The
 // caller holds the mutex.
 func (n *Node) recordDiscoveredPeers(heartbeat liveness.Heartbeat) {
 	if len(heartbeat.Peers) == 0 || heartbeat.FleetSize < n.discovered.fleetSize {
@@ -158,7 +159,7 @@
 	return true
 }
 
-// requestFleetSize asks a random seed for a heartbeat, which names the fleet's size: when many
+// requestFleetSize asks a random seed for a heartbeat, which contains the fleet's size: when many
 // nodes start at once, the seed knew few of them when it answered first.
 func (n *Node) requestFleetSize(heartbeat liveness.Heartbeat) {
 	if seeds := n.seedAddresses(); len(seeds) > 0 {
--- a/entry/discovery_test.go
+++ b/entry/discovery_test.go
@@ -11,7 +11,7 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// Guards against every contacted peer sending the whole peer list to a node that is already
+// Guards against every contacted peer sending the complete peer list to a node that is already
 // receiving one.
 func TestIncomingPeerListCountsAsKnown(t *testing.T) {
 	const peers = 39
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -18,15 +18,16 @@
 // Times and bounds of heartbeats. The interval grows with the number of nodes, so that one node's
 // cost does not.
 const (
+	// heartbeatInterval is the interval per nodesPerHeartbeatInterval nodes of a small fleet.
 	heartbeatInterval         = 100 * time.Millisecond
 	nodesPerHeartbeatInterval = 9
 	// maxCandidates is the number of candidates, the first eligible nodes in rendezvous order.
 	// Their heartbeats are at most maxCandidateInterval apart.
 	maxCandidates        = 8
 	maxCandidateInterval = 250 * time.Millisecond
-	// maxLargeFleetCandidates is the same for a large fleet. Its delegates send heartbeats each
-	// delegateInterval, which bounds the time until a partitioned zone is found, and its other
-	// nodes each nonDelegateInterval.
+	// maxLargeFleetCandidates is the number of candidates in a large fleet. Its delegates send a
+	// heartbeat each delegateInterval, which determines how soon a partitioned zone is found, and
+	// its other nodes each nonDelegateInterval.
 	maxLargeFleetCandidates = 3
 	delegateInterval        = 500 * time.Millisecond
 	nonDelegateInterval     = time.Second
@@ -104,9 +105,9 @@
 // of the scheduling service, cancels requests past their deadline and closes idle connections to
 // replicas, which may be broken without notice.
 func (n *Node) handleResume(pause time.Duration) {
-	overdue := n.calls.cancelExpired(n.now())
+	cancelled := n.calls.cancelExpired(n.now())
 	n.pool.CloseRested(0)
-	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", Age: pause.Milliseconds(), Count: overdue})
+	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", Age: pause.Milliseconds(), Count: cancelled})
 	n.mutex.Lock()
 	all, policies := n.table.All(), n.policies
 	n.mutex.Unlock()
--- a/entry/scheduling_rollout.go
+++ b/entry/scheduling_rollout.go
@@ -47,7 +47,7 @@
 	}
 	controller.Adopt(known)
 	inputs.Busy = max(inputs.Busy, s.scheduler.InFlightAt(service))
-	inputs.Longest = s.longestAnswers[service]
+	inputs.Longest = s.maxResponseTimes[service]
 	return controller.Propose(s.clock(), inputs)
 }
 
@@ -69,16 +69,16 @@
 	}
 }
 
-// longestDecayFraction is the weight of a shorter response in the running maximum of a service's
-// response times.
-const longestDecayFraction = 0.02
+// responseTimeDecayFraction is the weight of a shorter response in the decaying maximum of a
+// service's response times.
+const responseTimeDecayFraction = 0.02
 
 // recordRolloutResult records the end of a request as evidence for its service's roll-out. The
 // caller holds the mutex.
 func (s *schedulingService) recordRolloutResult(ended admission.Completion, observed admission.Observation, isNotRun bool) {
 	if observed.Duration > 0 {
-		before := s.longestAnswers[ended.Service]
-		s.longestAnswers[ended.Service] = max(observed.Duration, before-time.Duration(longestDecayFraction*float64(before-observed.Duration)))
+		before := s.maxResponseTimes[ended.Service]
+		s.maxResponseTimes[ended.Service] = max(observed.Duration, before-time.Duration(responseTimeDecayFraction*float64(before-observed.Duration)))
 	}
 	controller, found := s.controllers[ended.Service]
 	if !found || isNotRun {
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -69,7 +69,7 @@
 	pending          map[string]chan admission.Decision
 	charges          map[string]requestCharge
 	recentRejections *rejections.Recent
-	// controllers step the roll-outs of services while this node is active; longestAnswers has a
+	// controllers step the roll-outs of services while this node is active; maxResponseTimes has a
 	// decaying maximum of each service's response times.
 	rolloutPolicy rollout.Policy
 	// poisonTracker holds the poison records. Reset keeps it: a crash stays true whichever node
@@ -79,7 +79,7 @@
 	// state.
 	onPoisonTransition func(outcome string, record poisonrecords.Record)
 	controllers        map[string]*rollout.Controller
-	longestAnswers     map[string]time.Duration
+	maxResponseTimes   map[string]time.Duration
 	timer              *time.Timer
 	// decidedAt is the time of the last round of decisions.
 	decidedAt structs.Instant
@@ -111,7 +111,7 @@
 	s.pending = map[string]chan admission.Decision{}
 	s.charges = map[string]requestCharge{}
 	s.recentRejections = rejections.New()
-	s.controllers, s.longestAnswers = map[string]*rollout.Controller{}, map[string]time.Duration{}
+	s.controllers, s.maxResponseTimes = map[string]*rollout.Controller{}, map[string]time.Duration{}
 }
 
 // reset drops all assignments and queued requests after a suspension, in which other nodes may have
--- a/entry/scheduling_service_test.go
+++ b/entry/scheduling_service_test.go
@@ -52,9 +52,9 @@
 		defer service.timer.Stop()
 		service.setActive(true)
 		count := 0
-		submit := func(first, repeat bool) string {
+		submit := func(first, retry bool) string {
 			count++
-			_, rejection := service.submit(&assignRequest{First: first, Repeat: repeat, Request: admission.Request{ID: fmt.Sprint(count), Node: "n", Service: "s"}})
+			_, rejection := service.submit(&assignRequest{First: first, Repeat: retry, Request: admission.Request{ID: fmt.Sprint(count), Node: "n", Service: "s"}})
 			if rejection != nil {
 				return rejection.Reason
 			}
