--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -179,8 +179,9 @@
 }
 
 // silentNodeAddresses returns the addresses of the silent nodes that get the next heartbeat: they
-// may be back, or a partition may have healed. In a large fleet these are more of them while roles
-// change, as a new delegate knows its zone's nodes by name only. The caller holds the mutex.
+// may be back, or a partition may have healed. In a large fleet all of them get each heartbeat while
+// roles change, as a new delegate knows its zone's nodes by name only, but never more than
+// maxSilentRecipients. The caller holds the mutex.
 func (n *Node) silentNodeAddresses(now structs.Instant) []string {
 	var addresses []string
 	for _, member := range n.members.All(now) {
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -17,8 +17,8 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Poison records are exchanged as follows (coordination/poison): the node that sees a crash reports it to
-// the scheduling node with the end of the request; other nodes see in heartbeats that records
+// Poison records (coordination/poison) are exchanged as follows: the node that sees a crash reports
+// it to the scheduling node with the end of the request; other nodes see in heartbeats that records
 // changed and pull them; records of blocked requests are also written to the store, which survives
 // the loss of all nodes.
 
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -12,8 +12,8 @@
 )
 
 // startupFullShareTime is the age of the process up to which it counts as connected to all nodes,
-// whose heartbeats arrive within that time. Using the share of nodes received from so far
-// would shrink restored buckets and reject tenants below their quotas.
+// whose heartbeats arrive within that time. The share of nodes received from so far would
+// shrink restored buckets, and tenants below their quotas would be rejected.
 const startupFullShareTime = heartbeatInterval
 
 // minSelectionInterval is the minimum time between selections in a large fleet. A selection
