--- a/entry/rollout_restore.go
+++ b/entry/rollout_restore.go
@@ -6,10 +6,10 @@
 	"github.com/thornwalk/thornwalk/state/rollouts"
 )
 
-// lostRollouts returns the services whose records the store lost when it came back from a copy, as
-// far as this node knows, at the node that schedules.
+// lostRollouts returns the services whose records the restored store lacks, as far as this node
+// knows; nil if this node is not the active scheduler.
 func (n *Node) lostRollouts() []string {
-	if !n.schedules() {
+	if !n.isActiveScheduler() {
 		return nil
 	}
 	n.mutex.Lock()
@@ -17,10 +17,11 @@
 	return n.rollouts.ServicesToRewrite(n.era.present)
 }
 
-// restoreRollout writes a record again that the store lost, unless the store knows better. Until
-// then the roll-out is not stepped: a step goes by a revision that may belong to another value now.
+// restoreRollout writes a record again that the restored store lacks, unless the store has a newer
+// one. Until then the roll-out is not stepped, as the record's position may belong to another value
+// in the restored store.
 func (n *Node) restoreRollout(service string) {
-	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
 	stored, err := n.deps.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
@@ -47,7 +48,7 @@
 	written, err := n.deps.Rollouts.WriteRollout(ctx, record)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
-		return // read again with the next step
+		return // read again in the next round
 	}
 	n.counter("rollouts.restored").Inc(1)
 	record.Position = written
