--- a/node/backend.go
+++ b/node/backend.go
@@ -20,52 +20,52 @@
 const (
 	// resumeWindow is how long a broken answer is asked for again, and
 	// resumePause the time between tries.
-	resumeWindow = 10 * time.Second
-	resumePause  = 100 * time.Millisecond
+	resumeWindow   = 10 * time.Second
+	resumeInterval = 100 * time.Millisecond
 	// reorderLimit bounds events that wait for an earlier one.
-	reorderLimit = 256
+	maxReorderedEvents = 256
 	// maximumAnswerBytes bounds one answer.
-	maximumAnswerBytes = 32 << 20
+	maxAnswerBytes = 32 << 20
 	// cancelTimeout bounds the message that ends a request at its engine.
 	cancelTimeout = time.Second
 	// serviceChunk is the size of the pieces in which a service's body is read.
-	serviceChunk = 32 << 10
+	serviceChunkBytes = 32 << 10
 )
 
 // generate dispatches to an engine and reads the answer to its end, resuming it
 // when the stream breaks. Errors that wrap oneshot.ErrNotSent prove that
 // nothing was sent.
-func (n *Node) generate(x *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
-	body, err := x.call.generation.EngineBody(engineModel(x), int(x.request.Rank), x.request.MaxTokens)
+func (n *Node) generate(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
+	body, err := exec.call.generation.EngineBody(requestEngineModel(exec), int(exec.request.Rank), exec.request.MaxTokens)
 	if err != nil {
 		return structs.OutcomeNotRun, errkind.Wrap(errkind.BadRequest, err)
 	}
 	path := openai.PathCompletions
-	if x.call.generation.Chat {
+	if exec.call.generation.Chat {
 		path = openai.PathChat
 	}
-	stream, err := n.adapter.Generate(x.ctx, replica.Address, &backendhttp.Generation{ID: x.request.ID, Path: path, Body: body, BeforeFirstByte: beforeFirstByte})
+	stream, err := n.adapter.Generate(exec.ctx, replica.Address, &backendhttp.Generation{ID: exec.request.ID, Path: path, Body: body, BeforeFirstByte: beforeFirstByte})
 	if errors.Is(err, oneshot.ErrNotSent) {
 		return structs.OutcomePending, err
 	}
-	reader := &eventReader{node: n, request: x.request, address: replica.Address, answer: x.answer}
-	outcome, err := reader.read(x.ctx, stream, err)
-	x.tokens = reader.tokens
-	if x.ctx.Err() != nil && outcome == structs.OutcomeUnknown {
-		n.cancelAt(replica.Address, x.request.ID)
+	reader := &eventReader{node: n, request: exec.request, address: replica.Address, answer: exec.answer}
+	outcome, err := reader.read(exec.ctx, stream, err)
+	exec.tokens = reader.tokens
+	if exec.ctx.Err() != nil && outcome == structs.OutcomeUnknown {
+		n.cancelAtEngine(replica.Address, exec.request.ID)
 	}
 	return outcome, err
 }
 
-func engineModel(x *execution) string {
-	if x.request.Adapter != "" {
-		return x.request.Adapter
+func requestEngineModel(exec *execution) string {
+	if exec.request.Adapter != "" {
+		return exec.request.Adapter
 	}
-	return x.request.Model
+	return exec.request.Model
 }
 
 // cancelAt ends the request at the engine, best effort.
-func (n *Node) cancelAt(address, id string) {
+func (n *Node) cancelAtEngine(address, id string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(n.ctx), cancelTimeout)
 	defer cancel()
 	if n.ctx.Err() != nil {
@@ -78,14 +78,14 @@
 // taken in the order of their numbers, each once; those of another request are
 // dropped.
 type eventReader struct {
-	node    *Node
-	request *structs.Request
-	address string
-	answer  *answer.Answer
-	last    int
-	ahead   map[int][]byte
-	tokens  int
-	bytes   int
+	node       *Node
+	request    *structs.Request
+	address    string
+	answer     *answer.Answer
+	lastNumber int
+	outOfOrder map[int][]byte
+	tokens     int
+	bytes      int
 }
 
 // read reads to the end. The stream may be nil with the error that opening it
@@ -94,30 +94,30 @@
 	since := time.Now()
 	for {
 		if stream != nil {
-			before := r.last
-			err = r.consume(ctx, stream)
+			before := r.lastNumber
+			err = r.readStream(ctx, stream)
 			stream.Close()
 			if err == nil {
 				return structs.OutcomeAnswered, nil
 			}
-			if r.last > before {
+			if r.lastNumber > before {
 				since = time.Now()
 			}
 		}
-		if refused := asRefusal(err); refused != nil {
+		if refused := engineError(err); refused != nil {
 			return structs.OutcomeUnknown, refused
 		}
-		if time.Since(since) > resumeWindow || !wait.For(ctx, resumePause) {
+		if time.Since(since) > resumeWindow || !wait.For(ctx, resumeInterval) {
 			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "the answer broke off: %v", err)
 		}
 		r.node.count("answer.resumed")
-		stream, err = r.node.adapter.Resume(ctx, r.address, r.request.ID, r.last)
+		stream, err = r.node.adapter.Resume(ctx, r.address, r.request.ID, r.lastNumber)
 	}
 }
 
 // asRefusal returns an error if the engine itself refused, so that trying again
 // is of no use: it does not know the request, or it answered with an error.
-func asRefusal(err error) error {
+func engineError(err error) error {
 	var status *backendhttp.StatusError
 	if !errors.As(err, &status) {
 		return nil
@@ -126,75 +126,75 @@
 }
 
 // consume reads one stream; nil means that the answer is whole.
-func (r *eventReader) consume(ctx context.Context, stream *backendhttp.Stream) error {
+func (r *eventReader) readStream(ctx context.Context, stream *backendhttp.Stream) error {
 	for {
 		event, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			if len(r.ahead) > 0 {
-				clear(r.ahead)
+			if len(r.outOfOrder) > 0 {
+				clear(r.outOfOrder)
 				return io.ErrUnexpectedEOF
 			}
 			return nil
 		}
 		if err != nil {
-			clear(r.ahead)
+			clear(r.outOfOrder)
 			return err
 		}
-		if err := r.take(ctx, event); err != nil {
+		if err := r.handleEvent(ctx, event); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *eventReader) take(ctx context.Context, event backendhttp.Event) error {
+func (r *eventReader) handleEvent(ctx context.Context, event backendhttp.Event) error {
 	chunk, err := openai.ParseChunk(event.Data)
-	if err != nil || chunk.ID != r.request.ID || event.Number <= r.last {
+	if err != nil || chunk.ID != r.request.ID || event.Number <= r.lastNumber {
 		r.node.count("answer.dropped-events")
 		return nil
 	}
-	if event.Number > r.last+1 {
-		if r.ahead == nil {
-			r.ahead = map[int][]byte{}
+	if event.Number > r.lastNumber+1 {
+		if r.outOfOrder == nil {
+			r.outOfOrder = map[int][]byte{}
 		}
-		if len(r.ahead) >= reorderLimit {
-			clear(r.ahead)
+		if len(r.outOfOrder) >= maxReorderedEvents {
+			clear(r.outOfOrder)
 			return io.ErrUnexpectedEOF
 		}
-		r.ahead[event.Number] = event.Data
+		r.outOfOrder[event.Number] = event.Data
 		return nil
 	}
-	if err := r.accept(ctx, event.Data, chunk); err != nil {
+	if err := r.appendEvent(ctx, event.Data, chunk); err != nil {
 		return err
 	}
 	for {
-		data, waiting := r.ahead[r.last+1]
-		if !waiting {
+		data, found := r.outOfOrder[r.lastNumber+1]
+		if !found {
 			return nil
 		}
-		delete(r.ahead, r.last+1)
+		delete(r.outOfOrder, r.lastNumber+1)
 		if chunk, err = openai.ParseChunk(data); err != nil {
 			return err
 		}
-		if err := r.accept(ctx, data, chunk); err != nil {
+		if err := r.appendEvent(ctx, data, chunk); err != nil {
 			return err
 		}
 	}
 }
 
 // accept passes the next event on.
-func (r *eventReader) accept(ctx context.Context, data []byte, chunk *openai.Chunk) error {
-	if err := faultpoint.Reach(ctx, r.node.depend.Faults, faultpoint.Stream, r.request.ID); err != nil {
+func (r *eventReader) appendEvent(ctx context.Context, data []byte, chunk *openai.Chunk) error {
+	if err := faultpoint.Reach(ctx, r.node.deps.Faults, faultpoint.Stream, r.request.ID); err != nil {
 		return err
 	}
-	r.last++
+	r.lastNumber++
 	r.bytes += len(data)
-	if r.bytes > maximumAnswerBytes {
+	if r.bytes > maxAnswerBytes {
 		return &backendhttp.StatusError{Status: http.StatusBadGateway, Body: "the answer is too large"}
 	}
 	if chunk.HasText() {
 		r.tokens++
 		if r.tokens == 1 {
-			r.node.firstToken(r.request)
+			r.node.recordFirstToken(r.request)
 		}
 	}
 	if chunk.Usage != nil {
@@ -204,19 +204,19 @@
 	return nil
 }
 
-func (n *Node) firstToken(request *structs.Request) {
+func (n *Node) recordFirstToken(request *structs.Request) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.scheduler.FirstToken(n.now(), request.ID)
-	n.observe("ttft."+request.Tier, n.now()-request.Arrived)
+	n.recordDuration("ttft."+request.Tier, n.now()-request.Arrived)
 }
 
 // callService dispatches to a plain service and reads its response. It can't be
 // resumed: a response that breaks off ends as unknown.
-func (n *Node) callService(x *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
-	service := x.call.service
-	response, err := n.adapter.Call(x.ctx, replica.Address, &backendhttp.ServiceCall{
-		ID: x.request.ID, Method: service.method, Path: service.path, Header: service.header, Body: x.call.body, BeforeFirstByte: beforeFirstByte,
+func (n *Node) callService(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
+	service := exec.call.service
+	response, err := n.adapter.Call(exec.ctx, replica.Address, &backendhttp.ServiceCall{
+		ID: exec.request.ID, Method: service.method, Path: service.path, Header: service.header, Body: exec.call.body, BeforeFirstByte: beforeFirstByte,
 	})
 	if errors.Is(err, oneshot.ErrNotSent) {
 		return structs.OutcomePending, err
@@ -225,25 +225,25 @@
 		return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "%v", err)
 	}
 	defer response.Body.Close()
-	x.answer.SetHead(answer.ResponseHead{Status: response.StatusCode, Header: response.Header})
-	return n.copyBody(x, response.Body)
+	exec.answer.SetHead(answer.ResponseHead{Status: response.StatusCode, Header: response.Header})
+	return n.copyBody(exec, response.Body)
 }
 
-func (n *Node) copyBody(x *execution, body io.Reader) (structs.Outcome, error) {
+func (n *Node) copyBody(exec *execution, body io.Reader) (structs.Outcome, error) {
 	total := 0
 	for {
-		if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Stream, x.request.ID); err != nil {
+		if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Stream, exec.request.ID); err != nil {
 			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "%v", err)
 		}
-		piece := make([]byte, serviceChunk)
-		count, err := body.Read(piece)
+		chunk := make([]byte, serviceChunkBytes)
+		count, err := body.Read(chunk)
 		if total += count; count > 0 {
-			x.answer.Append(piece[:count])
+			exec.answer.Append(chunk[:count])
 		}
 		if errors.Is(err, io.EOF) {
 			return structs.OutcomeAnswered, nil
 		}
-		if err == nil && total > maximumAnswerBytes {
+		if err == nil && total > maxAnswerBytes {
 			err = errors.New("the answer is too large")
 		}
 		if err != nil {
--- a/node/callers.go
+++ b/node/callers.go
@@ -20,13 +20,13 @@
 
 // Paths of the callers' interface beside the OpenAI-compatible ones.
 const (
-	PathServices = "/services/{name}"
-	PathTickets  = "/v1/tickets"
-	PathRequests = "/v1/requests"
-	PathInternal = "/internal/answers/"
-	PathLive     = "/livez"
-	PathReady    = "/readyz"
-	PathMetrics  = "/metrics"
+	PathServices        = "/services/{name}"
+	PathTickets         = "/v1/tickets"
+	PathRequests        = "/v1/requests"
+	PathInternalAnswers = "/internal/answers/"
+	PathLive            = "/livez"
+	PathReady           = "/readyz"
+	PathMetrics         = "/metrics"
 )
 
 // callerHandler is the callers' interface.
@@ -41,7 +41,7 @@
 	router.HandleFunc(PathRequests+"/{id}", n.withTenant(n.serveStatus)).Methods(http.MethodGet)
 	router.HandleFunc(PathRequests+"/{id}/answer", n.withTenant(n.serveAnswer)).Methods(http.MethodGet)
 	router.PathPrefix(PathServices).HandlerFunc(n.withTenant(n.serveService))
-	router.HandleFunc(PathInternal+"{id}", n.serveInternal).Methods(http.MethodGet)
+	router.HandleFunc(PathInternalAnswers+"{id}", n.serveRelay).Methods(http.MethodGet)
 	router.HandleFunc(PathLive, func(http.ResponseWriter, *http.Request) {})
 	router.HandleFunc(PathReady, n.serveReady)
 	router.HandleFunc(PathMetrics, func(writer http.ResponseWriter, _ *http.Request) { metrics.WriteJSONOnce(n.metrics, writer) })
@@ -83,29 +83,29 @@
 		return
 	}
 	c, err := n.resolveCompletion(request, tenant, body, chat)
-	found, answered := n.take(writer, request, c, err)
+	ans, answered := n.startOrForward(writer, request, c, err)
 	if answered {
 		return
 	}
-	n.writeGeneration(writer, request, found, c.generation.Stream, c.generation.IncludeUsage, 0)
+	n.writeGeneration(writer, request, ans, c.generation.Stream, c.generation.IncludeUsage, 0)
 }
 
 // take begins a call that was resolved, or forwards it to the process of its
 // ticket. It returns true if the caller was answered already.
-func (n *Node) take(writer http.ResponseWriter, request *http.Request, c *call, err error) (*answer.Answer, bool) {
+func (n *Node) startOrForward(writer http.ResponseWriter, request *http.Request, c *call, err error) (*answer.Answer, bool) {
 	if err != nil {
 		n.writeError(writer, err, "", "")
 		return nil, true
 	}
-	if c.ticket != "" && n.forwardTicket(writer, request, c) {
+	if c.ticket != "" && n.forwardToTicketOwner(writer, request, c) {
 		return nil, true
 	}
-	found, err := n.begin(request.Context(), c)
+	ans, err := n.startExecution(request.Context(), c)
 	if err != nil {
 		n.writeError(writer, err, "", "")
 		return nil, true
 	}
-	return found, false
+	return ans, false
 }
 
 func (n *Node) serveService(writer http.ResponseWriter, request *http.Request, tenant *settings.Named) {
@@ -120,11 +120,11 @@
 		path = "/"
 	}
 	c, err := n.resolveService(request, tenant, name, path, body)
-	found, answered := n.take(writer, request, c, err)
+	ans, answered := n.startOrForward(writer, request, c, err)
 	if answered {
 		return
 	}
-	n.writeService(writer, request, found)
+	n.writeService(writer, request, ans)
 }
 
 func (n *Node) serveModels(writer http.ResponseWriter, _ *http.Request, _ *settings.Named) {
@@ -145,7 +145,7 @@
 }
 
 func (n *Node) serveTicket(writer http.ResponseWriter, _ *http.Request, tenant *settings.Named) {
-	if n.refusing.Load() || n.draining.Load() {
+	if n.rejecting.Load() || n.draining.Load() {
 		n.writeError(writer, errkind.New(errkind.Stopping, "%s is stopping", n.config.Name), "", "")
 		return
 	}
@@ -167,9 +167,9 @@
 	Node      string `json:"node,omitempty"`
 }
 
-func statusOf(found *answer.Answer) RequestStatus {
-	view, _ := found.Snapshot(0)
-	status := RequestStatus{RequestID: found.RequestID, State: "waiting", Receipt: view.Receipt}
+func statusOf(ans *answer.Answer) RequestStatus {
+	view, _ := ans.Snapshot(0)
+	status := RequestStatus{RequestID: ans.RequestID, State: "waiting", Receipt: view.Receipt}
 	switch {
 	case view.Ended:
 		status.State, status.Outcome = "ended", view.Outcome.String()
@@ -183,31 +183,31 @@
 }
 
 func (n *Node) serveStatus(writer http.ResponseWriter, request *http.Request, tenant *settings.Named) {
-	found, err := n.findAnswer(request.Context(), mux.Vars(request)["id"], request.Header.Get(HeaderReceipt), tenant.Name)
+	ans, err := n.findAnswer(request.Context(), mux.Vars(request)["id"], request.Header.Get(HeaderReceipt), tenant.Name)
 	if err != nil {
 		n.writeError(writer, err, mux.Vars(request)["id"], "")
 		return
 	}
-	settle(request.Context(), found)
-	writeJSON(writer, http.StatusOK, statusOf(found))
+	awaitKnownState(request.Context(), ans)
+	writeJSON(writer, http.StatusOK, statusOf(ans))
 }
 
 func (n *Node) serveAnswer(writer http.ResponseWriter, request *http.Request, tenant *settings.Named) {
-	found, err := n.findAnswer(request.Context(), mux.Vars(request)["id"], request.Header.Get(HeaderReceipt), tenant.Name)
+	ans, err := n.findAnswer(request.Context(), mux.Vars(request)["id"], request.Header.Get(HeaderReceipt), tenant.Name)
 	if err != nil {
 		n.writeError(writer, err, mux.Vars(request)["id"], "")
 		return
 	}
-	view, err := found.Await(request.Context(), 0, 0)
+	view, err := ans.Await(request.Context(), 0, 0)
 	if err != nil {
 		return
 	}
 	if view.Head != nil {
-		n.writeService(writer, request, found)
+		n.writeService(writer, request, ans)
 		return
 	}
 	stream := request.Header.Get("Accept") == "text/event-stream"
-	n.writeGeneration(writer, request, found, stream, true, lastEventID(request))
+	n.writeGeneration(writer, request, ans, stream, true, lastEventID(request))
 }
 
 // serveLookupByKey answers what is known of the request under a key.
@@ -217,7 +217,7 @@
 		n.writeError(writer, errkind.New(errkind.BadRequest, "send the key in %s", HeaderIdempotencyKey), "", "")
 		return
 	}
-	entry, found := n.lookup(request.Context(), key)
+	entry, found := n.lookupKey(request.Context(), key)
 	if !found {
 		n.writeError(writer, errkind.New(errkind.NotFound, "no request under this key is remembered in the zone"), "", "")
 		return
@@ -239,12 +239,12 @@
 		}
 		return own, nil
 	}
-	name, process, valid := nodeOf(id)
+	name, process, valid := parseRequestID(id)
 	if !valid {
 		return nil, errkind.New(errkind.NotFound, "%q is no request id", id)
 	}
-	if address, found := n.addressOf(name, uint64(process)); found {
-		return n.relay(address, id, tenant, sealed), nil
+	if address, found := n.callerAddressOf(name, uint64(process)); found {
+		return n.relayAnswer(address, id, tenant, sealed), nil
 	}
 	if sealed == "" {
 		return nil, errkind.New(errkind.NotFound, "the process that took request %s is gone: send the receipt in %s", id, HeaderReceipt)
@@ -256,12 +256,12 @@
 	if opened.RequestID != id {
 		return nil, errkind.New(errkind.BadReceipt, "the receipt belongs to another request")
 	}
-	return n.adopt(ctx, sealed, tenant)
+	return n.resumeByReceipt(ctx, sealed, tenant)
 }
 
 // addressOf returns where the process of a node serves callers: by membership
 // in this zone, by the machine list in others.
-func (n *Node) addressOf(name string, process uint64) (string, bool) {
+func (n *Node) callerAddressOf(name string, process uint64) (string, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if known, found := n.table.Get(name); found && name != n.config.Name {
@@ -276,9 +276,9 @@
 }
 
 // lookup asks the keepers for the entry of a key.
-func (n *Node) lookup(ctx context.Context, key registry.Key) (registry.Entry, bool) {
-	for _, keeper := range n.keepers(key) {
-		reply, err := ask(ctx, n, keeper, kindLookup, &key, n.serveRegistryLookup)
+func (n *Node) lookupKey(ctx context.Context, key registry.Key) (registry.Entry, bool) {
+	for _, keeper := range n.registryNodes(key) {
+		reply, err := callOrServe(ctx, n, keeper, kindLookup, &key, n.serveRegistryLookup)
 		if err == nil && reply.Found {
 			return reply.Entry, true
 		}
--- a/node/claiming.go
+++ b/node/claiming.go
@@ -25,26 +25,26 @@
 )
 
 // claim takes the right to dispatch from the platform's store.
-func (n *Node) claim(x *execution, replica structs.Replica) error {
-	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Claim, x.request.ID); err != nil {
+func (n *Node) acquireClaim(exec *execution, replica structs.Replica) error {
+	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Claim, exec.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
 	}
-	ctx, cancel := context.WithTimeout(x.ctx, claimTimeout)
+	ctx, cancel := context.WithTimeout(exec.ctx, claimTimeout)
 	defer cancel()
-	x.claimed = true // it may exist from here on, whatever is answered
-	begun := time.Now()
+	exec.claimed = true // it may exist from here on, whatever is answered
+	started := time.Now()
 	result, err := n.commitClaim(ctx, &claimRequest{
-		Tenant: x.call.tenant.Name, Key: x.call.key,
-		Claim: claims.Claim{BodyHash: x.call.bodyHash, RequestID: x.request.ID, Address: replica.Address, Engine: x.call.service == nil},
+		Tenant: exec.call.tenant.Name, Key: exec.call.key,
+		Claim: claims.Claim{BodyHash: exec.call.bodyHash, RequestID: exec.request.ID, Address: replica.Address, Engine: exec.call.service == nil},
 	})
-	n.observe("claim", time.Since(begun))
+	n.recordDuration("claim", time.Since(started))
 	if err != nil {
 		return err
 	}
 	if result.Granted {
 		return nil
 	}
-	x.claimed = false
+	exec.claimed = false
 	return &heldClaimError{holder: result.Holder, err: errkind.New(errkind.OutcomeUnknown, "request %s holds the claim of this key", result.Holder.RequestID)}
 }
 
@@ -82,10 +82,10 @@
 			return claims.Result{Granted: reply.Granted, Holder: reply.Holder}, err
 		}
 	}
-	return n.commitHere(ctx, message)
+	return n.commitLocally(ctx, message)
 }
 
-func (n *Node) commitHere(ctx context.Context, message *claimRequest) (claims.Result, error) {
+func (n *Node) commitLocally(ctx context.Context, message *claimRequest) (claims.Result, error) {
 	if message.Release {
 		return claims.Result{}, n.claims.Release(ctx, message.Tenant, message.Key, message.Claim.RequestID)
 	}
@@ -95,7 +95,7 @@
 func (n *Node) serveClaim(ctx context.Context, message *claimRequest) (*claimReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, writerTimeout)
 	defer cancel()
-	result, err := n.commitHere(ctx, message)
+	result, err := n.commitLocally(ctx, message)
 	return &claimReply{Granted: result.Granted, Holder: result.Holder}, err
 }
 
@@ -110,29 +110,29 @@
 
 // followHolder reads the answer of the request that holds the claim from where
 // the claim says that it went.
-func (n *Node) followHolder(x *execution, held *heldClaimError) (structs.Outcome, error) {
-	holder := held.holder
+func (n *Node) readHolderAnswer(exec *execution, heldClaim *heldClaimError) (structs.Outcome, error) {
+	holder := heldClaim.holder
 	if !holder.Engine {
-		return structs.OutcomeUnknown, held.err
+		return structs.OutcomeUnknown, heldClaim.err
 	}
-	stream, err := n.adapter.Resume(x.ctx, holder.Address, holder.RequestID, 0)
+	stream, err := n.adapter.Resume(exec.ctx, holder.Address, holder.RequestID, 0)
 	if err != nil {
-		return structs.OutcomeUnknown, held.err
+		return structs.OutcomeUnknown, heldClaim.err
 	}
-	x.answer.SetSource(holder.RequestID)
-	reader := &eventReader{node: n, request: &structs.Request{ID: holder.RequestID}, address: holder.Address, answer: x.answer}
-	return reader.read(x.ctx, stream, nil)
+	exec.answer.SetSource(holder.RequestID)
+	reader := &eventReader{node: n, request: &structs.Request{ID: holder.RequestID}, address: holder.Address, answer: exec.answer}
+	return reader.read(exec.ctx, stream, nil)
 }
 
 // releaseClaim gives back the claim of a request that certainly did not run,
 // without keeping its caller waiting.
-func (n *Node) releaseClaim(x *execution) {
+func (n *Node) releaseClaim(exec *execution) {
 	n.group.Go(func() {
 		ctx, cancel := context.WithTimeout(n.ctx, releaseTimeout)
 		defer cancel()
-		_, err := n.commitClaim(ctx, &claimRequest{Tenant: x.call.tenant.Name, Key: x.call.key, Claim: claims.Claim{RequestID: x.request.ID}, Release: true})
+		_, err := n.commitClaim(ctx, &claimRequest{Tenant: exec.call.tenant.Name, Key: exec.call.key, Claim: claims.Claim{RequestID: exec.request.ID}, Release: true})
 		if err != nil {
-			klog.V(1).InfoS("claim not released", "node", n.config.Name, "request", x.request.ID, "error", err.Error())
+			klog.V(1).InfoS("claim not released", "node", n.config.Name, "request", exec.request.ID, "error", err.Error())
 		}
 	})
 }
--- a/node/config.go
+++ b/node/config.go
@@ -40,7 +40,7 @@
 }
 
 // minimumKey is the least length of the receipt key, in bytes.
-const minimumKey = 16
+const minReceiptKeyBytes = 16
 
 // Validate returns an error of kind InvalidSettings that names the fault.
 func (c *Config) Validate() error {
@@ -53,8 +53,8 @@
 		return errkind.New(errkind.InvalidSettings, "there is no receipt key: share one among all nodes")
 	}
 	for _, key := range c.ReceiptKeys {
-		if len(key) < minimumKey {
-			return errkind.New(errkind.InvalidSettings, "a receipt key has %d bytes: use at least %d", len(key), minimumKey)
+		if len(key) < minReceiptKeyBytes {
+			return errkind.New(errkind.InvalidSettings, "a receipt key has %d bytes: use at least %d", len(key), minReceiptKeyBytes)
 		}
 	}
 	return nil
--- a/node/digest.go
+++ b/node/digest.go
@@ -39,13 +39,13 @@
 const (
 	// rareEvery is how many reports of a replica pass between two that carry the
 	// rare part though it did not change, for nodes that missed the change.
-	rareEvery = 16
+	reportsPerRarePart = 16
 	// paceTolerance is the change of an engine's pace that is told at once.
-	paceTolerance = 0.15
+	speedTolerance = 0.15
 )
 
 // shorten returns the digest of a report, with its rare part or without.
-func shorten(report *structs.LoadReport, withRare bool) digest {
+func newDigest(report *structs.LoadReport, withRare bool) digest {
 	short := digest{
 		Replica: report.Replica, AgeMS: uint32(report.Age.Milliseconds()), Running: uint32(report.Running), Waiting: uint32(report.Waiting),
 		WaitingTokens: uint32(report.WaitingTokens), KVFreePercent: uint8(100 * min(max(report.KVFree, 0), 1)), Leaving: report.Leaving,
@@ -59,7 +59,7 @@
 // isWhole returns whether the digest gives a whole report to a node that has an
 // earlier report of the replica or not. Without its rare part, and without an
 // earlier report to take that from, the replica would seem to hold no model.
-func (d *digest) isWhole(hasReport bool) bool { return d.Rare != nil || hasReport }
+func (d *digest) isApplicable(hasReport bool) bool { return d.Rare != nil || hasReport }
 
 // expand returns the report; what the digest leaves out is as it was before.
 func (d *digest) expand(before *structs.LoadReport) structs.LoadReport {
@@ -79,7 +79,7 @@
 // rareChanged returns whether the rare part should be told at once.
 func rareChanged(before, after *structs.LoadReport) bool {
 	return before.Slots != after.Slots || before.Role != after.Role || !sameModels(before.Models, after.Models) ||
-		moved(before.PrefillRate, after.PrefillRate) || moved(float64(before.StepTime), float64(after.StepTime))
+		exceedsTolerance(before.PrefillRate, after.PrefillRate) || exceedsTolerance(float64(before.StepTime), float64(after.StepTime))
 }
 
 func sameModels(a, b []string) bool {
@@ -94,6 +94,6 @@
 	return true
 }
 
-func moved(before, after float64) bool {
-	return after > before*(1+paceTolerance) || after < before*(1-paceTolerance)
+func exceedsTolerance(before, after float64) bool {
+	return after > before*(1+speedTolerance) || after < before*(1-speedTolerance)
 }
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -21,9 +21,9 @@
 
 func TestDigestKeepsTheReport(t *testing.T) {
 	g := gomega.NewWithT(t)
-	whole := shorten(&sample, true)
+	whole := newDigest(&sample, true)
 	g.Expect(whole.expand(&structs.LoadReport{})).To(gomega.Equal(sample))
-	short := shorten(&sample, false)
+	short := newDigest(&sample, false)
 	g.Expect(short.expand(&sample)).To(gomega.Equal(sample), "what is left out stays")
 	moved := sample
 	moved.StepTime *= 2
@@ -37,16 +37,16 @@
 func TestDigestWithoutRarePartIsNoReportByItself(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := &Node{
-		scheduler: scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 1))),
-		reports:   gossip.NewBroadcastQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.RetransmitMinimal),
+		scheduler:   scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 1))),
+		reportQueue: gossip.NewBroadcastQueue[structs.ReplicaID, timestampedDigest](maxQueuedReports, gossip.RetransmitMinimal),
 	}
 	n.scheduler.View().Upsert(structs.Replica{ID: sample.Replica, Kind: structs.KindEngine})
 	state, _ := n.scheduler.View().Get(sample.Replica)
-	n.takeDigests([]digest{shorten(&sample, false)})
+	n.applyDigests([]digest{newDigest(&sample, false)})
 	g.Expect(state.HasReport).To(gomega.BeFalse())
 	newer := sample
 	newer.Age = 0
-	n.takeDigests([]digest{shorten(&newer, true)})
+	n.applyDigests([]digest{newDigest(&newer, true)})
 	g.Expect(state.HasReport).To(gomega.BeTrue())
 	g.Expect(state.Report.Models).To(gomega.Equal(sample.Models))
 }
@@ -57,7 +57,7 @@
 	for number := range reportsPerMessage {
 		report := sample
 		report.Replica = structs.ReplicaID(fmt.Sprintf("trakiya-e%d", number))
-		message.Reports = append(message.Reports, shorten(&report, false))
+		message.Reports = append(message.Reports, newDigest(&report, false))
 	}
 	b.ReportAllocs()
 	size := 0
--- a/node/execute.go
+++ b/node/execute.go
@@ -55,8 +55,8 @@
 	cancel  context.CancelFunc
 	entry   registry.Entry
 	// keepers are the members that the entry was registered with.
-	keepers []membership.Member
-	claimed bool
+	registryNodes []membership.Member
+	claimed       bool
 	// sent is true from the moment before the first byte is written.
 	sent   bool
 	tokens int
@@ -72,7 +72,7 @@
 }
 
 // nodeOf returns the node and process that minted a request id.
-func nodeOf(requestID string) (name string, process int64, valid bool) {
+func parseRequestID(requestID string) (name string, process int64, valid bool) {
 	parts := strings.Split(requestID, "_")
 	if len(parts) < 4 || parts[0] != requestIDPrefix {
 		return "", 0, false
@@ -83,152 +83,152 @@
 
 // begin admits a call and starts its execution. The returned answer may be
 // that of an earlier request that the call joins.
-func (n *Node) begin(ctx context.Context, c *call) (*answer.Answer, error) {
-	if n.refusing.Load() {
+func (n *Node) startExecution(ctx context.Context, c *call) (*answer.Answer, error) {
+	if n.rejecting.Load() {
 		return nil, errkind.New(errkind.Stopping, "%s is stopping", n.config.Name)
 	}
-	if err := faultpoint.Reach(ctx, n.depend.Faults, faultpoint.Accept, c.route); err != nil {
+	if err := faultpoint.Reach(ctx, n.deps.Faults, faultpoint.Accept, c.route); err != nil {
 		return nil, errkind.New(errkind.Stopping, "%v", err)
 	}
-	x := n.newExecution(c)
+	exec := n.newExecution(c)
 	if c.ticket != "" {
-		earlier, err := n.useTicket(c, x)
+		earlier, err := n.useTicket(c, exec)
 		if err != nil || earlier != nil {
 			return earlier, err
 		}
 	} else if c.key != "" {
-		if err := faultpoint.Reach(ctx, n.depend.Faults, faultpoint.Register, x.request.ID); err != nil {
+		if err := faultpoint.Reach(ctx, n.deps.Faults, faultpoint.Register, exec.request.ID); err != nil {
 			return nil, errkind.New(errkind.Stopping, "%v", err)
 		}
-		joined, err := n.identify(ctx, x)
+		joined, err := n.registerOrJoin(ctx, exec)
 		if err != nil || joined != nil {
 			return joined, err
 		}
 	}
-	if err := n.admit(x); err != nil {
-		n.endUnstarted(x, err)
+	if err := n.admit(exec); err != nil {
+		n.endNotAdmitted(exec, err)
 		return nil, err
 	}
-	n.group.Go(func() { n.run(x) })
+	n.group.Go(func() { n.run(exec) })
 	if c.key == "" && c.ticket == "" {
 		// Nobody can ask for this answer again, so that it ends with its caller.
-		stop := context.AfterFunc(ctx, x.cancel)
-		context.AfterFunc(x.ctx, func() { stop() })
+		stop := context.AfterFunc(ctx, exec.cancel)
+		context.AfterFunc(exec.ctx, func() { stop() })
 	}
-	return x.answer, nil
+	return exec.answer, nil
 }
 
 func (n *Node) newExecution(c *call) *execution {
 	id := n.newRequestID()
-	x := &execution{call: c, plans: make(chan structs.Plan, 1), answer: answer.New(id, c.tenant.Name)}
-	x.ctx, x.cancel = context.WithCancel(n.ctx)
-	x.request = n.describe(id, c)
-	return x
+	exec := &execution{call: c, plans: make(chan structs.Plan, 1), answer: answer.New(id, c.tenant.Name)}
+	exec.ctx, exec.cancel = context.WithCancel(n.ctx)
+	exec.request = n.newSchedulerRequest(id, c)
+	return exec
 }
 
 // admit takes the call from the tenant's limits and enters the execution.
-func (n *Node) admit(x *execution) error {
+func (n *Node) admit(exec *execution) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	limit := limitOf(&x.call.tenant.Values)
-	if reason := n.limitMember.Admit(n.now(), x.call.tenant.Name, limit); reason != structs.ReasonNone {
+	limit := limitOf(&exec.call.tenant.Values)
+	if reason := n.limitMember.Admit(n.now(), exec.call.tenant.Name, limit); reason != structs.ReasonNone {
 		n.count("refused." + string(reason))
-		return errkind.New(errkind.Limited, "tenant %s: %s", x.call.tenant.Name, reason)
+		return errkind.New(errkind.Limited, "tenant %s: %s", exec.call.tenant.Name, reason)
 	}
-	n.executions[x.request.ID] = x
-	n.answers.Add(x.answer)
+	n.executions[exec.request.ID] = exec
+	n.answers.Add(exec.answer)
 	return nil
 }
 
 // endUnstarted ends a request that was identified and then not admitted.
-func (n *Node) endUnstarted(x *execution, err error) {
-	x.cancel()
-	x.answer.End(structs.OutcomeNotRun, err)
-	if x.entry.RequestID != "" {
-		x.entry.Progress, x.entry.Outcome = registry.Ended, structs.OutcomeNotRun
-		n.updateRegistry(n.ctx, x.entry)
+func (n *Node) endNotAdmitted(exec *execution, err error) {
+	exec.cancel()
+	exec.answer.End(structs.OutcomeNotRun, err)
+	if exec.entry.RequestID != "" {
+		exec.entry.Progress, exec.entry.Outcome = registry.Ended, structs.OutcomeNotRun
+		n.updateRegistry(n.ctx, exec.entry)
 	}
-	n.tickets.free(x.call.ticket, x.request.ID)
+	n.tickets.release(exec.call.ticket, exec.request.ID)
 }
 
 // run takes the request from the queue to its outcome.
-func (n *Node) run(x *execution) {
-	outcome, err := n.attempt(x)
-	n.settle(x, outcome, err)
+func (n *Node) run(exec *execution) {
+	outcome, err := n.queueAndDispatch(exec)
+	n.finish(exec, outcome, err)
 }
 
 // settle tells the outcome to everyone who may ask.
-func (n *Node) settle(x *execution, outcome structs.Outcome, err error) {
-	_ = faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Finish, x.request.ID) // the outcome is settled whatever happens here
-	x.cancel()
-	x.answer.End(outcome, err)
-	n.answers.MarkEnded(n.now(), x.answer)
+func (n *Node) finish(exec *execution, outcome structs.Outcome, err error) {
+	_ = faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Finish, exec.request.ID) // the outcome is settled whatever happens here
+	exec.cancel()
+	exec.answer.End(outcome, err)
+	n.answers.MarkEnded(n.now(), exec.answer)
 	if outcome == structs.OutcomeNotRun {
-		n.tickets.free(x.call.ticket, x.request.ID)
+		n.tickets.release(exec.call.ticket, exec.request.ID)
 	}
 	n.mutex.Lock()
-	delete(n.executions, x.request.ID)
-	n.limitMember.Release(x.call.tenant.Name)
-	n.pump()
+	delete(n.executions, exec.request.ID)
+	n.limitMember.Release(exec.call.tenant.Name)
+	n.schedulePending()
 	n.mutex.Unlock()
-	n.countOutcome(x, outcome)
-	if x.entry.RequestID != "" {
-		x.entry.Progress, x.entry.Outcome = registry.Ended, outcome
-		n.updateRegistry(n.ctx, x.entry)
+	n.countOutcome(exec, outcome)
+	if exec.entry.RequestID != "" {
+		exec.entry.Progress, exec.entry.Outcome = registry.Ended, outcome
+		n.updateRegistry(n.ctx, exec.entry)
 	}
-	if x.claimed && outcome == structs.OutcomeNotRun {
-		n.releaseClaim(x)
+	if exec.claimed && outcome == structs.OutcomeNotRun {
+		n.releaseClaim(exec)
 	}
 }
 
 // attempt queues the request and dispatches it, again and again while it is
 // proven that nothing was sent.
-func (n *Node) attempt(x *execution) (structs.Outcome, error) {
-	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Queue, x.request.ID); err != nil {
+func (n *Node) queueAndDispatch(exec *execution) (structs.Outcome, error) {
+	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Queue, exec.request.ID); err != nil {
 		return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "%v", err)
 	}
 	n.mutex.Lock()
-	if plan, refused := n.scheduler.Submit(n.now(), x.request); refused {
+	if plan, refused := n.scheduler.Submit(n.now(), exec.request); refused {
 		n.deliver(plan)
 	}
-	n.pump()
+	n.schedulePending()
 	n.mutex.Unlock()
 	for {
-		plan, err := n.awaitPlan(x)
+		plan, err := n.awaitPlan(exec)
 		if err != nil {
 			return structs.OutcomeNotRun, err
 		}
 		if plan.Verdict == structs.VerdictRefuse {
-			return structs.OutcomeNotRun, refusalError(plan)
+			return structs.OutcomeNotRun, rejectionError(plan)
 		}
-		outcome, err := n.dispatch(x, plan)
+		outcome, err := n.dispatch(exec, plan)
 		if outcome != structs.OutcomePending {
 			return outcome, err
 		}
 		n.mutex.Lock()
-		if refused, ended := n.scheduler.Requeue(n.now(), x.request.ID); ended {
+		if refused, ended := n.scheduler.Requeue(n.now(), exec.request.ID); ended {
 			n.deliver(refused)
 		}
-		n.pump()
+		n.schedulePending()
 		n.mutex.Unlock()
 	}
 }
 
 // awaitPlan waits for the scheduler. A caller that hangs up meanwhile leaves a
 // request that did not run.
-func (n *Node) awaitPlan(x *execution) (structs.Plan, error) {
+func (n *Node) awaitPlan(exec *execution) (structs.Plan, error) {
 	select {
-	case plan := <-x.plans:
+	case plan := <-exec.plans:
 		return plan, nil
-	case <-x.ctx.Done():
+	case <-exec.ctx.Done():
 	}
 	n.mutex.Lock()
-	waiting := n.scheduler.Cancel(x.request.ID)
+	wasQueued := n.scheduler.Cancel(exec.request.ID)
 	n.mutex.Unlock()
-	if !waiting {
+	if !wasQueued {
 		select {
-		case plan := <-x.plans:
-			n.release(x, reserve.Result{Connected: plan.Verdict == structs.VerdictDispatch})
+		case plan := <-exec.plans:
+			n.releaseReservation(exec, reserve.Result{Connected: plan.Verdict == structs.VerdictDispatch})
 		default:
 		}
 	}
@@ -236,11 +236,11 @@
 }
 
 // release ends the reservation of a dispatch that did not take place.
-func (n *Node) release(x *execution, result reserve.Result) {
+func (n *Node) releaseReservation(exec *execution, result reserve.Result) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.scheduler.Finish(n.now(), x.request.ID, result)
-	n.pump()
+	n.scheduler.Finish(n.now(), exec.request.ID, result)
+	n.schedulePending()
 }
 
 var reasonKinds = map[structs.Reason]*errkind.Kind{
@@ -250,93 +250,93 @@
 }
 
 // refusalError is the error that tells a caller of a refusal.
-func refusalError(plan structs.Plan) error {
+func rejectionError(plan structs.Plan) error {
 	kind, known := reasonKinds[plan.Reason]
 	if !known {
 		kind = errkind.Shed
 	}
-	return &retryError{err: errkind.New(kind, "not run: %s", plan.Reason), after: plan.RetryAfter}
+	return &retryAfterError{err: errkind.New(kind, "not run: %s", plan.Reason), after: plan.RetryAfter}
 }
 
 // retryError adds to an error the time after which to send again.
-type retryError struct {
+type retryAfterError struct {
 	err   error
 	after time.Duration
 }
 
-func (e *retryError) Error() string { return e.err.Error() }
-func (e *retryError) Unwrap() error { return e.err }
+func (e *retryAfterError) Error() string { return e.err.Error() }
+func (e *retryAfterError) Unwrap() error { return e.err }
 
 // dispatch sends the planned request. OutcomePending means that nothing was
 // sent and the request may be planned again.
-func (n *Node) dispatch(x *execution, plan structs.Plan) (structs.Outcome, error) {
-	sealed, err := n.seal(x, plan.Replica)
+func (n *Node) dispatch(exec *execution, plan structs.Plan) (structs.Outcome, error) {
+	sealed, err := n.sealReceipt(exec, plan.Replica)
 	if err != nil {
-		n.release(x, reserve.Result{Connected: true})
+		n.releaseReservation(exec, reserve.Result{Connected: true})
 		return structs.OutcomeNotRun, err
 	}
-	if err := n.permit(x, plan.Replica, sealed); err != nil {
-		n.release(x, reserve.Result{Connected: true})
-		return n.notPermitted(x, err)
+	if err := n.permitDispatch(exec, plan.Replica, sealed); err != nil {
+		n.releaseReservation(exec, reserve.Result{Connected: true})
+		return n.endNotPermitted(exec, err)
 	}
 	beforeFirstByte := func() error {
-		if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.FirstByte, x.request.ID); err != nil {
+		if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.FirstByte, exec.request.ID); err != nil {
 			return err
 		}
-		x.sent = true
-		x.answer.SetReceipt(sealed)
+		exec.sent = true
+		exec.answer.SetReceipt(sealed)
 		return nil
 	}
-	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Connect, x.request.ID); err != nil {
+	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Connect, exec.request.ID); err != nil {
 		return structs.OutcomePending, err
 	}
 	var outcome structs.Outcome
-	if x.call.service != nil {
-		outcome, err = n.callService(x, plan.Replica, beforeFirstByte)
+	if exec.call.service != nil {
+		outcome, err = n.callService(exec, plan.Replica, beforeFirstByte)
 	} else {
-		outcome, err = n.generate(x, plan.Replica, beforeFirstByte)
+		outcome, err = n.generate(exec, plan.Replica, beforeFirstByte)
 	}
 	if errors.Is(err, oneshot.ErrNotSent) {
-		x.sent = false
-		if x.ctx.Err() != nil {
-			n.release(x, reserve.Result{Connected: true})
+		exec.sent = false
+		if exec.ctx.Err() != nil {
+			n.releaseReservation(exec, reserve.Result{Connected: true})
 			return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "the caller hung up or the node stopped before the request was sent")
 		}
 		n.count("connect.failed")
 		return structs.OutcomePending, err
 	}
-	n.release(x, reserve.Result{Connected: true, Complete: outcome == structs.OutcomeAnswered, OutputTokens: x.tokens})
+	n.releaseReservation(exec, reserve.Result{Connected: true, Complete: outcome == structs.OutcomeAnswered, OutputTokens: exec.tokens})
 	return outcome, err
 }
 
 // permit passes the gates that stand before a dispatch: the fault point after
 // the reservation, the claim of a request that must not run twice, and the
 // registry, which may have given the key to another meanwhile.
-func (n *Node) permit(x *execution, replica structs.Replica, sealed string) error {
-	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Reserve, x.request.ID); err != nil {
+func (n *Node) permitDispatch(exec *execution, replica structs.Replica, sealed string) error {
+	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Reserve, exec.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
 	}
-	if !x.call.repeatable && x.call.key != "" && x.call.ticket == "" && !x.claimed {
-		if err := n.claim(x, replica); err != nil {
+	if !exec.call.repeatable && exec.call.key != "" && exec.call.ticket == "" && !exec.claimed {
+		if err := n.acquireClaim(exec, replica); err != nil {
 			return err
 		}
 	}
-	if x.entry.RequestID == "" {
+	if exec.entry.RequestID == "" {
 		return nil
 	}
-	if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Gate, x.request.ID); err != nil {
+	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Gate, exec.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
 	}
-	x.entry.Progress, x.entry.Receipt = registry.Dispatched, sealed
-	return n.confirmDispatch(x)
+	exec.entry.Progress, exec.entry.Receipt = registry.Dispatched, sealed
+	return n.confirmDispatch(exec)
 }
 
 // notPermitted ends a request that was stopped at a gate. One whose key was
 // claimed before gets the answer of the claim's holder, if it can be read.
-func (n *Node) notPermitted(x *execution, err error) (structs.Outcome, error) {
-	var held *heldClaimError
-	if errors.As(err, &held) {
-		return n.followHolder(x, held)
+func (n *Node) endNotPermitted(exec *execution, err error) (structs.Outcome, error) {
+	var heldClaim *heldClaimError
+	if errors.As(err, &heldClaim) {
+		return n.readHolderAnswer(exec, heldClaim)
 	}
 	if errkind.Of(err).Outcome == structs.OutcomeUnknown {
 		return structs.OutcomeUnknown, err
@@ -344,9 +344,9 @@
 	return structs.OutcomeNotRun, err
 }
 
-func (n *Node) seal(x *execution, replica structs.Replica) (string, error) {
+func (n *Node) sealReceipt(exec *execution, replica structs.Replica) (string, error) {
 	return n.sealer.Seal(&receipt.Receipt{
-		RequestID: x.request.ID, Tenant: x.call.tenant.Name, Route: x.call.route, Zone: n.config.Zone, Node: n.config.Name,
-		Incarnation: uint64(n.startMilliseconds()), Replica: replica.ID, Address: replica.Address, Engine: x.call.service == nil,
+		RequestID: exec.request.ID, Tenant: exec.call.tenant.Name, Route: exec.call.route, Zone: n.config.Zone, Node: n.config.Name,
+		Incarnation: uint64(n.startMilliseconds()), Replica: replica.ID, Address: replica.Address, Engine: exec.call.service == nil,
 	})
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -23,16 +23,16 @@
 	rumorsPerMessage  = 8
 	reportsPerMessage = 24
 	// sentPerMessage bounds the prefixes told; of more, the newest are told.
-	sentPerMessage = 16
+	sentPrefixesPerMessage = 16
 )
 
 // heartbeat is what nodes tell each other; a reply has the same form.
 type heartbeat struct {
-	From       membership.Member  `msgpack:"f"`
-	Generation uint64             `msgpack:"g"`
-	Rumors     []membership.Rumor `msgpack:"r,omitempty"`
-	Reports    []digest           `msgpack:"l,omitempty"`
-	Sent       []sentPrefix       `msgpack:"s,omitempty"`
+	From         membership.Member  `msgpack:"f"`
+	Generation   uint64             `msgpack:"g"`
+	Rumors       []membership.Rumor `msgpack:"r,omitempty"`
+	Reports      []digest           `msgpack:"l,omitempty"`
+	SentPrefixes []sentPrefix       `msgpack:"s,omitempty"`
 }
 
 // sentPrefix tells that a replica was sent a prompt whose prefix ends with the
@@ -97,7 +97,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-n.nudge:
+	case <-n.heartbeatTrigger:
 		return true
 	case <-n.ctx.Done():
 		return false
@@ -105,9 +105,9 @@
 }
 
 // spreadNow lets the next heartbeats go out at once.
-func (n *Node) spreadNow() {
+func (n *Node) triggerHeartbeat() {
 	select {
-	case n.nudge <- struct{}{}:
+	case n.heartbeatTrigger <- struct{}{}:
 	default:
 	}
 }
@@ -116,7 +116,7 @@
 // try before the target is suspected.
 func (n *Node) probe(target membership.Member) {
 	values := n.settings.Compiled().Node
-	if n.exchange(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
+	if n.exchangeHeartbeat(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
 		return
 	}
 	if n.probeIndirectly(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
@@ -128,9 +128,9 @@
 }
 
 // exchange sends a heartbeat and merges the reply.
-func (n *Node) exchange(target membership.Member, timeout time.Duration) bool {
+func (n *Node) exchangeHeartbeat(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
-	message := n.heartbeat()
+	message := n.newHeartbeat()
 	n.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(n.ctx, timeout)
 	defer cancel()
@@ -138,7 +138,7 @@
 	if err := n.peers.Call(ctx, target.PeerAddress, peerwire.KindHeartbeat, &message, &reply); err != nil {
 		return false
 	}
-	n.takeHeartbeat(&reply)
+	n.applyHeartbeat(&reply)
 	return true
 }
 
@@ -164,19 +164,19 @@
 }
 
 // heartbeat composes a message with the news that are due. The mutex is held.
-func (n *Node) heartbeat() heartbeat {
+func (n *Node) newHeartbeat() heartbeat {
 	return heartbeat{
 		From: n.table.Self(), Generation: n.settings.Compiled().Generation,
-		Rumors: n.table.Rumors(rumorsPerMessage), Reports: n.agedReports(reportsPerMessage),
-		Sent: n.sentPrefixes.Take(sentPerMessage, len(n.table.Live())),
+		Rumors: n.table.Rumors(rumorsPerMessage), Reports: n.takeQueuedReports(reportsPerMessage),
+		SentPrefixes: n.sentPrefixQueue.Take(sentPrefixesPerMessage, len(n.table.Live())),
 	}
 }
 
 // agedReports takes reports from the queue, with their ages as of now. The
 // mutex is held.
-func (n *Node) agedReports(limit int) []digest {
+func (n *Node) takeQueuedReports(limit int) []digest {
 	now := n.now()
-	dated := n.reports.Take(limit, len(n.table.Live()))
+	dated := n.reportQueue.Take(limit, len(n.table.Live()))
 	digests := make([]digest, len(dated))
 	for i, entry := range dated {
 		digests[i] = entry.digest
@@ -189,28 +189,28 @@
 	if message.From.Name == "" {
 		return nil, errkind.New(errkind.BadFrame, "heartbeat without a sender")
 	}
-	n.takeHeartbeat(message)
+	n.applyHeartbeat(message)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	reply := n.heartbeat()
+	reply := n.newHeartbeat()
 	return &reply, nil
 }
 
 // takeHeartbeat merges what a peer told.
-func (n *Node) takeHeartbeat(message *heartbeat) {
+func (n *Node) applyHeartbeat(message *heartbeat) {
 	now := n.now()
 	n.mutex.Lock()
 	n.table.Heard(now, message.From)
 	n.table.Merge(now, message.Rumors)
-	n.generations[message.From.Name] = heardGeneration{generation: message.Generation, at: now}
+	n.peerGenerations[message.From.Name] = observedGeneration{generation: message.Generation, at: now}
 	if message.From.Zone != n.config.Zone {
-		n.heardZones[message.From.Zone] = now
+		n.zoneLastSeen[message.From.Zone] = now
 	}
-	n.takeDigests(message.Reports)
-	for _, sent := range message.Sent {
-		n.takeSent(sent)
+	n.applyDigests(message.Reports)
+	for _, sent := range message.SentPrefixes {
+		n.applySentPrefix(sent)
 	}
-	n.pump()
+	n.schedulePending()
 	n.mutex.Unlock()
 	if message.Generation > n.settings.Compiled().Generation {
 		n.pullSettings(message.From.PeerAddress)
@@ -219,51 +219,51 @@
 
 // takeSent records a prefix that another node sent and passes it on if it was
 // news. The mutex is held.
-func (n *Node) takeSent(sent sentPrefix) {
+func (n *Node) applySentPrefix(sent sentPrefix) {
 	chain := []uint64{sent.Block}
 	if n.scheduler.Prefixes().CachedTokens(sent.Replica, chain) > 0 {
 		return
 	}
 	n.scheduler.Prefixes().Sent(sent.Replica, chain)
-	n.sentPrefixes.Put(sent.Block, sent)
+	n.sentPrefixQueue.Put(sent.Block, sent)
 }
 
 // takeDigests applies reports and passes on those that were news. The mutex is held.
-func (n *Node) takeDigests(digests []digest) {
+func (n *Node) applyDigests(digests []digest) {
 	now := n.now()
 	for _, short := range digests {
 		state, known := n.scheduler.View().Get(short.Replica)
-		if known && short.isWhole(state.HasReport) && n.scheduler.View().Observe(now, short.expand(&state.Report)) {
-			n.reports.Put(short.Replica, datedDigest{digest: short, at: now})
-			n.polled.Store(true) // most nodes of a large zone poll no replica themselves
+		if known && short.isApplicable(state.HasReport) && n.scheduler.View().Observe(now, short.expand(&state.Report)) {
+			n.reportQueue.Put(short.Replica, timestampedDigest{digest: short, at: now})
+			n.loadKnown.Store(true) // most nodes of a large zone poll no replica themselves
 		}
 	}
 }
 
 // takeReport applies a report that this node took itself. The mutex is held.
-func (n *Node) takeReport(report structs.LoadReport) {
+func (n *Node) applyPolledReport(report structs.LoadReport) {
 	now := n.now()
-	told, known := n.told[report.Replica]
+	told, known := n.announced[report.Replica]
 	if !n.scheduler.View().Observe(now, report) {
 		return
 	}
 	told.count++
-	withRare := !known || told.count%rareEvery == 0 || rareChanged(&told.report, &report)
+	withRare := !known || told.count%reportsPerRarePart == 0 || rareChanged(&told.report, &report)
 	if withRare {
 		told.report = report
 	}
-	n.told[report.Replica] = told
-	n.reports.Put(report.Replica, datedDigest{digest: shorten(&report, withRare), at: now})
+	n.announced[report.Replica] = told
+	n.reportQueue.Put(report.Replica, timestampedDigest{digest: newDigest(&report, withRare), at: now})
 }
 
 func (n *Node) serveProbe(ctx context.Context, message *probeRequest) (*probeReply, error) {
 	n.mutex.Lock()
-	ping := n.heartbeat()
+	ping := n.newHeartbeat()
 	n.mutex.Unlock()
 	var reply heartbeat
 	err := n.peers.Call(ctx, message.Target.PeerAddress, peerwire.KindHeartbeat, &ping, &reply)
 	if err == nil {
-		n.takeHeartbeat(&reply)
+		n.applyHeartbeat(&reply)
 	}
 	return &probeReply{Answered: err == nil}, nil
 }
@@ -278,7 +278,7 @@
 		if state, found := n.scheduler.View().Get(replica.ID); found && state.HasReport {
 			report := state.Report
 			report.Age = state.Age(now)
-			reply.Reports = append(reply.Reports, shorten(&report, true))
+			reply.Reports = append(reply.Reports, newDigest(&report, true))
 		}
 	}
 	return reply, nil
@@ -287,9 +287,9 @@
 // join introduces the node to a peer and takes what it needs from the answer.
 func (n *Node) join(address string) bool {
 	n.mutex.Lock()
-	message := n.heartbeat()
+	message := n.newHeartbeat()
 	n.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 	defer cancel()
 	var reply joinReply
 	if err := n.peers.Call(ctx, address, peerwire.KindJoin, &message, &reply); err != nil {
@@ -302,32 +302,32 @@
 		n.floorMember.Apply(n.now(), floor)
 		n.applyFloor(floor.Service)
 	}
-	n.takeDigests(reply.Reports)
+	n.applyDigests(reply.Reports)
 	return true
 }
 
 func (n *Node) serveFloorDemand(_ context.Context, demand *shedding.Demand) (*struct{}, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.takeDemand(*demand)
+	n.applyDemand(*demand)
 	return &struct{}{}, nil
 }
 
 func (n *Node) serveFloorSet(_ context.Context, set *shedding.FloorUpdate) (*shedding.Ack, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	ack := n.takeSet(*set)
+	ack := n.applyFloorUpdate(*set)
 	return &ack, nil
 }
 
 // delegates is the number of members of a zone that talk to other zones and
 // watch the store. Two at once are harmless; one more covers a loss.
-const delegates = 2
+const delegatesPerZone = 2
 
 // isDelegate returns whether this node is one of the zone's delegates. The
 // mutex is held.
 func (n *Node) isDelegate() bool {
-	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegates) {
+	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegatesPerZone) {
 		if name == n.config.Name {
 			return true
 		}
--- a/node/identity.go
+++ b/node/identity.go
@@ -18,7 +18,7 @@
 	// registryCopies is the owner and the backup of a key.
 	registryCopies = 2
 	// takeOverPatience is how often a key that keeps changing hands is tried.
-	takeOverPatience = 3
+	maxTakeOverAttempts = 3
 )
 
 // registerRequest enters a keyed request at an owner or backup.
@@ -31,8 +31,8 @@
 
 // registerReply is the entry in force and whether it is the sender's.
 type registerReply struct {
-	Entry registry.Entry `msgpack:"e"`
-	Mine  bool           `msgpack:"m"`
+	Entry    registry.Entry `msgpack:"e"`
+	IsSender bool           `msgpack:"m"`
 }
 
 // updateReply tells whether the key still belongs to the request.
@@ -50,10 +50,10 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if message.Replaces != "" && n.registry.TakeOver(n.now(), message.Replaces, message.Entry) {
-		return &registerReply{Entry: message.Entry, Mine: true}, nil
+		return &registerReply{Entry: message.Entry, IsSender: true}, nil
 	}
 	entry, mine, err := n.registry.Register(n.now(), message.Entry)
-	return &registerReply{Entry: entry, Mine: mine}, err
+	return &registerReply{Entry: entry, IsSender: mine}, err
 }
 
 func (n *Node) serveRegistryUpdate(_ context.Context, entry *registry.Entry) (*updateReply, error) {
@@ -70,7 +70,7 @@
 }
 
 // keepers returns the members that keep the key, the owner first.
-func (n *Node) keepers(key registry.Key) []membership.Member {
+func (n *Node) registryNodes(key registry.Key) []membership.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	names := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
@@ -84,11 +84,11 @@
 }
 
 // ask calls a member, or serves the call here if the member is this node.
-func ask[Request, Reply any](ctx context.Context, n *Node, member membership.Member, kind peerwire.Kind, message *Request, local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
+func callOrServe[Request, Reply any](ctx context.Context, n *Node, member membership.Member, kind peerwire.Kind, message *Request, local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
 	if member.Name == n.config.Name {
 		return local(ctx, message)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	reply := new(Reply)
 	err := n.peers.Call(ctx, member.PeerAddress, kind, message, reply)
@@ -97,23 +97,23 @@
 
 // identify registers a keyed request. It returns the answer to join if the key
 // belongs to an earlier request, or nil if this one may go on.
-func (n *Node) identify(ctx context.Context, x *execution) (*answer.Answer, error) {
+func (n *Node) registerOrJoin(ctx context.Context, exec *execution) (*answer.Answer, error) {
 	entry := registry.Entry{
-		Key: registry.Key{Tenant: x.call.tenant.Name, Key: x.call.key}, BodyHash: x.call.bodyHash, RequestID: x.request.ID,
+		Key: registry.Key{Tenant: exec.call.tenant.Name, Key: exec.call.key}, BodyHash: exec.call.bodyHash, RequestID: exec.request.ID,
 		Node: n.config.Name, Process: uint64(n.startMilliseconds()), Address: n.CallerAddress(), Progress: registry.Registered,
 	}
 	replaces := ""
-	for range takeOverPatience {
-		holder, keepers, err := n.register(ctx, entry, replaces)
+	for range maxTakeOverAttempts {
+		holder, nodes, err := n.registerEntry(ctx, entry, replaces)
 		if err != nil {
 			return nil, err
 		}
-		if len(keepers) > 0 {
-			x.entry, x.keepers = entry, keepers
+		if len(nodes) > 0 {
+			exec.entry, exec.registryNodes = entry, nodes
 			return nil, nil
 		}
-		joined, gone, err := n.joinEntry(ctx, holder, x)
-		if !gone {
+		joined, replaceable, err := n.joinHolder(ctx, holder, exec)
+		if !replaceable {
 			return joined, err
 		}
 		replaces = holder.RequestID
@@ -124,12 +124,12 @@
 // register enters the request with the owner and then the backup; the first
 // that knows another request decides, and its entry is returned. Otherwise it
 // returns the members that keep this one, of which there is at least one.
-func (n *Node) register(ctx context.Context, entry registry.Entry, replaces string) (registry.Entry, []membership.Member, error) {
+func (n *Node) registerEntry(ctx context.Context, entry registry.Entry, replaces string) (registry.Entry, []membership.Member, error) {
 	var kept []membership.Member
-	for _, keeper := range n.keepers(entry.Key) {
-		reply, err := ask(ctx, n, keeper, peerwire.KindRegister, &registerRequest{Entry: entry, Replaces: replaces}, n.serveRegister)
+	for _, keeper := range n.registryNodes(entry.Key) {
+		reply, err := callOrServe(ctx, n, keeper, peerwire.KindRegister, &registerRequest{Entry: entry, Replaces: replaces}, n.serveRegister)
 		switch {
-		case err == nil && !reply.Mine:
+		case err == nil && !reply.IsSender:
 			return reply.Entry, nil, nil
 		case err == nil:
 			kept = append(kept, keeper)
@@ -147,14 +147,14 @@
 // it is about to be dispatched. Each of them has to confirm that the key is
 // still the request's: one that can't be reached may be on the other side of a
 // cut, where the key was given to a resubmission.
-func (n *Node) confirmDispatch(x *execution) error {
-	for _, keeper := range x.keepers {
-		reply, err := ask(x.ctx, n, keeper, peerwire.KindRegistryUpdate, &x.entry, n.serveRegistryUpdate)
+func (n *Node) confirmDispatch(exec *execution) error {
+	for _, keeper := range exec.registryNodes {
+		reply, err := callOrServe(exec.ctx, n, keeper, peerwire.KindRegistryUpdate, &exec.entry, n.serveRegistryUpdate)
 		if err != nil {
 			return errkind.New(errkind.Stopping, "%s, which keeps the key, does not answer", keeper.Name)
 		}
 		if !reply.Current {
-			x.entry = registry.Entry{} // it is another request's now
+			exec.entry = registry.Entry{} // it is another request's now
 			return errkind.New(errkind.Stopping, "the key was taken over by another request")
 		}
 	}
@@ -164,21 +164,21 @@
 // updateRegistry tells the members that keep the key now of the request's
 // progress, best effort.
 func (n *Node) updateRegistry(ctx context.Context, entry registry.Entry) {
-	for _, keeper := range n.keepers(entry.Key) {
-		_, _ = ask(ctx, n, keeper, peerwire.KindRegistryUpdate, &entry, n.serveRegistryUpdate) // they may be gone
+	for _, keeper := range n.registryNodes(entry.Key) {
+		_, _ = callOrServe(ctx, n, keeper, peerwire.KindRegistryUpdate, &entry, n.serveRegistryUpdate) // they may be gone
 	}
 }
 
 // registerAgain tells the keepers of the live executions' keys after a change
 // of the members, which may have made others the keepers. The mutex is held.
-func (n *Node) registerAgain() {
+func (n *Node) reregisterKeys() {
 	var entries []registry.Entry
-	for _, x := range n.executions {
-		if x.call.key != "" && x.call.ticket == "" {
+	for _, exec := range n.executions {
+		if exec.call.key != "" && exec.call.ticket == "" {
 			entries = append(entries, registry.Entry{
-				Key: registry.Key{Tenant: x.call.tenant.Name, Key: x.call.key}, BodyHash: x.call.bodyHash, RequestID: x.request.ID,
+				Key: registry.Key{Tenant: exec.call.tenant.Name, Key: exec.call.key}, BodyHash: exec.call.bodyHash, RequestID: exec.request.ID,
 				Node: n.config.Name, Process: uint64(n.startMilliseconds()), Address: n.CallerAddress(),
-				Progress: registry.Registered, Receipt: x.answer.Receipt(),
+				Progress: registry.Registered, Receipt: exec.answer.Receipt(),
 			})
 		}
 	}
@@ -198,26 +198,26 @@
 // joinEntry finds the answer of the request that holds the key. It returns gone
 // if that request's process is gone and it was not dispatched, so that the key
 // may be taken over.
-func (n *Node) joinEntry(ctx context.Context, holder registry.Entry, x *execution) (joined *answer.Answer, gone bool, err error) {
+func (n *Node) joinHolder(ctx context.Context, holder registry.Entry, exec *execution) (joined *answer.Answer, replaceable bool, err error) {
 	if holder.Node == n.config.Name && holder.Process == uint64(n.startMilliseconds()) {
 		if own, found := n.answers.Get(holder.RequestID); found {
 			return own, false, nil
 		}
-	} else if n.processLives(holder.Node, holder.Process) {
-		return n.relay(holder.Address, holder.RequestID, x.call.tenant.Name, holder.Receipt), false, nil
+	} else if n.isProcessLive(holder.Node, holder.Process) {
+		return n.relayAnswer(holder.Address, holder.RequestID, exec.call.tenant.Name, holder.Receipt), false, nil
 	} else if holder.Progress == registry.Registered {
 		return nil, true, nil
 	}
 	if holder.Receipt == "" {
 		return nil, false, errkind.New(errkind.OutcomeUnknown, "request %s is not kept any more", holder.RequestID)
 	}
-	adopted, err := n.adopt(ctx, holder.Receipt, x.call.tenant.Name)
-	return adopted, false, err
+	resumed, err := n.resumeByReceipt(ctx, holder.Receipt, exec.call.tenant.Name)
+	return resumed, false, err
 }
 
 // processLives returns whether the process of a node is live as far as this
 // node knows. Nodes of other zones are asked directly.
-func (n *Node) processLives(name string, process uint64) bool {
+func (n *Node) isProcessLive(name string, process uint64) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	known, found := n.table.Get(name)
@@ -225,7 +225,7 @@
 }
 
 // adopt reads the answer of a request of another process from its engine.
-func (n *Node) adopt(ctx context.Context, sealed, tenant string) (*answer.Answer, error) {
+func (n *Node) resumeByReceipt(ctx context.Context, sealed, tenant string) (*answer.Answer, error) {
 	var found receipt.Receipt
 	if err := n.sealer.Open(sealed, &found); err != nil {
 		return nil, err
--- a/node/node.go
+++ b/node/node.go
@@ -30,81 +30,81 @@
 
 // Bounds of what a node keeps beside the settings' bounds.
 const (
-	maximumReports   = 4096
-	maximumSent      = 256
-	maximumDecisions = 4096
-	maximumTickets   = 20000
+	maxQueuedReports      = 4096
+	maxQueuedSentPrefixes = 256
+	maxDecisions          = 4096
+	maxTickets            = 20000
 )
 
 // Node is one entry node.
 type Node struct {
 	config  Config
-	depend  Dependencies
+	deps    Dependencies
 	started time.Time
 	ctx     context.Context
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
 	// pullingSettings is true while a peer is asked for its settings.
-	pullingSettings atomic.Bool
-	sealer          *receipt.Sealer
-	adapter         *backendhttp.Adapter
-	peers           *peer.Client
-	answers         *answer.Store
-	claims          *claims.Committer
-	settings        *settingsync.Current
-	acceptor        settingsync.Committer
-	metrics         metrics.Registry
-	explains        *decisionLog
-	tickets         *ticketBook
-	traffic         *trafficMeter
+	pullingSettings   atomic.Bool
+	sealer            *receipt.Sealer
+	adapter           *backendhttp.Adapter
+	peers             *peer.Client
+	answers           *answer.Store
+	claims            *claims.Committer
+	settings          *settingsync.Current
+	settingsCommitter settingsync.Committer
+	metrics           metrics.Registry
+	decisions         *decisionLog
+	tickets           *ticketStore
+	traffic           *trafficMeter
 
 	callerListener, operatorListener, peerListener net.Listener
 
-	sequence atomic.Uint64
-	draining atomic.Bool
-	refusing atomic.Bool
-	joined   atomic.Bool
-	polled   atomic.Bool
-	storeUp  atomic.Bool
-	nudge    chan struct{}
+	sequence         atomic.Uint64
+	draining         atomic.Bool
+	rejecting        atomic.Bool
+	joined           atomic.Bool
+	loadKnown        atomic.Bool
+	storeHealthy     atomic.Bool
+	heartbeatTrigger chan struct{}
 
 	// mutex guards the passive state machines below.
-	mutex        sync.Mutex
-	scheduler    *scheduler.Scheduler
-	table        *membership.Table
-	registry     *registry.Table
-	floorOwner   *shedding.Owner
-	floorMember  *shedding.Member
-	limitOwner   *limits.Owner
-	limitMember  *limits.Member
-	executions   map[string]*execution
-	reports      *gossip.BroadcastQueue[structs.ReplicaID, datedDigest]
-	heardZones   map[string]structs.Instant
-	sentPrefixes *gossip.BroadcastQueue[uint64, sentPrefix]
-	machines     machineView
-	polling      map[structs.ReplicaID]bool
-	cursors      map[structs.ReplicaID]uint64
-	told         map[structs.ReplicaID]toldReport
-	demanded     map[scheduler.Demand]structs.Instant
-	generations  map[string]heardGeneration
-	tableSeen    uint64
-	random       *rand.Rand
+	mutex             sync.Mutex
+	scheduler         *scheduler.Scheduler
+	table             *membership.Table
+	registry          *registry.Table
+	floorOwner        *shedding.Owner
+	floorMember       *shedding.Member
+	limitOwner        *limits.Owner
+	limitMember       *limits.Member
+	executions        map[string]*execution
+	reportQueue       *gossip.BroadcastQueue[structs.ReplicaID, timestampedDigest]
+	zoneLastSeen      map[string]structs.Instant
+	sentPrefixQueue   *gossip.BroadcastQueue[uint64, sentPrefix]
+	machines          machineView
+	polling           map[structs.ReplicaID]bool
+	cacheEventCursors map[structs.ReplicaID]uint64
+	announced         map[structs.ReplicaID]announcedReport
+	lastDemandSent    map[scheduler.Demand]structs.Instant
+	peerGenerations   map[string]observedGeneration
+	membershipVersion uint64
+	random            *rand.Rand
 }
 
 // datedDigest is a report with the time at which its age was right.
-type datedDigest struct {
+type timestampedDigest struct {
 	digest digest
 	at     structs.Instant
 }
 
 // heardGeneration is the generation that a node last told of, and when.
-type heardGeneration struct {
+type observedGeneration struct {
 	generation uint64
 	at         structs.Instant
 }
 
 // toldReport is the last report of a replica whose rare part this node told.
-type toldReport struct {
+type announcedReport struct {
 	report structs.LoadReport
 	count  uint64
 }
@@ -115,20 +115,20 @@
 		return nil, err
 	}
 	n := &Node{
-		config: config, depend: depend, started: time.Now(),
+		config: config, deps: depend, started: time.Now(),
 		sealer:  receipt.NewSealer(config.ReceiptKeys...),
 		adapter: backendhttp.New(depend.Network),
 		answers: answer.NewStore(), metrics: metrics.NewRegistry(),
-		explains: newDecisionLog(maximumDecisions), tickets: newTicketBook(maximumTickets),
-		executions:   map[string]*execution{},
-		reports:      gossip.NewBroadcastQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.RetransmitMinimal),
-		sentPrefixes: gossip.NewBroadcastQueue[uint64, sentPrefix](maximumSent, gossip.RetransmitMinimal),
-		heardZones:   map[string]structs.Instant{}, polling: map[structs.ReplicaID]bool{}, cursors: map[structs.ReplicaID]uint64{}, told: map[structs.ReplicaID]toldReport{}, nudge: make(chan struct{}, 1),
-		demanded: map[scheduler.Demand]structs.Instant{}, generations: map[string]heardGeneration{},
+		decisions: newDecisionLog(maxDecisions), tickets: newTicketStore(maxTickets),
+		executions:      map[string]*execution{},
+		reportQueue:     gossip.NewBroadcastQueue[structs.ReplicaID, timestampedDigest](maxQueuedReports, gossip.RetransmitMinimal),
+		sentPrefixQueue: gossip.NewBroadcastQueue[uint64, sentPrefix](maxQueuedSentPrefixes, gossip.RetransmitMinimal),
+		zoneLastSeen:    map[string]structs.Instant{}, polling: map[structs.ReplicaID]bool{}, cacheEventCursors: map[structs.ReplicaID]uint64{}, announced: map[structs.ReplicaID]announcedReport{}, heartbeatTrigger: make(chan struct{}, 1),
+		lastDemandSent: map[scheduler.Demand]structs.Instant{}, peerGenerations: map[string]observedGeneration{},
 	}
 	n.traffic = newTrafficMeter(n.metrics)
 	n.peers = peer.NewClient(n.peerNetwork(), n.traffic)
-	n.acceptor = settingsync.Committer{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
+	n.settingsCommitter = settingsync.Committer{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
 	return n, n.initialise()
 }
 
@@ -138,13 +138,13 @@
 	if document == nil {
 		document = &settingsync.Document{}
 	}
-	holder, err := settingsync.NewCurrent(document, n.settingsChanged)
+	current, err := settingsync.NewCurrent(document, n.applySettings)
 	if err != nil {
 		return err
 	}
-	n.settings = holder
-	compiled := holder.Compiled()
-	random := n.depend.Random
+	n.settings = current
+	compiled := current.Compiled()
+	random := n.deps.Random
 	if random == nil {
 		random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
@@ -167,10 +167,10 @@
 }
 
 func (n *Node) startMilliseconds() int64 {
-	if n.depend.StartMilliseconds == 0 {
-		n.depend.StartMilliseconds = n.depend.WallTime().UnixMilli()
+	if n.deps.StartMilliseconds == 0 {
+		n.deps.StartMilliseconds = n.deps.WallTime().UnixMilli()
 	}
-	return n.depend.StartMilliseconds
+	return n.deps.StartMilliseconds
 }
 
 // now is the node's monotonic time.
@@ -189,7 +189,7 @@
 	}
 	compiled := n.settings.Compiled()
 	n.table = membership.NewTable(self, compiled.Node.DeadAfter-compiled.Node.SuspectAfter, rand.New(rand.NewPCG(uint64(n.startMilliseconds()), 7)))
-	n.claims = claims.NewCommitter(n.ctx, n.depend.Store, n.claimSettings, n.depend.WallTime)
+	n.claims = claims.NewCommitter(n.ctx, n.deps.Store, n.claimSettings, n.deps.WallTime)
 	n.serve()
 	for _, loop := range []func(){n.tickLoop, n.heartbeatLoop, n.pollLoop, n.machineLoop, n.settingsLoop, n.limitLoop, n.zoneLoop, n.placementLoop} {
 		n.group.Go(loop)
@@ -202,11 +202,11 @@
 	if n.peerListener, err = n.peerNetwork().Listen(n.config.PeerListen); err != nil {
 		return err
 	}
-	if n.callerListener, err = n.depend.Network.Listen(n.config.CallerListen); err != nil {
+	if n.callerListener, err = n.deps.Network.Listen(n.config.CallerListen); err != nil {
 		_ = n.peerListener.Close()
 		return err
 	}
-	if n.operatorListener, err = n.depend.Network.Listen(n.config.OperatorListen); err != nil {
+	if n.operatorListener, err = n.deps.Network.Listen(n.config.OperatorListen); err != nil {
 		_ = n.peerListener.Close()
 		_ = n.callerListener.Close()
 	}
@@ -218,16 +218,16 @@
 
 // CallerAddress returns where callers reach the node.
 func (n *Node) CallerAddress() string {
-	return advertised(n.config.CallerAdvertise, n.callerListener)
+	return advertisedAddress(n.config.CallerAdvertise, n.callerListener)
 }
 
 // PeerAddress returns where peers reach the node.
-func (n *Node) PeerAddress() string { return advertised(n.config.PeerAdvertise, n.peerListener) }
+func (n *Node) PeerAddress() string { return advertisedAddress(n.config.PeerAdvertise, n.peerListener) }
 
 // OperatorAddress returns where operators reach the node.
 func (n *Node) OperatorAddress() string { return n.operatorListener.Addr().String() }
 
-func advertised(given string, listener net.Listener) string {
+func advertisedAddress(given string, listener net.Listener) string {
 	if given != "" {
 		return given
 	}
@@ -248,7 +248,7 @@
 
 // Ready returns whether the node should get requests from the balancer.
 func (n *Node) Ready() bool {
-	return !n.draining.Load() && n.joined.Load() && n.polled.Load() && n.settings.Compiled().Generation > 0
+	return !n.draining.Load() && n.joined.Load() && n.loadKnown.Load() && n.settings.Compiled().Generation > 0
 }
 
 // Kill ends the node at once, as the death of its process would: requests are
@@ -261,7 +261,7 @@
 }
 
 // drainPoll is the time between looks at what is still in progress.
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain is a planned stop: it announces the leaving, goes on serving for the
 // grace, refuses new requests as not run, lets every request in progress end,
@@ -273,20 +273,20 @@
 	n.mutex.Unlock()
 	deadline := time.Now().Add(n.settings.Compiled().Node.DrainTimeout)
 	wait.For(ctx, n.config.DrainGrace)
-	n.refusing.Store(true)
+	n.rejecting.Store(true)
 	clean := false
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if clean = n.idle(); clean {
+		if clean = n.isIdle(); clean {
 			break
 		}
-		wait.For(ctx, drainPoll)
+		wait.For(ctx, drainPollInterval)
 	}
 	n.Kill()
 	return clean
 }
 
 // idle returns whether no request is in progress and every answer was read.
-func (n *Node) idle() bool {
+func (n *Node) isIdle() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.executions) == 0 && n.traffic.openCallers.Load() == 0
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -9,8 +9,8 @@
 func TestRequestIDNamesItsNode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := &Node{config: Config{Name: "trakiya-n0_b"}}
-	n.depend.StartMilliseconds = 1234
-	name, process, valid := nodeOf(n.newRequestID())
+	n.deps.StartMilliseconds = 1234
+	name, process, valid := parseRequestID(n.newRequestID())
 	g.Expect(valid).To(gomega.BeTrue())
 	g.Expect(name).To(gomega.Equal("trakiya-n0_b"))
 	g.Expect(process).To(gomega.BeEquivalentTo(1234))
--- a/node/observe.go
+++ b/node/observe.go
@@ -16,29 +16,31 @@
 
 // quietLog takes the HTTP servers' complaints of broken connections, which the
 // node counts by itself.
-var quietLog = log.New(io.Discard, "", 0)
+var discardLog = log.New(io.Discard, "", 0)
 
 // samples is the size of the reservoirs of the histograms, and sampleDecay
 // their preference for recent values.
 const (
-	samples     = 1028
-	sampleDecay = 0.015
+	reservoirSize  = 1028
+	reservoirDecay = 0.015
 )
 
 func (n *Node) count(name string) { metrics.GetOrRegisterCounter(name, n.metrics).Inc(1) }
 
 // observe records a duration, in microseconds.
-func (n *Node) observe(name string, duration time.Duration) {
-	histogram := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram { return metrics.NewHistogram(metrics.NewExpDecaySample(samples, sampleDecay)) })
+func (n *Node) recordDuration(name string, duration time.Duration) {
+	histogram := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
+		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirDecay))
+	})
 	if typed, isHistogram := histogram.(metrics.Histogram); isHistogram {
 		typed.Update(duration.Microseconds())
 	}
 }
 
-func (n *Node) countOutcome(x *execution, outcome structs.Outcome) {
-	n.count("outcome." + x.request.Tier + "." + outcome.String())
+func (n *Node) countOutcome(exec *execution, outcome structs.Outcome) {
+	n.count("outcome." + exec.request.Tier + "." + outcome.String())
 	if outcome == structs.OutcomeAnswered {
-		n.observe("answer."+x.request.Tier, n.now()-x.request.Arrived)
+		n.recordDuration("answer."+exec.request.Tier, n.now()-exec.request.Arrived)
 	}
 }
 
@@ -108,7 +110,7 @@
 }
 
 // of returns the decisions on the request, in the order in which they were made.
-func (l *decisionLog) of(requestID string) []Decision {
+func (l *decisionLog) forRequest(requestID string) []Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []Decision
@@ -122,20 +124,20 @@
 }
 
 // explain logs the decision and keeps it. The mutex of the node is held.
-func (n *Node) explain(plan structs.Plan) {
+func (n *Node) recordDecision(plan structs.Plan) {
 	request := plan.Request
 	decision := Decision{
-		Time: n.depend.WallTime(), Node: n.config.Name, RequestID: request.ID, Tenant: request.Tenant, Route: request.Route,
+		Time: n.deps.WallTime(), Node: n.config.Name, RequestID: request.ID, Tenant: request.Tenant, Route: request.Route,
 		Service: request.Service, Tier: request.Tier, Verdict: plan.Verdict, Reason: plan.Reason, Replica: plan.Replica.ID,
 		Waited: n.now() - request.Arrived, RetryAfter: plan.RetryAfter, Candidates: plan.Candidates,
 	}
-	n.explains.add(decision)
+	n.decisions.add(decision)
 	n.count("decision." + string(plan.Verdict) + "." + request.Tier)
 	if plan.Reason != structs.ReasonNone {
 		n.count("refused." + string(plan.Reason))
 	}
-	n.observe("waited."+request.Tier, decision.Waited)
-	if n.depend.LogDecisions {
+	n.recordDuration("waited."+request.Tier, decision.Waited)
+	if n.deps.LogDecisions {
 		klog.InfoS("route", "decision", decision)
 	}
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -34,7 +34,7 @@
 const changeTimeout = 10 * time.Second
 
 // maximumChange bounds the body of a change.
-const maximumChange = 8 << 20
+const maxChangeBytes = 8 << 20
 
 // Status is a node's state in brief.
 type Status struct {
@@ -121,7 +121,7 @@
 	defer n.mutex.Unlock()
 	status := Status{
 		Node: n.config.Name, Zone: n.config.Zone, Process: n.startMilliseconds(), Ready: n.Ready(), Draining: n.draining.Load(),
-		Generation: compiled.Generation, StoreUp: n.storeUp.Load(), LiveNodes: len(n.table.Live()),
+		Generation: compiled.Generation, StoreUp: n.storeHealthy.Load(), LiveNodes: len(n.table.Live()),
 		InFlight: n.scheduler.InFlight(), Waiting: n.scheduler.Waiting(), Keys: n.registry.Len(),
 		Floors: map[string]scheduler.Floor{}, HeapBytes: memory.HeapAlloc,
 	}
@@ -137,7 +137,7 @@
 	defer n.mutex.Unlock()
 	var peers []Peer
 	for _, rumor := range n.table.All() {
-		generation := n.generations[rumor.Member.Name].generation
+		generation := n.peerGenerations[rumor.Member.Name].generation
 		if rumor.Member.Name == n.config.Name {
 			generation = n.settings.Compiled().Generation
 		}
@@ -166,7 +166,7 @@
 }
 
 func (n *Node) serveExplain(writer http.ResponseWriter, request *http.Request) {
-	decisions := n.explains.of(mux.Vars(request)["id"])
+	decisions := n.decisions.forRequest(mux.Vars(request)["id"])
 	if len(decisions) == 0 {
 		n.writeError(writer, errkind.New(errkind.NotFound, "no decision on this request is remembered here"), "", "")
 		return
@@ -181,7 +181,7 @@
 
 func (n *Node) serveChange(writer http.ResponseWriter, request *http.Request) {
 	var change settingsync.Change
-	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maximumChange)).Decode(&change); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxChangeBytes)).Decode(&change); err != nil {
 		n.writeError(writer, errkind.New(errkind.BadRequest, "the change does not parse: %v", err), "", "")
 		return
 	}
--- a/node/polling.go
+++ b/node/polling.go
@@ -18,25 +18,25 @@
 const (
 	// pollersPerReplica is the nodes that may ask a replica for its load: the
 	// first does, the next one if nothing was heard for overdueIntervals.
-	pollersPerReplica = 2
-	overdueIntervals  = 4
+	pollersPerReplica    = 2
+	overduePollIntervals = 4
 	// pollTimeout bounds one question.
 	pollTimeout = time.Second
 	// machineInterval is the time between looks at the machine list.
-	machineInterval = time.Second
+	machineListInterval = time.Second
 	// introductions is the members that a node joins through at a time.
-	introductions = 3
+	maxJoinsAtOnce = 3
 	// zoneInterval is the time between words of delegates to other zones.
-	zoneInterval = 500 * time.Millisecond
+	zoneHeartbeatInterval = 500 * time.Millisecond
 	// removeAfter is how long a replica may be missing from the list before it
 	// is forgotten; until then it counts as leaving.
-	removeAfter = 30 * time.Second
+	removeMissingAfter = 30 * time.Second
 )
 
 // machineView is the machine list as last read.
 type machineView struct {
-	entries []outside.Machine
-	missing map[structs.ReplicaID]structs.Instant
+	entries      []outside.Machine
+	missingSince map[structs.ReplicaID]structs.Instant
 }
 
 // pollLoop asks the replicas that fall to this node for their load.
@@ -64,8 +64,8 @@
 			continue
 		}
 		pollers := rendezvous.Top(live, rendezvous.Key("poll/"+string(replica.ID)), pollersPerReplica)
-		place := slices.Index(pollers, n.config.Name)
-		if place == 0 || (place > 0 && n.isOverdue(replica.ID)) {
+		index := slices.Index(pollers, n.config.Name)
+		if index == 0 || (index > 0 && n.isReportOverdue(replica.ID)) {
 			n.polling[replica.ID] = true
 			assigned = append(assigned, replica)
 		}
@@ -75,20 +75,20 @@
 
 // isOverdue returns whether the first poller of the replica seems to be gone.
 // The mutex is held.
-func (n *Node) isOverdue(id structs.ReplicaID) bool {
+func (n *Node) isReportOverdue(id structs.ReplicaID) bool {
 	state, found := n.scheduler.View().Get(id)
-	return !found || !state.HasReport || state.Age(n.now()) > overdueIntervals*n.settings.Compiled().Node.PollInterval
+	return !found || !state.HasReport || state.Age(n.now()) > overduePollIntervals*n.settings.Compiled().Node.PollInterval
 }
 
 func (n *Node) poll(replica structs.Replica) {
 	ctx, cancel := context.WithTimeout(n.ctx, pollTimeout)
 	defer cancel()
-	begun := n.now()
+	started := n.now()
 	report, err := n.adapter.Report(ctx, replica.Address)
 	var events []structs.CacheEvent
 	if err == nil && replica.Kind == structs.KindEngine {
 		n.mutex.Lock()
-		cursor := n.cursors[replica.ID]
+		cursor := n.cacheEventCursors[replica.ID]
 		n.mutex.Unlock()
 		events, _ = n.adapter.CacheEvents(ctx, replica.Address, cursor) // a gap is as good as an error
 	}
@@ -101,28 +101,28 @@
 	report.Replica = replica.ID
 	// The state was seen at some time between question and answer; taking the
 	// question's time makes the report too old rather than too young.
-	report.Age += n.now() - begun
-	n.takeReport(report)
+	report.Age += n.now() - started
+	n.applyPolledReport(report)
 	for _, event := range events {
-		n.cursors[replica.ID] = max(n.cursors[replica.ID], event.Sequence)
+		n.cacheEventCursors[replica.ID] = max(n.cacheEventCursors[replica.ID], event.Sequence)
 		n.scheduler.Prefixes().Event(replica.ID, event)
 	}
-	n.polled.Store(true)
-	n.pump()
+	n.loadKnown.Store(true)
+	n.schedulePending()
 }
 
 // machineLoop follows the platform's machine list.
 func (n *Node) machineLoop() {
 	for {
-		ctx, cancel := context.WithTimeout(n.ctx, machineInterval)
-		machines, err := n.depend.Machines.Machines(ctx)
+		ctx, cancel := context.WithTimeout(n.ctx, machineListInterval)
+		machines, err := n.deps.Machines.Machines(ctx)
 		cancel()
 		if err != nil {
 			klog.V(1).InfoS("machine list not read", "node", n.config.Name, "error", err.Error())
 		} else {
-			n.takeMachines(machines)
+			n.applyMachines(machines)
 		}
-		if !wait.For(n.ctx, machineInterval) {
+		if !wait.For(n.ctx, machineListInterval) {
 			return
 		}
 	}
@@ -130,7 +130,7 @@
 
 // takeMachines applies a reading of the list: it names back ends, and members
 // to introduce oneself to. Whether members are alive is for heartbeats to say.
-func (n *Node) takeMachines(machines []outside.Machine) {
+func (n *Node) applyMachines(machines []outside.Machine) {
 	var introduce []string
 	n.mutex.Lock()
 	n.machines.entries = n.machines.entries[:0]
@@ -138,7 +138,7 @@
 	for _, machine := range machines {
 		if machine.Replica != nil {
 			seen[machine.Replica.ID] = true
-			n.takeReplica(machine)
+			n.applyReplica(machine)
 			continue
 		}
 		n.machines.entries = append(n.machines.entries, machine)
@@ -148,25 +148,25 @@
 			}
 		}
 	}
-	n.dropMissing(seen)
-	n.applyClosed(n.settings.Compiled())
+	n.removeMissing(seen)
+	n.applyClosedReplicas(n.settings.Compiled())
 	hasReplicas := len(n.scheduler.View().Replicas()) > 0
-	n.pump()
+	n.schedulePending()
 	n.mutex.Unlock()
-	n.introduce(introduce)
+	n.joinUnknownMembers(introduce)
 	if !hasReplicas {
-		n.polled.Store(true)
+		n.loadKnown.Store(true)
 	}
 }
 
 // introduce joins through a few of the members that are not known yet; their
 // answers name the others. At the first time the owners of the floors are told
 // too, so that they count this node before it admits work.
-func (n *Node) introduce(addresses []string) {
+func (n *Node) joinUnknownMembers(addresses []string) {
 	n.mutex.Lock()
 	n.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	n.mutex.Unlock()
-	for _, address := range addresses[:min(len(addresses), introductions)] {
+	for _, address := range addresses[:min(len(addresses), maxJoinsAtOnce)] {
 		n.join(address)
 	}
 	if n.joined.Load() {
@@ -192,17 +192,17 @@
 	return addresses
 }
 
-func (n *Node) takeReplica(machine outside.Machine) {
+func (n *Node) applyReplica(machine outside.Machine) {
 	replica := *machine.Replica
 	replica.Zone = machine.Zone
 	replica.Leaving = replica.Leaving || machine.Leaving
-	if replica.Zone == n.config.Zone || n.wantsZone(replica.Zone) {
+	if replica.Zone == n.config.Zone || n.mayOverflowTo(replica.Zone) {
 		n.scheduler.View().Upsert(replica)
 	}
 }
 
 // wantsZone returns whether any service may overflow to the zone.
-func (n *Node) wantsZone(zone string) bool {
+func (n *Node) mayOverflowTo(zone string) bool {
 	compiled := n.settings.Compiled()
 	for _, name := range compiled.Services() {
 		if service, found := compiled.Service(name); found && service.Values.Overflow && slices.Contains(service.Values.OverflowZones, zone) {
@@ -214,23 +214,23 @@
 
 // dropMissing treats replicas that left the list as leaving and forgets them
 // after a time. The mutex is held.
-func (n *Node) dropMissing(seen map[structs.ReplicaID]bool) {
-	if n.machines.missing == nil {
-		n.machines.missing = map[structs.ReplicaID]structs.Instant{}
+func (n *Node) removeMissing(seen map[structs.ReplicaID]bool) {
+	if n.machines.missingSince == nil {
+		n.machines.missingSince = map[structs.ReplicaID]structs.Instant{}
 	}
 	now := n.now()
 	for _, replica := range n.scheduler.View().Replicas() {
 		if seen[replica.ID] {
-			delete(n.machines.missing, replica.ID)
+			delete(n.machines.missingSince, replica.ID)
 			continue
 		}
-		since, missing := n.machines.missing[replica.ID]
+		since, missing := n.machines.missingSince[replica.ID]
 		if !missing {
-			n.machines.missing[replica.ID] = now
+			n.machines.missingSince[replica.ID] = now
 			n.scheduler.View().MarkLeaving(replica.ID)
-		} else if now-since > removeAfter {
+		} else if now-since > removeMissingAfter {
 			n.scheduler.View().Remove(replica.ID)
-			delete(n.machines.missing, replica.ID)
+			delete(n.machines.missingSince, replica.ID)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 // zoneLoop exchanges words with other zones, if this node is a delegate: the
 // generation in force and, for overflow, the load of the replicas.
 func (n *Node) zoneLoop() {
-	for wait.For(n.ctx, zoneInterval) {
+	for wait.For(n.ctx, zoneHeartbeatInterval) {
 		n.mutex.Lock()
 		var targets []outside.Machine
 		if n.isDelegate() {
@@ -246,7 +246,7 @@
 		}
 		n.mutex.Unlock()
 		for _, target := range targets {
-			n.group.Go(func() { n.greetZone(target) })
+			n.group.Go(func() { n.exchangeWithZone(target) })
 		}
 	}
 }
@@ -274,15 +274,15 @@
 
 // greetZone sends the zone's reports, so that the other may overflow here, and
 // merges those of the answer.
-func (n *Node) greetZone(target outside.Machine) {
+func (n *Node) exchangeWithZone(target outside.Machine) {
 	n.mutex.Lock()
 	message := heartbeat{From: n.table.Self(), Generation: n.settings.Compiled().Generation, Reports: n.zoneReports()}
 	n.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 	defer cancel()
 	var reply heartbeat
 	if err := n.peers.Call(ctx, target.PeerAddress, peerwire.KindHeartbeat, &message, &reply); err == nil {
-		n.takeHeartbeat(&reply)
+		n.applyHeartbeat(&reply)
 	}
 }
 
@@ -300,7 +300,7 @@
 			if state.HasReport && state.Replica.Zone == n.config.Zone {
 				report := state.Report
 				report.Age = state.Age(n.now())
-				reports = append(reports, shorten(&report, true))
+				reports = append(reports, newDigest(&report, true))
 			}
 		}
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -22,10 +22,10 @@
 const kindLookup = peerwire.KindRegistryLookup
 
 // settleTime is how long a status look-up waits for a relayed answer's state.
-const settleTime = 200 * time.Millisecond
+const statusWait = 200 * time.Millisecond
 
 // relayPass authorises a node to read an answer at another.
-type relayPass struct {
+type relayAuthorization struct {
 	RequestID string `msgpack:"r"`
 	Tenant    string `msgpack:"t"`
 }
@@ -48,7 +48,7 @@
 // relay returns an answer that is read from the node that has it or, if that
 // node can't be reached, from the engine that the receipt names. The receipt may
 // be empty; the other node then tells it.
-func (n *Node) relay(address, id, tenant, sealed string) *answer.Answer {
+func (n *Node) relayAnswer(address, id, tenant, sealed string) *answer.Answer {
 	relayed := answer.New(id, tenant)
 	var opened receipt.Receipt
 	if n.sealer.Open(sealed, &opened) == nil && opened.RequestID == id && opened.Tenant == tenant {
@@ -71,17 +71,17 @@
 		relayed.End(structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "request %s: %v", relayed.RequestID, err))
 		return
 	}
-	reader := &eventReader{node: n, request: &structs.Request{ID: relayed.RequestID}, address: found.Address, answer: relayed, last: len(view.Parts)}
+	reader := &eventReader{node: n, request: &structs.Request{ID: relayed.RequestID}, address: found.Address, answer: relayed, lastNumber: len(view.Parts)}
 	relayed.End(reader.read(n.ctx, nil, err))
 }
 
 // readRelay reads the lines of another node until the end of the answer.
 func (n *Node) readRelay(relayed *answer.Answer, address string) error {
-	pass, err := n.sealer.Seal(&relayPass{RequestID: relayed.RequestID, Tenant: relayed.Tenant})
+	pass, err := n.sealer.Seal(&relayAuthorization{RequestID: relayed.RequestID, Tenant: relayed.Tenant})
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(n.ctx, http.MethodGet, "http://"+address+PathInternal+relayed.RequestID, nil)
+	request, err := http.NewRequestWithContext(n.ctx, http.MethodGet, "http://"+address+PathInternalAnswers+relayed.RequestID, nil)
 	if err != nil {
 		return err
 	}
@@ -103,14 +103,14 @@
 		if err := decoder.Decode(&line); err != nil {
 			return err
 		}
-		if takeLine(relayed, &line) {
+		if applyLine(relayed, &line) {
 			return nil
 		}
 	}
 }
 
 // takeLine applies a line and returns whether it was the last.
-func takeLine(relayed *answer.Answer, line *relayLine) bool {
+func applyLine(relayed *answer.Answer, line *relayLine) bool {
 	switch {
 	case line.End != nil:
 		var err error
@@ -134,9 +134,9 @@
 }
 
 // serveInternal sends an answer to another node.
-func (n *Node) serveInternal(writer http.ResponseWriter, request *http.Request) {
+func (n *Node) serveRelay(writer http.ResponseWriter, request *http.Request) {
 	id := mux.Vars(request)["id"]
-	var pass relayPass
+	var pass relayAuthorization
 	if err := n.sealer.Open(request.Header.Get(HeaderReceipt), &pass); err != nil || pass.RequestID != id {
 		writer.WriteHeader(http.StatusForbidden)
 		return
@@ -151,12 +151,12 @@
 	n.sendLines(writer, request, found)
 }
 
-func (n *Node) sendLines(writer http.ResponseWriter, request *http.Request, found *answer.Answer) {
+func (n *Node) sendLines(writer http.ResponseWriter, request *http.Request, ans *answer.Answer) {
 	encoder := json.NewEncoder(writer)
 	sent := 0
 	receiptSent, headSent := false, false
 	for {
-		view, changed := found.Snapshot(sent)
+		view, changed := ans.Snapshot(sent)
 		if view.Receipt != "" && !receiptSent {
 			receiptSent = true
 			_ = encoder.Encode(relayLine{Receipt: view.Receipt}) // a broken connection shows at the flush
@@ -191,16 +191,16 @@
 }
 
 // settle waits a moment for a relayed answer to show its state.
-func settle(ctx context.Context, found *answer.Answer) {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+func awaitKnownState(ctx context.Context, ans *answer.Answer) {
+	ctx, cancel := context.WithTimeout(ctx, statusWait)
 	defer cancel()
-	_, _ = found.Await(ctx, 0, 0) // the state as it is then is what is told
+	_, _ = ans.Await(ctx, 0, 0) // the state as it is then is what is told
 }
 
 // forwardTicket sends a call whose ticket belongs to another process there, and
 // returns false if the ticket is this process's own. The call is sent once: if
 // the way there breaks after its first byte, the outcome is unknown.
-func (n *Node) forwardTicket(writer http.ResponseWriter, request *http.Request, c *call) bool {
+func (n *Node) forwardToTicketOwner(writer http.ResponseWriter, request *http.Request, c *call) bool {
 	ticket, err := n.openTicket(c.ticket, c.tenant.Name)
 	if err != nil {
 		n.writeError(writer, err, "", "")
@@ -235,15 +235,15 @@
 // the caller's.
 func copyResponse(writer http.ResponseWriter, response *http.Response) {
 	header := writer.Header()
-	for name, values := range forwardHeader(response.Header) {
+	for name, values := range forwardedHeader(response.Header) {
 		header[name] = values
 	}
 	header.Set("Trailer", HeaderOutcome)
 	writer.WriteHeader(response.StatusCode)
-	piece := make([]byte, serviceChunk)
+	chunk := make([]byte, serviceChunkBytes)
 	for {
-		count, err := response.Body.Read(piece)
-		_, _ = writer.Write(piece[:count]) // a broken connection shows at the flush
+		count, err := response.Body.Read(chunk)
+		_, _ = writer.Write(chunk[:count]) // a broken connection shows at the flush
 		if errors.Is(err, io.EOF) {
 			break
 		}
--- a/node/resolve.go
+++ b/node/resolve.go
@@ -34,7 +34,7 @@
 )
 
 // maximumKeyLength bounds an idempotency key, in bytes.
-const maximumKeyLength = 255
+const maxKeyBytes = 255
 
 // authenticate finds the tenant of the bearer key. The lookup is by the key's
 // hash, so that its time does not depend on how much of a key is right.
@@ -99,17 +99,17 @@
 	}
 	c := &call{
 		tenant: tenant, route: name, values: route.Values, body: body,
-		service: &serviceCall{method: request.Method, path: path, header: forwardHeader(request.Header)},
+		service: &serviceCall{method: request.Method, path: path, header: forwardedHeader(request.Header)},
 	}
 	return c, c.readHeaders(request)
 }
 
 // notForwarded are headers that concern one connection or the caller's key.
-var notForwarded = []string{"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", HeaderTicket}
+var headersNotForwarded = []string{"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", HeaderTicket}
 
-func forwardHeader(header http.Header) http.Header {
+func forwardedHeader(header http.Header) http.Header {
 	forwarded := header.Clone()
-	for _, name := range notForwarded {
+	for _, name := range headersNotForwarded {
 		forwarded.Del(name)
 	}
 	return forwarded
@@ -118,8 +118,8 @@
 func (c *call) readHeaders(request *http.Request) error {
 	c.key = request.Header.Get(HeaderIdempotencyKey)
 	c.ticket = request.Header.Get(HeaderTicket)
-	if len(c.key) > maximumKeyLength {
-		return errkind.New(errkind.BadRequest, "%s has %d bytes, more than %d", HeaderIdempotencyKey, len(c.key), maximumKeyLength)
+	if len(c.key) > maxKeyBytes {
+		return errkind.New(errkind.BadRequest, "%s has %d bytes, more than %d", HeaderIdempotencyKey, len(c.key), maxKeyBytes)
 	}
 	c.deadline = c.values.Deadline
 	if text := request.Header.Get(HeaderDeadline); text != "" {
@@ -143,7 +143,7 @@
 }
 
 // describe makes the scheduler's view of the call.
-func (n *Node) describe(id string, c *call) *structs.Request {
+func (n *Node) newSchedulerRequest(id string, c *call) *structs.Request {
 	now := n.now()
 	request := &structs.Request{
 		ID: id, Tenant: c.tenant.Name, Route: c.route, Service: c.values.Service, Model: c.values.Model, Adapter: c.values.Adapter,
@@ -158,12 +158,12 @@
 			request.MaxTokens = min(request.MaxTokens, c.generation.MaxTokens)
 		}
 		request.PromptTokens = prefix.Tokens(len(c.generation.Prompt))
-		request.Prefix = prefix.Chain(engineName(&c.values), c.generation.Prompt)
+		request.Prefix = prefix.Chain(routeEngineModel(&c.values), c.generation.Prompt)
 	}
 	return request
 }
 
-func engineName(values *settings.Values) string {
+func routeEngineModel(values *settings.Values) string {
 	if values.Adapter != "" {
 		return values.Adapter
 	}
--- a/node/respond.go
+++ b/node/respond.go
@@ -30,9 +30,9 @@
 	header := writer.Header()
 	header.Set(HeaderErrorCode, kind.Code)
 	header.Set(HeaderOutcome, outcome.String())
-	setIfAny(header, HeaderRequestID, requestID)
-	setIfAny(header, HeaderReceipt, sealed)
-	var retry *retryError
+	setIfNotEmpty(header, HeaderRequestID, requestID)
+	setIfNotEmpty(header, HeaderReceipt, sealed)
+	var retry *retryAfterError
 	if errors.As(err, &retry) || kind == errkind.Limited || kind == errkind.Stopping {
 		after := time.Second
 		if retry != nil {
@@ -50,7 +50,7 @@
 	}}
 }
 
-func setIfAny(header http.Header, name, value string) {
+func setIfNotEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
@@ -65,12 +65,12 @@
 }
 
 // writeGeneration sends the answer of an engine, as a stream or whole.
-func (n *Node) writeGeneration(writer http.ResponseWriter, request *http.Request, found *answer.Answer, stream, usage bool, from int) {
+func (n *Node) writeGeneration(writer http.ResponseWriter, request *http.Request, ans *answer.Answer, stream, usage bool, from int) {
 	if stream {
-		n.writeStream(writer, request, found, usage, from)
+		n.writeStream(writer, request, ans, usage, from)
 		return
 	}
-	view, err := found.AwaitEnd(request.Context())
+	view, err := ans.AwaitEnd(request.Context())
 	if err != nil {
 		return // the caller hung up
 	}
@@ -90,13 +90,13 @@
 
 func setAnswerHeader(header http.Header, view *answer.Snapshot) {
 	header.Set(HeaderRequestID, view.RequestID)
-	setIfAny(header, HeaderReceipt, view.Receipt)
+	setIfNotEmpty(header, HeaderReceipt, view.Receipt)
 }
 
 // writeStream sends events as they arrive. The head goes out with the receipt,
 // as soon as the request is dispatched; what ends the stream says the outcome.
-func (n *Node) writeStream(writer http.ResponseWriter, request *http.Request, found *answer.Answer, usage bool, from int) {
-	view, err := found.Await(request.Context(), from, 0)
+func (n *Node) writeStream(writer http.ResponseWriter, request *http.Request, ans *answer.Answer, usage bool, from int) {
+	view, err := ans.Await(request.Context(), from, 0)
 	if err != nil {
 		return
 	}
@@ -121,7 +121,7 @@
 		if controller.Flush() != nil {
 			return
 		}
-		if view, err = n.awaitNext(request, writer, found, from); err != nil {
+		if view, err = n.awaitNext(request, writer, ans, from); err != nil {
 			return
 		}
 	}
@@ -134,10 +134,10 @@
 }
 
 // awaitNext waits for the next part and keeps the connection alive meanwhile.
-func (n *Node) awaitNext(request *http.Request, writer http.ResponseWriter, found *answer.Answer, from int) (answer.Snapshot, error) {
+func (n *Node) awaitNext(request *http.Request, writer http.ResponseWriter, ans *answer.Answer, from int) (answer.Snapshot, error) {
 	for {
 		ctx, cancel := context.WithTimeout(request.Context(), keepAliveInterval)
-		view, err := found.Await(ctx, from, 1)
+		view, err := ans.Await(ctx, from, 1)
 		cancel()
 		if err == nil || request.Context().Err() != nil {
 			return view, err
@@ -160,8 +160,8 @@
 
 // writeService sends the answer of a plain service as it arrives. A caller can
 // tell an answer that broke off: its connection is cut.
-func (n *Node) writeService(writer http.ResponseWriter, request *http.Request, found *answer.Answer) {
-	view, err := awaitHead(request.Context(), found)
+func (n *Node) writeService(writer http.ResponseWriter, request *http.Request, ans *answer.Answer) {
+	view, err := awaitHead(request.Context(), ans)
 	if err != nil {
 		return
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	header := writer.Header()
-	for name, values := range forwardHeader(view.Head.Header) {
+	for name, values := range forwardedHeader(view.Head.Header) {
 		header[name] = values
 	}
 	setAnswerHeader(header, &view)
@@ -188,7 +188,7 @@
 		if http.NewResponseController(writer).Flush() != nil {
 			return
 		}
-		if view, err = found.Await(request.Context(), sent, 1); err != nil {
+		if view, err = ans.Await(request.Context(), sent, 1); err != nil {
 			return
 		}
 	}
@@ -199,9 +199,9 @@
 }
 
 // awaitHead waits past the receipt, until there is a head or the end.
-func awaitHead(ctx context.Context, found *answer.Answer) (answer.Snapshot, error) {
+func awaitHead(ctx context.Context, ans *answer.Answer) (answer.Snapshot, error) {
 	for {
-		view, changed := found.Snapshot(0)
+		view, changed := ans.Snapshot(0)
 		if view.Head != nil || view.Ended {
 			return view, nil
 		}
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -21,9 +21,9 @@
 	// tickInterval is the time between looks at deadlines and leases.
 	tickInterval = 20 * time.Millisecond
 	// demandInterval is the least time between repeated demands for a floor.
-	demandInterval = 100 * time.Millisecond
+	minDemandInterval = 100 * time.Millisecond
 	// callTimeout bounds a call of a peer in the zone.
-	callTimeout = 500 * time.Millisecond
+	peerCallTimeout = 500 * time.Millisecond
 	// zoneFreshness is how long a zone counts as reachable after its last word.
 	zoneFreshness = 3 * time.Second
 )
@@ -49,7 +49,7 @@
 }
 
 // settingsChanged takes a new generation into force in the state machines.
-func (n *Node) settingsChanged(compiled *settings.Compiled) {
+func (n *Node) applySettings(compiled *settings.Compiled) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	options := n.schedulerOptions(compiled)
@@ -60,13 +60,13 @@
 	if n.table != nil {
 		n.table.SetDeadAfter(compiled.Node.DeadAfter - compiled.Node.SuspectAfter)
 	}
-	n.applyClosed(compiled)
-	n.spreadNow()
+	n.applyClosedReplicas(compiled)
+	n.triggerHeartbeat()
 	klog.InfoS("settings in force", "node", n.config.Name, "generation", compiled.Generation)
 }
 
 // applyClosed closes and opens replicas by the services' settings. The mutex is held.
-func (n *Node) applyClosed(compiled *settings.Compiled) {
+func (n *Node) applyClosedReplicas(compiled *settings.Compiled) {
 	closed := map[structs.ReplicaID]bool{}
 	for _, name := range compiled.Services() {
 		if service, found := compiled.Service(name); found {
@@ -91,7 +91,7 @@
 	}
 	var zones []string
 	for _, zone := range named.Values.OverflowZones {
-		if heard, known := n.heardZones[zone]; known && n.now()-heard < zoneFreshness {
+		if lastSeen, known := n.zoneLastSeen[zone]; known && n.now()-lastSeen < zoneFreshness {
 			zones = append(zones, zone)
 		}
 	}
@@ -112,31 +112,31 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.table.Tick(now)
-	n.followMembership()
+	n.applyMembership()
 	for _, service := range n.floorMember.Tick(now) {
 		n.applyFloor(service)
 	}
 	for _, service := range n.floorOwner.Services() {
 		n.advanceFloor(service)
 	}
-	n.pump()
+	n.schedulePending()
 }
 
 // followMembership tells the state machines how many nodes share the zone and
 // moves registry entries to new owners. The mutex is held.
-func (n *Node) followMembership() {
-	if n.table.Version() == n.tableSeen {
+func (n *Node) applyMembership() {
+	if n.table.Version() == n.membershipVersion {
 		return
 	}
-	n.tableSeen = n.table.Version()
+	n.membershipVersion = n.table.Version()
 	live := len(n.table.Live())
 	n.scheduler.SetLiveNodes(live)
 	n.limitMember.SetLiveNodes(live)
-	n.registerAgain()
+	n.reregisterKeys()
 }
 
 // pump carries out what the scheduler plans. The mutex is held.
-func (n *Node) pump() {
+func (n *Node) schedulePending() {
 	for _, plan := range n.scheduler.Schedule(n.now()) {
 		n.deliver(plan)
 	}
@@ -145,13 +145,13 @@
 
 // deliver hands a plan to the request's execution. The mutex is held.
 func (n *Node) deliver(plan structs.Plan) {
-	n.explain(plan)
+	n.recordDecision(plan)
 	if chain := plan.Request.Prefix; plan.Verdict == structs.VerdictDispatch && len(chain) > 0 {
 		block := chain[len(chain)-1]
-		n.sentPrefixes.Put(block, sentPrefix{Replica: plan.Replica.ID, Block: block})
+		n.sentPrefixQueue.Put(block, sentPrefix{Replica: plan.Replica.ID, Block: block})
 	}
-	if waiting, found := n.executions[plan.Request.ID]; found {
-		waiting.plans <- plan // has room: a request has at most one plan at a time
+	if exec, found := n.executions[plan.Request.ID]; found {
+		exec.plans <- plan // has room: a request has at most one plan at a time
 	}
 }
 
@@ -165,21 +165,21 @@
 func (n *Node) sendDemands() {
 	now := n.now()
 	for _, demand := range n.scheduler.Demands(now) {
-		if last, sent := n.demanded[demand]; sent && now-last < demandInterval {
+		if last, sent := n.lastDemandSent[demand]; sent && now-last < minDemandInterval {
 			continue
 		}
-		n.demanded[demand] = now
+		n.lastDemandSent[demand] = now
 		message := shedding.Demand{Service: demand.Service, Rank: demand.Rank, From: n.config.Name}
-		n.tell(n.floorOwnerOf(demand.Service), func(ctx context.Context, address string) error {
+		n.notifyMember(n.floorOwnerOf(demand.Service), func(ctx context.Context, address string) error {
 			var nothing struct{}
 			return n.peers.Call(ctx, address, peerwire.KindFloorDemand, message, &nothing)
-		}, func() { n.takeDemand(message) })
+		}, func() { n.applyDemand(message) })
 	}
 }
 
 // tell sends a message without waiting, or takes it locally if the member is
 // this node. The mutex is held; remote runs without it.
-func (n *Node) tell(member string, remote func(ctx context.Context, address string) error, local func()) {
+func (n *Node) notifyMember(member string, remote func(ctx context.Context, address string) error, local func()) {
 	if member == n.config.Name {
 		local()
 		return
@@ -189,7 +189,7 @@
 		return
 	}
 	n.group.Go(func() {
-		ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+		ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 		defer cancel()
 		if err := remote(ctx, known.Member.PeerAddress); err != nil && n.ctx.Err() == nil {
 			klog.V(2).InfoS("peer call failed", "node", n.config.Name, "peer", member, "error", err.Error())
@@ -198,7 +198,7 @@
 }
 
 // takeDemand is the owner's side of a demand. The mutex is held.
-func (n *Node) takeDemand(demand shedding.Demand) {
+func (n *Node) applyDemand(demand shedding.Demand) {
 	n.floorOwner.Demand(n.now(), demand)
 	n.advanceFloor(demand.Service)
 }
@@ -211,27 +211,27 @@
 	}
 	for _, outgoing := range n.floorOwner.Tick(n.now(), service, n.table.LiveNames()) {
 		set := outgoing.Update
-		n.tell(outgoing.To, func(ctx context.Context, address string) error {
+		n.notifyMember(outgoing.To, func(ctx context.Context, address string) error {
 			var ack shedding.Ack
 			if err := n.peers.Call(ctx, address, peerwire.KindFloorSet, set, &ack); err != nil {
 				return err
 			}
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
-			n.takeAck(ack)
+			n.applyAck(ack)
 			return nil
-		}, func() { n.takeAck(n.takeSet(set)) })
+		}, func() { n.applyAck(n.applyFloorUpdate(set)) })
 	}
 }
 
 // takeSet applies a floor and returns the acknowledgement. The mutex is held.
-func (n *Node) takeSet(set shedding.FloorUpdate) shedding.Ack {
+func (n *Node) applyFloorUpdate(set shedding.FloorUpdate) shedding.Ack {
 	ack := n.floorMember.Apply(n.now(), set)
 	n.applyFloor(set.Service)
 	return ack
 }
 
-func (n *Node) takeAck(ack shedding.Ack) {
+func (n *Node) applyAck(ack shedding.Ack) {
 	n.floorOwner.Ack(ack)
 	n.advanceFloor(ack.Service)
 }
@@ -256,7 +256,7 @@
 		n.mutex.Lock()
 		reports := n.limitMember.Reports(n.now(), n.config.Name, n.limitOwnerOf)
 		for owner, report := range reports {
-			n.tell(owner, func(ctx context.Context, address string) error {
+			n.notifyMember(owner, func(ctx context.Context, address string) error {
 				var grant limits.Grant
 				if err := n.peers.Call(ctx, address, peerwire.KindLimitDemand, report, &grant); err != nil {
 					return err
@@ -265,7 +265,7 @@
 				defer n.mutex.Unlock()
 				n.limitMember.Apply(n.now(), grant)
 				return nil
-			}, func() { n.limitMember.Apply(n.now(), n.divideLimits(report)) })
+			}, func() { n.limitMember.Apply(n.now(), n.allocateLimits(report)) })
 		}
 		n.mutex.Unlock()
 	}
@@ -276,7 +276,7 @@
 }
 
 // divideLimits is the owner's side. The mutex is held.
-func (n *Node) divideLimits(report limits.Report) limits.Grant {
+func (n *Node) allocateLimits(report limits.Report) limits.Grant {
 	compiled := n.settings.Compiled()
 	return n.limitOwner.Allocate(n.now(), report, func(tenant string) limits.Limit {
 		named, found := compiled.Tenant(tenant)
--- a/node/serve.go
+++ b/node/serve.go
@@ -15,29 +15,29 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	// readTimeout bounds the reading of a whole request.
-	readTimeout = 60 * time.Second
-	idleTimeout = 2 * time.Minute
-	maxHeader   = 64 << 10
+	readTimeout    = 60 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
 // peerNetwork is the network to other nodes' peer interface.
 func (n *Node) peerNetwork() network.Network {
 	if n.config.PeerTLS == nil {
-		return n.depend.Network
+		return n.deps.Network
 	}
-	return network.TLS{Inner: n.depend.Network, Server: n.config.PeerTLS, Client: n.config.PeerTLS}
+	return network.TLS{Inner: n.deps.Network, Server: n.config.PeerTLS, Client: n.config.PeerTLS}
 }
 
 // callerNetwork is the network to other nodes' callers' interface.
 func (n *Node) callerNetwork() network.Network {
 	if n.config.CallerTLS == nil {
-		return n.depend.Network
+		return n.deps.Network
 	}
 	client := n.config.PeerTLS
 	if client == nil {
 		client = n.config.CallerTLS
 	}
-	return network.TLS{Inner: n.depend.Network, Client: client}
+	return network.TLS{Inner: n.deps.Network, Client: client}
 }
 
 // serve starts the servers of the three interfaces.
@@ -56,9 +56,9 @@
 // serveHTTP serves until the node's context ends, which cuts all connections.
 func (n *Node) serveHTTP(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return n.ctx },
-		ErrorLog:    quietLog,
+		ErrorLog:    discardLog,
 	}
 	n.group.Go(func() { _ = server.Serve(listener) }) // always returns an error; it ends with Close
 	n.group.Go(func() {
--- a/node/settings.go
+++ b/node/settings.go
@@ -21,16 +21,16 @@
 const (
 	// watchLimit is how long a delegate waits in one watch before it looks
 	// whether it still is one.
-	watchLimit = 20 * time.Second
+	maxWatchTime = 20 * time.Second
 	// storePause is the time between tries while the store fails.
-	storePause = 500 * time.Millisecond
+	storeRetryInterval = 500 * time.Millisecond
 	// delegateInterval is the time between looks of a node that is no delegate.
-	delegateInterval = 500 * time.Millisecond
+	delegateCheckInterval = 500 * time.Millisecond
 )
 
 // settingsPull asks a peer for a generation above the sender's.
 type settingsPull struct {
-	Have uint64 `msgpack:"h"`
+	Generation uint64 `msgpack:"h"`
 }
 
 // settingsReply carries the document in force, or nothing if it is not newer.
@@ -55,29 +55,29 @@
 		case watching:
 			revision, err = n.watchSettings(revision)
 		default:
-			wait.For(n.ctx, delegateInterval)
+			wait.For(n.ctx, delegateCheckInterval)
 		}
-		n.storeUp.Store(err == nil)
-		if err != nil && !wait.For(n.ctx, storePause) {
+		n.storeHealthy.Store(err == nil)
+		if err != nil && !wait.For(n.ctx, storeRetryInterval) {
 			return
 		}
 	}
 }
 
 func (n *Node) readSettings() (int64, error) {
-	value, err := n.depend.Store.Get(n.ctx, settingsync.Key)
+	value, err := n.deps.Store.Get(n.ctx, settingsync.Key)
 	if err != nil {
 		return 0, err
 	}
-	n.offerStored(value.Data)
+	n.installStored(value.Data)
 	return value.Revision, nil
 }
 
 func (n *Node) watchSettings(revision int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(n.ctx, watchLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, maxWatchTime)
 	defer cancel()
-	n.group.Go(func() { n.endWatchOfOthers(ctx, cancel) })
-	value, err := n.depend.Store.Watch(ctx, settingsync.Key, revision)
+	n.group.Go(func() { n.cancelWatchUnlessDelegate(ctx, cancel) })
+	value, err := n.deps.Store.Watch(ctx, settingsync.Key, revision)
 	if ctx.Err() != nil {
 		// A watch may have died without a word; reading settles what was missed.
 		return n.readSettings()
@@ -85,14 +85,14 @@
 	if err != nil {
 		return revision, err
 	}
-	n.offerStored(value.Data)
+	n.installStored(value.Data)
 	return value.Revision, nil
 }
 
 // endWatchOfOthers ends a watch when the node is no delegate any more: a node
 // that starts knows no others yet and takes itself for one.
-func (n *Node) endWatchOfOthers(ctx context.Context, cancel context.CancelFunc) {
-	for wait.For(ctx, delegateInterval) {
+func (n *Node) cancelWatchUnlessDelegate(ctx context.Context, cancel context.CancelFunc) {
+	for wait.For(ctx, delegateCheckInterval) {
 		n.mutex.Lock()
 		watching := n.isDelegate()
 		n.mutex.Unlock()
@@ -105,7 +105,7 @@
 
 // offerStored takes a value of the store into force if it is newer. A value
 // that does not parse or compile leaves the last good generation in force.
-func (n *Node) offerStored(data []byte) {
+func (n *Node) installStored(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -133,27 +133,27 @@
 }
 
 func (n *Node) pullSettingsFrom(address string) {
-	if err := faultpoint.Reach(n.ctx, n.depend.Faults, faultpoint.ChangeSpread, n.config.Name); err != nil {
+	if err := faultpoint.Reach(n.ctx, n.deps.Faults, faultpoint.ChangeSpread, n.config.Name); err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 	defer cancel()
 	var reply settingsReply
-	message := settingsPull{Have: n.settings.Compiled().Generation}
+	message := settingsPull{Generation: n.settings.Compiled().Generation}
 	if err := n.peers.Call(ctx, address, peerwire.KindSettingsPull, &message, &reply); err == nil {
-		n.offerStored(reply.Document)
+		n.installStored(reply.Document)
 	}
 }
 
 func (n *Node) serveSettingsPull(_ context.Context, message *settingsPull) (*settingsReply, error) {
-	data, err := n.settings.EncodedIfNewer(message.Have)
+	data, err := n.settings.EncodedIfNewer(message.Generation)
 	return &settingsReply{Document: data}, err
 }
 
 // Change accepts a change of the settings and takes it into force here. Errors
 // are those of settingsync.Committer.Commit.
 func (n *Node) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
-	record, document, err := n.acceptor.Commit(ctx, change)
+	record, document, err := n.settingsCommitter.Commit(ctx, change)
 	if err != nil {
 		if document != nil && errors.Is(err, errkind.Conflict) {
 			_, _ = n.settings.InstallIfNewer(document) // what conflicts is newer than what is in force here
@@ -169,7 +169,7 @@
 func (n *Node) serveLimitDemand(_ context.Context, report *limits.Report) (*limits.Grant, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	grant := n.divideLimits(*report)
+	grant := n.allocateLimits(*report)
 	return &grant, nil
 }
 
@@ -199,11 +199,11 @@
 
 func (n *Node) newCoordinator(service string) *placement.Coordinator {
 	return &placement.Coordinator{
-		Store: n.depend.Store, Sender: n.adapter, Zone: n.config.Zone, Service: service, Node: n.config.Name,
-		Now: n.now, ClusterState: func() placement.ClusterState { return n.placementWorld(service) }, Faults: n.depend.Faults,
+		Store: n.deps.Store, Sender: n.adapter, Zone: n.config.Zone, Service: service, Node: n.config.Name,
+		Now: n.now, ClusterState: func() placement.ClusterState { return n.placementState(service) }, Faults: n.deps.Faults,
 		Log: func(order placement.Order, err error) {
 			n.count("placement.orders")
-			if n.depend.LogDecisions {
+			if n.deps.LogDecisions {
 				klog.InfoS("placement", "node", n.config.Name, "service", service, "replica", order.Replica.ID, "model", order.Model, "fence", order.Fence, "error", errorText(err))
 			}
 		},
@@ -217,18 +217,18 @@
 	return err.Error()
 }
 
-func (n *Node) placementWorld(service string) placement.ClusterState {
+func (n *Node) placementState(service string) placement.ClusterState {
 	compiled := n.settings.Compiled()
-	world := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
+	cluster := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
 	for _, model := range compiled.Models(service) {
-		world.Demands = append(world.Demands, placement.Demand{Model: model.Name, Replicas: model.Values.Replicas})
+		cluster.Demands = append(cluster.Demands, placement.Demand{Model: model.Name, Replicas: model.Values.Replicas})
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, state := range n.scheduler.View().Pool(service).States {
 		if state.Replica.Zone == n.config.Zone && state.Replica.Kind == structs.KindEngine && state.HasReport {
-			world.Engines = append(world.Engines, placement.Engine{Replica: state.Replica, Models: state.Report.Models, Running: state.Report.Running})
+			cluster.Engines = append(cluster.Engines, placement.Engine{Replica: state.Replica, Models: state.Report.Models, Running: state.Report.Running})
 		}
 	}
-	return world
+	return cluster
 }
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -35,11 +35,11 @@
 		n := &Node{ctx: ctx, peers: peer.NewClient(fabric.Host("n"), nil)}
 		n.settings, err = settingsync.NewCurrent(&settingsync.Document{}, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		begun := time.Now()
+		started := time.Now()
 		for range 5 {
 			n.pullSettings("ahead:7600")
 		}
-		g.Expect(time.Since(begun)).To(gomega.BeZero(), "the heartbeat that tells of them goes on")
+		g.Expect(time.Since(started)).To(gomega.BeZero(), "the heartbeat that tells of them goes on")
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(asked.Load()).To(gomega.Equal(int64(1)))
 		time.Sleep(200 * time.Millisecond)
--- a/node/spread.go
+++ b/node/spread.go
@@ -14,7 +14,7 @@
 const PathOperatorSpread = "/operator/spread"
 
 // spreadFreshness is how long the last word of a node counts.
-const spreadFreshness = 5 * time.Second
+const generationFreshness = 5 * time.Second
 
 // ZoneSpread is how far a generation has spread in one zone, as this node has
 // heard.
@@ -52,22 +52,22 @@
 		}
 		return zones[name]
 	}
-	n.enter(zone(n.config.Zone), n.config.Name, n.settings.Compiled().Generation, generation)
+	n.addNode(zone(n.config.Zone), n.config.Name, n.settings.Compiled().Generation, generation)
 	for _, machine := range n.machines.entries {
 		if machine.Name == n.config.Name {
 			continue
 		}
 		spread := zone(machine.Zone)
 		if machine.Zone != n.config.Zone {
-			heard, known := n.heardZones[machine.Zone]
-			spread.CutOff = !known || n.now()-heard > zoneFreshness
+			lastSeen, known := n.zoneLastSeen[machine.Zone]
+			spread.CutOff = !known || n.now()-lastSeen > zoneFreshness
 		}
 		if rumor, known := n.table.Get(machine.Name); known && rumor.Status == membership.Dead {
 			continue
 		}
-		held, heard := n.generations[machine.Name]
-		if heard && (held.generation >= generation || n.now()-held.at < spreadFreshness) {
-			n.enter(spread, machine.Name, held.generation, generation)
+		observed, isObserved := n.peerGenerations[machine.Name]
+		if isObserved && (observed.generation >= generation || n.now()-observed.at < generationFreshness) {
+			n.addNode(spread, machine.Name, observed.generation, generation)
 		} else {
 			spread.Unheard = append(spread.Unheard, machine.Name)
 		}
@@ -80,8 +80,8 @@
 	return sorted
 }
 
-func (n *Node) enter(spread *ZoneSpread, name string, held, wanted uint64) {
-	if held >= wanted {
+func (n *Node) addNode(spread *ZoneSpread, name string, observed, wanted uint64) {
+	if observed >= wanted {
 		spread.InForce = append(spread.InForce, name)
 		return
 	}
--- a/node/tickets.go
+++ b/node/tickets.go
@@ -10,12 +10,12 @@
 
 // ticketBook is the tickets that this process handed out. It is safe for
 // concurrent use.
-type ticketBook struct {
+type ticketStore struct {
 	mutex sync.Mutex
 	limit int
 	// used maps a ticket to the request that it dispatches, or "".
-	used  map[string]ticketUse
-	order []string
+	uses       map[string]ticketUse
+	issueOrder []string
 }
 
 type ticketUse struct {
@@ -23,33 +23,33 @@
 	bodyHash  uint64
 }
 
-func newTicketBook(limit int) *ticketBook {
-	return &ticketBook{limit: limit, used: map[string]ticketUse{}}
+func newTicketStore(limit int) *ticketStore {
+	return &ticketStore{limit: limit, uses: map[string]ticketUse{}}
 }
 
 // issue enters a ticket; the oldest is forgotten when there are too many, and
 // is then refused.
-func (b *ticketBook) issue(id string) {
+func (b *ticketStore) issue(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if len(b.order) >= b.limit {
-		delete(b.used, b.order[0])
-		b.order = b.order[1:]
+	if len(b.issueOrder) >= b.limit {
+		delete(b.uses, b.issueOrder[0])
+		b.issueOrder = b.issueOrder[1:]
 	}
-	b.used[id] = ticketUse{}
-	b.order = append(b.order, id)
+	b.uses[id] = ticketUse{}
+	b.issueOrder = append(b.issueOrder, id)
 }
 
 // use spends the ticket on the request. It returns the request that has it.
-func (b *ticketBook) use(id, requestID string, bodyHash uint64) (string, error) {
+func (b *ticketStore) spend(id, requestID string, bodyHash uint64) (string, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	use, known := b.used[id]
+	use, known := b.uses[id]
 	switch {
 	case !known:
 		return "", errkind.New(errkind.BadTicket, "the ticket is not known any more")
 	case use.requestID == "":
-		b.used[id] = ticketUse{requestID: requestID, bodyHash: bodyHash}
+		b.uses[id] = ticketUse{requestID: requestID, bodyHash: bodyHash}
 		return requestID, nil
 	case use.bodyHash != bodyHash:
 		return "", errkind.New(errkind.KeyReused, "the ticket was used for a request with another body")
@@ -58,15 +58,15 @@
 }
 
 // free makes the ticket of a request that did not run usable again.
-func (b *ticketBook) free(sealed, requestID string) {
+func (b *ticketStore) release(sealed, requestID string) {
 	if sealed == "" {
 		return
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for id, use := range b.used {
+	for id, use := range b.uses {
 		if use.requestID == requestID {
-			b.used[id] = ticketUse{}
+			b.uses[id] = ticketUse{}
 			return
 		}
 	}
@@ -82,13 +82,13 @@
 // useTicket spends a ticket of this process on the execution, or returns the
 // answer of the request that it was spent on. Tickets of other processes are
 // forwarded before this is reached.
-func (n *Node) useTicket(c *call, x *execution) (*answer.Answer, error) {
+func (n *Node) useTicket(c *call, exec *execution) (*answer.Answer, error) {
 	ticket, err := n.openTicket(c.ticket, c.tenant.Name)
 	if err != nil {
 		return nil, err
 	}
-	holder, err := n.tickets.use(ticket.ID, x.request.ID, c.bodyHash)
-	if err != nil || holder == x.request.ID {
+	holder, err := n.tickets.spend(ticket.ID, exec.request.ID, c.bodyHash)
+	if err != nil || holder == exec.request.ID {
 		return nil, err
 	}
 	if earlier, found := n.answers.Get(holder); found {
--- a/protocol/openai/openai.go
+++ b/protocol/openai/openai.go
@@ -1,6 +1,5 @@
-// Package openai reads and writes the parts of the OpenAI-compatible HTTP API
-// that the scheduler has to understand; fields that it does not know pass
-// through unchanged.
+// Package openai decodes and encodes the parts of the OpenAI-compatible HTTP API
+// that scheduling depends on. Unknown request fields pass through unchanged.
 package openai
 
 import (
@@ -18,25 +17,26 @@
 	PathModels      = "/v1/models"
 )
 
-// DoneEvent ends a stream.
+// DoneEvent is the data of the last event of a complete stream.
 const DoneEvent = "[DONE]"
 
 // Request is a caller's request for a completion.
 type Request struct {
 	Model  string
 	Stream bool
-	// MaxTokens is zero if the caller gave no limit.
+	// MaxTokens is 0 if the caller set no limit.
 	MaxTokens int
-	// Prompt is the text whose prefix engines cache.
+	// Prompt is the prompt text, or the chat messages as one text; engines cache its prefix.
 	Prompt string
 	Chat   bool
-	// IncludeUsage is true if the caller asked for usage in the stream.
+	// IncludeUsage reports whether the caller requested token usage in the stream.
 	IncludeUsage bool
 
+	// fields are all fields of the body, including unknown ones.
 	fields map[string]json.RawMessage
 }
 
-// requestFields are the fields that are read.
+// requestFields are the fields that ParseRequest evaluates.
 type requestFields struct {
 	Model               *string         `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -50,32 +50,32 @@
 	} `json:"stream_options"`
 }
 
-// Message is one message of a chat. Content is text or a list of parts.
+// Message is one message of a chat. Content is a string or a list of parts.
 type Message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// ParseRequest reads the body of a completion request. Errors are of kind
-// BadRequest and name the field.
+// ParseRequest decodes and checks the body of a completion or chat request.
+// Errors are of kind BadRequest and name the field.
 func ParseRequest(body []byte, chat bool) (*Request, error) {
 	if !utf8.Valid(body) {
-		return nil, errkind.New(errkind.BadRequest, "the body is not UTF-8")
+		return nil, errkind.New(errkind.BadRequest, "request body is not UTF-8")
 	}
 	var fields requestFields
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, errkind.New(errkind.BadRequest, "the body does not parse: %v", err)
+		return nil, errkind.New(errkind.BadRequest, "request body does not parse: %v", err)
 	}
 	request := &Request{Stream: fields.Stream, Chat: chat, IncludeUsage: fields.StreamOptions.IncludeUsage}
 	if err := json.Unmarshal(body, &request.fields); err != nil {
-		return nil, errkind.New(errkind.BadRequest, "the body is not an object: %v", err)
+		return nil, errkind.New(errkind.BadRequest, "request body is not a JSON object: %v", err)
 	}
 	if fields.Model == nil || *fields.Model == "" {
 		return nil, errkind.New(errkind.BadRequest, "model is missing")
 	}
 	request.Model = *fields.Model
 	if fields.Choices != nil && *fields.Choices != 1 {
-		return nil, errkind.New(errkind.BadRequest, "n is %d: only one choice is served", *fields.Choices)
+		return nil, errkind.New(errkind.BadRequest, "n is %d: only one choice is supported", *fields.Choices)
 	}
 	for _, limit := range []*int{fields.MaxTokens, fields.MaxCompletionTokens} {
 		if limit == nil {
@@ -92,7 +92,7 @@
 func (r *Request) readPrompt(fields *requestFields) error {
 	if !r.Chat {
 		if err := json.Unmarshal(fields.Prompt, &r.Prompt); err != nil || r.Prompt == "" {
-			return errkind.New(errkind.BadRequest, "prompt is missing or not a text")
+			return errkind.New(errkind.BadRequest, "prompt is missing, empty or not a string")
 		}
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// EngineBody returns the body for an engine: the caller's fields with a stream,
-// usage at its end, the engine's model name, the priority and a token limit.
+// EngineBody returns the body for an engine: the caller's fields, with streaming
+// and usage turned on and the model, the priority and the token limit replaced.
 func (r *Request) EngineBody(model string, priority, maxTokens int) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(r.fields)+4)
 	for name, value := range r.fields {
@@ -159,7 +159,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is the text of a chat chunk.
+// Delta is the text that a chunk adds to a chat message.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
@@ -173,22 +173,22 @@
 	PromptDetails    *PromptDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetails tells the part of the prompt that was cached.
+// PromptDetails breaks down the prompt tokens.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// ParseChunk reads an event. The error is of kind OutcomeUnknown, since a
-// request whose answer does not parse has run.
+// ParseChunk decodes the data of an event. The error is of kind OutcomeUnknown,
+// since the engine has started the request.
 func ParseChunk(data []byte) (*Chunk, error) {
 	chunk := &Chunk{}
 	if err := json.Unmarshal(data, chunk); err != nil {
-		return nil, errkind.New(errkind.OutcomeUnknown, "the engine's event does not parse: %v", err)
+		return nil, errkind.New(errkind.OutcomeUnknown, "parse event of the engine: %v", err)
 	}
 	return chunk, nil
 }
 
-// HasText returns whether the chunk carries a token of the answer.
+// HasText reports whether the chunk carries text of the answer.
 func (c *Chunk) HasText() bool {
 	for _, choice := range c.Choices {
 		if choice.Text != "" || (choice.Delta != nil && choice.Delta.Content != "") {
@@ -198,7 +198,7 @@
 	return false
 }
 
-// Completion is an answer that is not streamed.
+// Completion is the response to a request that is not streamed.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -208,7 +208,7 @@
 	Usage   *Usage             `json:"usage,omitempty"`
 }
 
-// CompletionChoice is the text of a completion.
+// CompletionChoice is the answer in a completion.
 type CompletionChoice struct {
 	Index        int          `json:"index"`
 	Message      *ChatMessage `json:"message,omitempty"`
@@ -216,14 +216,14 @@
 	FinishReason string       `json:"finish_reason"`
 }
 
-// ChatMessage is the answer to a chat.
+// ChatMessage is the answer to a chat request.
 type ChatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Assemble joins the events of a whole stream into a completion, of a chat if
-// the events are those of one.
+// Assemble joins the events of a complete stream into a completion, or into a
+// chat completion if the events carry deltas. The error is that of ParseChunk.
 func Assemble(events [][]byte) (*Completion, error) {
 	var text strings.Builder
 	completion := &Completion{Object: "text_completion", Choices: []CompletionChoice{{}}}
@@ -258,7 +258,7 @@
 	return completion, nil
 }
 
-// Model is an entry of the list of models; each route is one.
+// Model is an entry of the model list; each route to a model has one.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -266,18 +266,19 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList answers GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// ErrorBody is the form of an error.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes an error: its kind, remedy and what it proves.
+// ErrorDetail describes an error. Message includes the remedy, Outcome is what
+// the error proves about the request.
 type ErrorDetail struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
--- a/protocol/peerwire/peerwire.go
+++ b/protocol/peerwire/peerwire.go
@@ -1,6 +1,6 @@
-// Package peerwire is the protocol between nodes: frames of msgpack over TCP.
-// A frame is a length of four bytes, most significant first, and an envelope.
-// Requests and replies share a connection and are matched by call number.
+// Package peerwire defines the frames that nodes exchange over a connection. A
+// frame is a length of four bytes in big-endian order and an envelope in
+// msgpack. Replies are matched to requests by call number.
 package peerwire
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// MaximumFrame bounds a frame in bytes; a longer one ends the connection.
-const MaximumFrame = 4 << 20
+// MaxFrameBytes bounds the encoded envelope of a frame; a longer one ends the
+// connection.
+const MaxFrameBytes = 4 << 20
 
-// Kind names the type of a message.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages. Numbers are part of the protocol and never reused.
+// The kinds of messages. Their numbers are part of the protocol and are never reused.
 const (
 	KindHeartbeat Kind = iota + 1
 	KindProbe
@@ -49,7 +50,7 @@
 	KindConfigurationParts: "configuration-parts", KindContents: "contents",
 }
 
-// String returns the name of the kind in metrics and logs.
+// String returns the name of the kind for metrics and logs.
 func (k Kind) String() string {
 	if name, known := kindNames[k]; known {
 		return name
@@ -62,18 +63,19 @@
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Call matches replies to requests on one connection.
+	// Call is the number of the request on its connection; its reply has the same.
 	Call uint64
 	Kind Kind
-	// Reply is true for the answer to a call.
+	// Reply reports whether this is the reply to a call.
 	Reply bool
-	// Code and Detail are set if the call failed; Code is that of an error kind.
+	// Code and Detail are set if the call failed; Code is that of an errkind.Kind.
 	Code   string
 	Detail string
 	Body   msgpack.RawMessage
 }
 
-// WriteFrame writes the envelope as one frame.
+// WriteFrame writes the envelope as one frame and returns the bytes written. An
+// envelope that can not be encoded or is too long is an error of kind BadFrame.
 func WriteFrame(writer io.Writer, envelope *Envelope) (int, error) {
 	var buffer bytes.Buffer
 	buffer.Write([]byte{0, 0, 0, 0})
@@ -81,8 +83,8 @@
 		return 0, errkind.Wrap(errkind.BadFrame, err)
 	}
 	length := buffer.Len() - lengthBytes
-	if length > MaximumFrame {
-		return 0, errkind.New(errkind.BadFrame, "frame of %d bytes exceeds %d", length, MaximumFrame)
+	if length > MaxFrameBytes {
+		return 0, errkind.New(errkind.BadFrame, "write frame: %d bytes exceed the limit of %d", length, MaxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(buffer.Bytes(), uint32(length))
 	return writer.Write(buffer.Bytes())
@@ -90,42 +92,42 @@
 
 const lengthBytes = 4
 
-// ReadFrame reads one frame. The error is io.EOF if the connection ended
-// between frames, and otherwise of kind BadFrame for content that no correct
-// peer sends; the connection is of no more use after any error.
+// ReadFrame reads one frame and returns its size in bytes. The error is io.EOF
+// if the connection ended between frames, and of kind BadFrame for a frame that
+// is invalid or truncated. After any error the connection must be closed.
 func ReadFrame(reader io.Reader) (*Envelope, int, error) {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, 0, err
 	}
 	length := binary.BigEndian.Uint32(header[:])
-	if length == 0 || length > MaximumFrame {
-		return nil, 0, errkind.New(errkind.BadFrame, "frame length %d is not in 1 to %d", length, MaximumFrame)
+	if length == 0 || length > MaxFrameBytes {
+		return nil, 0, errkind.New(errkind.BadFrame, "read frame: length %d is not in 1 to %d", length, MaxFrameBytes)
 	}
-	// The content is read as it comes, so that a false length costs no memory.
+	// The buffer grows with the data received, so that a wrong length allocates nothing.
 	var content bytes.Buffer
 	if _, err := io.CopyN(&content, reader, int64(length)); err != nil {
-		return nil, 0, errkind.New(errkind.BadFrame, "frame ends after %d of %d bytes", content.Len(), length)
+		return nil, 0, errkind.New(errkind.BadFrame, "read frame: ends after %d of %d bytes", content.Len(), length)
 	}
 	envelope := &Envelope{}
 	if err := msgpack.Unmarshal(content.Bytes(), envelope); err != nil {
 		return nil, 0, errkind.Wrap(errkind.BadFrame, err)
 	}
 	if envelope.Kind == 0 || envelope.Kind >= kindEnd {
-		return nil, 0, errkind.New(errkind.BadFrame, "unknown message kind %d", envelope.Kind)
+		return nil, 0, errkind.New(errkind.BadFrame, "read frame: unknown message kind %d", envelope.Kind)
 	}
 	return envelope, int(length) + lengthBytes, nil
 }
 
-// Marshal encodes a message body.
+// Marshal encodes a message body; the error is of kind BadFrame.
 func Marshal(message any) (msgpack.RawMessage, error) {
 	var buffer bytes.Buffer
 	err := compactEncoder(&buffer).Encode(message)
 	return buffer.Bytes(), errkind.Wrap(errkind.BadFrame, err)
 }
 
-// compactEncoder writes numbers in as few bytes as they need; load digests are
-// half as long for it.
+// compactEncoder returns an encoder that writes integers in as few bytes as
+// their values need.
 func compactEncoder(writer io.Writer) *msgpack.Encoder {
 	encoder := msgpack.NewEncoder(writer)
 	encoder.UseCompactInts(true)
