--- a/node/backend.go
+++ b/node/backend.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// resumeWindow is how long a broken answer is asked for again, and
-	// resumePause the time between tries.
+	// resumeWindow is how long resuming an answer is tried without progress, every
+	// resumeInterval.
 	resumeWindow   = 10 * time.Second
 	resumeInterval = 100 * time.Millisecond
-	// reorderLimit bounds events that wait for an earlier one.
+	// maxReorderedEvents bounds the events that wait for an earlier one.
 	maxReorderedEvents = 256
-	// maximumAnswerBytes bounds one answer.
+	// maxAnswerBytes bounds the data of one answer.
 	maxAnswerBytes = 32 << 20
-	// cancelTimeout bounds the message that ends a request at its engine.
+	// cancelTimeout bounds the call that cancels a request at its engine.
 	cancelTimeout = time.Second
-	// serviceChunk is the size of the pieces in which a service's body is read.
+	// serviceChunkBytes is the size of one read of a response body.
 	serviceChunkBytes = 32 << 10
 )
 
-// generate dispatches to an engine and reads the answer to its end, resuming it
-// when the stream breaks. Errors that wrap oneshot.ErrNotSent prove that
-// nothing was sent.
+// generate sends the request to an engine and reads the complete answer, resuming
+// it when the stream breaks. If nothing was sent, it returns OutcomePending and
+// an error that wraps oneshot.ErrNotSent.
 func (n *Node) generate(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
 	body, err := exec.call.generation.EngineBody(requestEngineModel(exec), int(exec.request.Rank), exec.request.MaxTokens)
 	if err != nil {
@@ -57,6 +57,7 @@
 	return outcome, err
 }
 
+// requestEngineModel returns the name under which the engine serves the model.
 func requestEngineModel(exec *execution) string {
 	if exec.request.Adapter != "" {
 		return exec.request.Adapter
@@ -64,19 +65,19 @@
 	return exec.request.Model
 }
 
-// cancelAt ends the request at the engine, best effort.
+// cancelAtEngine cancels the request at the engine. Errors are ignored.
 func (n *Node) cancelAtEngine(address, id string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(n.ctx), cancelTimeout)
 	defer cancel()
 	if n.ctx.Err() != nil {
-		return // the process is gone as far as others can tell
+		return // Kill has ended the node, which must then send nothing
 	}
 	_ = n.adapter.Cancel(ctx, address, id)
 }
 
-// eventReader reads the answer of one request from its engine. Events are
-// taken in the order of their numbers, each once; those of another request are
-// dropped.
+// eventReader reads the answer of one request from its engine. It appends the
+// events to the answer in the order of their numbers, each once, and drops those
+// of other requests.
 type eventReader struct {
 	node       *Node
 	request    *structs.Request
@@ -88,10 +89,10 @@
 	bytes      int
 }
 
-// read reads to the end. The stream may be nil with the error that opening it
-// gave; it is then resumed like a broken one.
+// read reads until the answer is complete or can't be resumed. If the stream is
+// nil, err is the error of opening it, and read starts by resuming the answer.
 func (r *eventReader) read(ctx context.Context, stream *backendhttp.Stream, err error) (structs.Outcome, error) {
-	since := time.Now()
+	lastProgress := time.Now()
 	for {
 		if stream != nil {
 			before := r.lastNumber
@@ -101,31 +102,31 @@
 				return structs.OutcomeAnswered, nil
 			}
 			if r.lastNumber > before {
-				since = time.Now()
+				lastProgress = time.Now()
 			}
 		}
-		if refused := engineError(err); refused != nil {
-			return structs.OutcomeUnknown, refused
+		if fatal := engineError(err); fatal != nil {
+			return structs.OutcomeUnknown, fatal
 		}
-		if time.Since(since) > resumeWindow || !wait.For(ctx, resumeInterval) {
-			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "the answer broke off: %v", err)
+		if time.Since(lastProgress) > resumeWindow || !wait.For(ctx, resumeInterval) {
+			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "read answer of the engine: stream broke and was not resumed: %v", err)
 		}
 		r.node.count("answer.resumed")
 		stream, err = r.node.adapter.Resume(ctx, r.address, r.request.ID, r.lastNumber)
 	}
 }
 
-// asRefusal returns an error if the engine itself refused, so that trying again
-// is of no use: it does not know the request, or it answered with an error.
+// engineError returns an error if err is a StatusError, after which resuming the
+// answer can't succeed, and nil otherwise.
 func engineError(err error) error {
 	var status *backendhttp.StatusError
 	if !errors.As(err, &status) {
 		return nil
 	}
-	return errkind.New(errkind.OutcomeUnknown, "the engine answered %s", status.Error())
+	return errkind.New(errkind.OutcomeUnknown, "read answer of the engine: %s", status.Error())
 }
 
-// consume reads one stream; nil means that the answer is whole.
+// readStream reads one stream; nil means that the answer is complete.
 func (r *eventReader) readStream(ctx context.Context, stream *backendhttp.Stream) error {
 	for {
 		event, err := stream.Next()
@@ -146,6 +147,8 @@
 	}
 }
 
+// handleEvent appends the event to the answer, with those that waited for it, or
+// stores it until the events before it arrive.
 func (r *eventReader) handleEvent(ctx context.Context, event backendhttp.Event) error {
 	chunk, err := openai.ParseChunk(event.Data)
 	if err != nil || chunk.ID != r.request.ID || event.Number <= r.lastNumber {
@@ -181,7 +184,7 @@
 	}
 }
 
-// accept passes the next event on.
+// appendEvent appends the event that is next in order to the answer.
 func (r *eventReader) appendEvent(ctx context.Context, data []byte, chunk *openai.Chunk) error {
 	if err := faultpoint.Reach(ctx, r.node.deps.Faults, faultpoint.Stream, r.request.ID); err != nil {
 		return err
@@ -189,7 +192,7 @@
 	r.lastNumber++
 	r.bytes += len(data)
 	if r.bytes > maxAnswerBytes {
-		return &backendhttp.StatusError{Status: http.StatusBadGateway, Body: "the answer is too large"}
+		return &backendhttp.StatusError{Status: http.StatusBadGateway, Body: "answer is too large"}
 	}
 	if chunk.HasText() {
 		r.tokens++
@@ -211,8 +214,8 @@
 	n.recordDuration("ttft."+request.Tier, n.now()-request.Arrived)
 }
 
-// callService dispatches to a plain service and reads its response. It can't be
-// resumed: a response that breaks off ends as unknown.
+// callService sends the request to a plain service and reads its response. A
+// response that breaks can't be resumed and has an unknown outcome.
 func (n *Node) callService(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
 	service := exec.call.service
 	response, err := n.adapter.Call(exec.ctx, replica.Address, &backendhttp.ServiceCall{
@@ -244,10 +247,10 @@
 			return structs.OutcomeAnswered, nil
 		}
 		if err == nil && total > maxAnswerBytes {
-			err = errors.New("the answer is too large")
+			err = errors.New("answer is too large")
 		}
 		if err != nil {
-			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "the response broke off after %d bytes: %v", total, err)
+			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "read response of the service: broke after %d bytes: %v", total, err)
 		}
 	}
 }
--- a/node/callers.go
+++ b/node/callers.go
@@ -18,7 +18,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Paths of the callers' interface beside the OpenAI-compatible ones.
+// Paths of the callers' interface, in addition to those of package openai.
 const (
 	PathServices        = "/services/{name}"
 	PathTickets         = "/v1/tickets"
@@ -29,7 +29,7 @@
 	PathMetrics         = "/metrics"
 )
 
-// callerHandler is the callers' interface.
+// callerHandler returns the handler of the callers' interface.
 func (n *Node) callerHandler() http.Handler {
 	router := mux.NewRouter()
 	router.UseEncodedPath()
@@ -48,7 +48,7 @@
 	return router
 }
 
-// withTenant authenticates before it serves, and counts open callers.
+// withTenant authenticates the caller and counts open callers around serve.
 func (n *Node) withTenant(serve func(http.ResponseWriter, *http.Request, *settings.Named)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		n.traffic.openCallers.Add(1)
@@ -90,8 +90,9 @@
 	n.writeGeneration(writer, request, ans, c.generation.Stream, c.generation.IncludeUsage, 0)
 }
 
-// take begins a call that was resolved, or forwards it to the process of its
-// ticket. It returns true if the caller was answered already.
+// startOrForward starts the execution of a call, or forwards the call to the
+// process that issued its ticket; err is the error of resolving the call. It
+// returns true if it has already written the response.
 func (n *Node) startOrForward(writer http.ResponseWriter, request *http.Request, c *call, err error) (*answer.Answer, bool) {
 	if err != nil {
 		n.writeError(writer, err, "", "")
@@ -138,7 +139,7 @@
 	writeJSON(writer, http.StatusOK, list)
 }
 
-// ticketReply is the answer to a request for a ticket.
+// ticketReply is the response to a request for a ticket.
 type ticketReply struct {
 	Ticket string `json:"ticket"`
 	Node   string `json:"node"`
@@ -157,7 +158,7 @@
 	writeJSON(writer, http.StatusOK, ticketReply{Ticket: ticket, Node: n.config.Name})
 }
 
-// RequestStatus is what is known of a request.
+// RequestStatus is the state of a request as this node knows it.
 type RequestStatus struct {
 	RequestID string `json:"request_id"`
 	State     string `json:"state"`
@@ -210,16 +211,16 @@
 	n.writeGeneration(writer, request, ans, stream, true, lastEventID(request))
 }
 
-// serveLookupByKey answers what is known of the request under a key.
+// serveLookupByKey responds with the status of the request that has the key.
 func (n *Node) serveLookupByKey(writer http.ResponseWriter, request *http.Request, tenant *settings.Named) {
 	key := registry.Key{Tenant: tenant.Name, Key: request.Header.Get(HeaderIdempotencyKey)}
 	if key.Key == "" {
-		n.writeError(writer, errkind.New(errkind.BadRequest, "send the key in %s", HeaderIdempotencyKey), "", "")
+		n.writeError(writer, errkind.New(errkind.BadRequest, "look up request: header %s is missing", HeaderIdempotencyKey), "", "")
 		return
 	}
 	entry, found := n.lookupKey(request.Context(), key)
 	if !found {
-		n.writeError(writer, errkind.New(errkind.NotFound, "no request under this key is remembered in the zone"), "", "")
+		n.writeError(writer, errkind.New(errkind.NotFound, "look up request: the zone has no request with this key"), "", "")
 		return
 	}
 	states := map[registry.Progress]string{registry.Registered: "waiting", registry.Dispatched: "dispatched", registry.Ended: "ended"}
@@ -230,37 +231,37 @@
 	writeJSON(writer, http.StatusOK, status)
 }
 
-// findAnswer finds the answer of a request here, at the node that has it, or,
-// by the receipt, at its engine.
+// findAnswer returns the answer of a request from this node, from the node that
+// has it or, if that process has ended, from the engine that the receipt names.
 func (n *Node) findAnswer(ctx context.Context, id, sealed, tenant string) (*answer.Answer, error) {
 	if own, found := n.answers.Get(id); found {
 		if own.Tenant != tenant {
-			return nil, errkind.New(errkind.NotFound, "request %s", id)
+			return nil, errkind.New(errkind.NotFound, "find request %s", id)
 		}
 		return own, nil
 	}
 	name, process, valid := parseRequestID(id)
 	if !valid {
-		return nil, errkind.New(errkind.NotFound, "%q is no request id", id)
+		return nil, errkind.New(errkind.NotFound, "%q is not a request id", id)
 	}
 	if address, found := n.callerAddressOf(name, uint64(process)); found {
 		return n.relayAnswer(address, id, tenant, sealed), nil
 	}
 	if sealed == "" {
-		return nil, errkind.New(errkind.NotFound, "the process that took request %s is gone: send the receipt in %s", id, HeaderReceipt)
+		return nil, errkind.New(errkind.NotFound, "find request %s: its process has ended; send the receipt in header %s", id, HeaderReceipt)
 	}
 	var opened receipt.Receipt
 	if err := n.sealer.Open(sealed, &opened); err != nil {
 		return nil, err
 	}
 	if opened.RequestID != id {
-		return nil, errkind.New(errkind.BadReceipt, "the receipt belongs to another request")
+		return nil, errkind.New(errkind.BadReceipt, "receipt belongs to another request")
 	}
 	return n.resumeByReceipt(ctx, sealed, tenant)
 }
 
-// addressOf returns where the process of a node serves callers: by membership
-// in this zone, by the machine list in others.
+// callerAddressOf returns the callers' address of a node, and whether its process
+// may still run. Nodes of other zones are looked up in the machine list.
 func (n *Node) callerAddressOf(name string, process uint64) (string, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -275,10 +276,10 @@
 	return "", false
 }
 
-// lookup asks the keepers for the entry of a key.
+// lookupKey returns the entry of a key from the members that store it.
 func (n *Node) lookupKey(ctx context.Context, key registry.Key) (registry.Entry, bool) {
-	for _, keeper := range n.registryNodes(key) {
-		reply, err := callOrServe(ctx, n, keeper, kindLookup, &key, n.serveRegistryLookup)
+	for _, member := range n.registryNodes(key) {
+		reply, err := callOrServe(ctx, n, member, kindLookup, &key, n.serveRegistryLookup)
 		if err == nil && reply.Found {
 			return reply.Entry, true
 		}
@@ -289,8 +290,8 @@
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // the caller is gone if this fails
+	_ = json.NewEncoder(writer).Encode(value) // fails only if the caller has disconnected
 }
 
-// outcomeOf is the outcome that a caller is told with an error.
+// outcomeOf returns the outcome that an error proves.
 func outcomeOf(err error) structs.Outcome { return errkind.Of(err).Outcome }
--- a/node/claiming.go
+++ b/node/claiming.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// claimTimeout bounds the wait for the store before a dispatch.
+	// claimTimeout bounds the wait for a claim before a dispatch.
 	claimTimeout = 2 * time.Second
-	// writerTimeout is the part of it that the zone's writer is given.
+	// writerTimeout bounds the call of the zone's writer within claimTimeout.
 	writerTimeout = claimTimeout / 2
-	// releaseTimeout bounds the return of a claim.
+	// releaseTimeout bounds the release of a claim.
 	releaseTimeout = 10 * time.Second
 )
 
-// claim takes the right to dispatch from the platform's store.
+// acquireClaim acquires the right to dispatch from the platform's store. The error
+// is a *heldClaimError if another request has it.
 func (n *Node) acquireClaim(exec *execution, replica structs.Replica) error {
 	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Claim, exec.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
 	}
 	ctx, cancel := context.WithTimeout(exec.ctx, claimTimeout)
 	defer cancel()
-	exec.claimed = true // it may exist from here on, whatever is answered
+	exec.claimed = true // the claim may be stored even if an error is returned
 	started := time.Now()
 	result, err := n.commitClaim(ctx, &claimRequest{
 		Tenant: exec.call.tenant.Name, Key: exec.call.key,
@@ -45,11 +46,11 @@
 		return nil
 	}
 	exec.claimed = false
-	return &heldClaimError{holder: result.Holder, err: errkind.New(errkind.OutcomeUnknown, "request %s holds the claim of this key", result.Holder.RequestID)}
+	return &heldClaimError{holder: result.Holder, err: errkind.New(errkind.OutcomeUnknown, "claim idempotency key: held by request %s", result.Holder.RequestID)}
 }
 
-// claimRequest asks the zone's writer of a page of claims for a claim, or for
-// its release.
+// claimRequest is sent to the zone's writer of a page of claims; it requests a
+// claim or releases one.
 type claimRequest struct {
 	Tenant  string       `msgpack:"t"`
 	Key     string       `msgpack:"k"`
@@ -57,16 +58,16 @@
 	Release bool         `msgpack:"r,omitempty"`
 }
 
-// claimReply is the answer of a writer.
+// claimReply is the reply of a writer; Holder is set if the claim was not granted.
 type claimReply struct {
 	Granted bool         `msgpack:"g"`
 	Holder  claims.Claim `msgpack:"h"`
 }
 
-// commitClaim has the zone's writer of the page commit the claim together with
-// those of other nodes. Who writes does not matter for correctness, and a claim
-// may be asked for twice under one request id: if the writer does not answer,
-// this node writes itself.
+// commitClaim commits the claim through the zone's writer of its page, which
+// batches the claims of several nodes. If the writer does not answer, this node
+// commits it: correctness does not depend on the writer, and claims of the same
+// request id are idempotent.
 func (n *Node) commitClaim(ctx context.Context, message *claimRequest) (claims.Result, error) {
 	page := claims.PageOf(message.Tenant, message.Key, n.settings.Compiled().Node.ClaimShards)
 	n.mutex.Lock()
@@ -99,7 +100,7 @@
 	return &claimReply{Granted: result.Granted, Holder: result.Holder}, err
 }
 
-// heldClaimError says that an earlier request holds the claim.
+// heldClaimError reports that an earlier request holds the claim.
 type heldClaimError struct {
 	holder claims.Claim
 	err    error
@@ -108,8 +109,8 @@
 func (e *heldClaimError) Error() string { return e.err.Error() }
 func (e *heldClaimError) Unwrap() error { return e.err }
 
-// followHolder reads the answer of the request that holds the claim from where
-// the claim says that it went.
+// readHolderAnswer reads the answer of the request that holds the claim, from the
+// engine that the claim names.
 func (n *Node) readHolderAnswer(exec *execution, heldClaim *heldClaimError) (structs.Outcome, error) {
 	holder := heldClaim.holder
 	if !holder.Engine {
@@ -124,15 +125,14 @@
 	return reader.read(exec.ctx, stream, nil)
 }
 
-// releaseClaim gives back the claim of a request that certainly did not run,
-// without keeping its caller waiting.
+// releaseClaim releases, in the background, the claim of a request that did not run.
 func (n *Node) releaseClaim(exec *execution) {
 	n.group.Go(func() {
 		ctx, cancel := context.WithTimeout(n.ctx, releaseTimeout)
 		defer cancel()
 		_, err := n.commitClaim(ctx, &claimRequest{Tenant: exec.call.tenant.Name, Key: exec.call.key, Claim: claims.Claim{RequestID: exec.request.ID}, Release: true})
 		if err != nil {
-			klog.V(1).InfoS("claim not released", "node", n.config.Name, "request", exec.request.ID, "error", err.Error())
+			klog.V(1).InfoS("claim release failed", "node", n.config.Name, "request", exec.request.ID, "error", err.Error())
 		}
 	})
 }
--- a/node/config.go
+++ b/node/config.go
@@ -12,66 +12,66 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Config is what a node learns from its own settings: who and where it is.
-// Everything else comes from the settings tree.
+// Config is the configuration of one node: its name, addresses and keys. All
+// other settings come from the settings tree.
 type Config struct {
 	Name string
 	Zone string
-	// CallerListen, OperatorListen and PeerListen are addresses to listen at;
-	// port 0 chooses a free one.
+	// CallerListen, OperatorListen and PeerListen are the addresses to listen on;
+	// port 0 selects a free port.
 	CallerListen, OperatorListen, PeerListen string
-	// CallerAdvertise and PeerAdvertise are told to others; empty means the
-	// addresses that are listened at.
+	// CallerAdvertise and PeerAdvertise are the announced addresses; empty means
+	// the address of the listener.
 	CallerAdvertise, PeerAdvertise string
-	// ReceiptKeys seal receipts and tickets; all nodes share them. The first
-	// seals, all open.
+	// ReceiptKeys are the keys of receipts and tickets, shared by all nodes. The
+	// first seals, all open.
 	ReceiptKeys [][]byte
-	// OperatorToken is the bearer token of operators; empty closes the
-	// operators' interface.
+	// OperatorToken is the bearer token of operators; if it is empty, every
+	// operator request is rejected.
 	OperatorToken string
 	// CallerTLS and PeerTLS are nil for plain connections.
 	CallerTLS, PeerTLS *tls.Config
-	// InitialSettings is in force until a higher generation is heard of; nil
-	// means an empty tree, with which the node is not ready.
+	// InitialSettings is active until a higher generation is received; nil means
+	// an empty tree, with which the node is not ready.
 	InitialSettings *settingsync.Document
-	// DrainGrace is the time between announcing a planned stop and refusing
-	// new requests, in which the balancer learns of it.
+	// DrainGrace is the time between the announcement of a planned stop and the
+	// rejection of new requests; the load balancer reacts within it.
 	DrainGrace time.Duration
 }
 
-// minimumKey is the least length of the receipt key, in bytes.
 const minReceiptKeyBytes = 16
 
-// Validate returns an error of kind InvalidSettings that names the fault.
+// Validate returns an error of kind InvalidSettings that names the invalid field.
 func (c *Config) Validate() error {
 	switch {
 	case c.Name == "":
-		return errkind.New(errkind.InvalidSettings, "name is empty: give each node a name of its own")
+		return errkind.New(errkind.InvalidSettings, "name is empty: give each node a unique name")
 	case c.Zone == "":
-		return errkind.New(errkind.InvalidSettings, "zone is empty: name the zone that the machine stands in")
+		return errkind.New(errkind.InvalidSettings, "zone is empty: set the zone of the machine")
 	case len(c.ReceiptKeys) == 0:
-		return errkind.New(errkind.InvalidSettings, "there is no receipt key: share one among all nodes")
+		return errkind.New(errkind.InvalidSettings, "receipt keys are missing: set at least one that all nodes share")
 	}
 	for _, key := range c.ReceiptKeys {
 		if len(key) < minReceiptKeyBytes {
-			return errkind.New(errkind.InvalidSettings, "a receipt key has %d bytes: use at least %d", len(key), minReceiptKeyBytes)
+			return errkind.New(errkind.InvalidSettings, "receipt key has %d bytes: use at least %d", len(key), minReceiptKeyBytes)
 		}
 	}
 	return nil
 }
 
-// Dependencies are the outside of a node. Tests bring their own.
+// Dependencies connect a node to its environment; tests supply their own.
 type Dependencies struct {
 	Network  network.Network
 	Store    outside.Store
 	Machines outside.MachineList
-	// WallTime is used for dates only, never for leases or deadlines.
+	// WallTime is used for timestamps only, never for leases or deadlines.
 	WallTime func() time.Time
 	Random   *rand.Rand
 	Faults   faultpoint.Injector
-	// StartMilliseconds numbers the process; it must rise with each start of
-	// the node's name. Zero means the wall time at the start.
+	// StartMilliseconds identifies the process; it must increase with each start
+	// of a node of the same name. 0 means the wall time of the first use.
 	StartMilliseconds int64
-	// LogDecisions is false to keep decisions in memory only.
+	// LogDecisions also writes scheduling decisions to the log; they are always kept
+	// in memory.
 	LogDecisions bool
 }
--- a/node/digest.go
+++ b/node/digest.go
@@ -6,9 +6,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// digest is a load report in the short form in which it travels between nodes.
-// It takes about 20 bytes without its rare part; at the target each node hears
-// of a hundred replicas.
+// digest is the compact form in which nodes exchange a load report.
 type digest struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -20,11 +18,11 @@
 	WaitingTokens uint32
 	KVFreePercent uint8
 	Leaving       bool
-	// Rare is nil if nothing in it changed lately; the receiver keeps what it had.
+	// Rare is nil if it has not changed; the receiver then keeps its last values.
 	Rare *rareDigest
 }
 
-// rareDigest is the part of a report that changes seldom or little.
+// rareDigest is the part of a report that changes rarely.
 type rareDigest struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -37,14 +35,15 @@
 }
 
 const (
-	// rareEvery is how many reports of a replica pass between two that carry the
-	// rare part though it did not change, for nodes that missed the change.
+	// Every reportsPerRarePart-th report of a replica carries the rare part even if
+	// it has not changed, for nodes that missed a change.
 	reportsPerRarePart = 16
-	// paceTolerance is the change of an engine's pace that is told at once.
+	// speedTolerance is the largest relative change of an engine's speed that is not
+	// announced at once.
 	speedTolerance = 0.15
 )
 
-// shorten returns the digest of a report, with its rare part or without.
+// newDigest returns the digest of a report, with or without its rare part.
 func newDigest(report *structs.LoadReport, withRare bool) digest {
 	short := digest{
 		Replica: report.Replica, AgeMS: uint32(report.Age.Milliseconds()), Running: uint32(report.Running), Waiting: uint32(report.Waiting),
@@ -56,12 +55,11 @@
 	return short
 }
 
-// isWhole returns whether the digest gives a whole report to a node that has an
-// earlier report of the replica or not. Without its rare part, and without an
-// earlier report to take that from, the replica would seem to hold no model.
+// isApplicable reports whether the digest yields a complete report: without a rare
+// part that needs an earlier report, or the replica would seem to serve no model.
 func (d *digest) isApplicable(hasReport bool) bool { return d.Rare != nil || hasReport }
 
-// expand returns the report; what the digest leaves out is as it was before.
+// expand returns the report; fields that the digest lacks are copied from before.
 func (d *digest) expand(before *structs.LoadReport) structs.LoadReport {
 	report := *before
 	report.Replica = d.Replica
@@ -76,7 +74,7 @@
 	return report
 }
 
-// rareChanged returns whether the rare part should be told at once.
+// rareChanged reports whether the rare part has changed enough to be sent at once.
 func rareChanged(before, after *structs.LoadReport) bool {
 	return before.Slots != after.Slots || before.Role != after.Role || !sameModels(before.Models, after.Models) ||
 		exceedsTolerance(before.PrefillRate, after.PrefillRate) || exceedsTolerance(float64(before.StepTime), float64(after.StepTime))
@@ -94,6 +92,7 @@
 	return true
 }
 
+// exceedsTolerance reports whether the relative change is larger than speedTolerance.
 func exceedsTolerance(before, after float64) bool {
 	return after > before*(1+speedTolerance) || after < before*(1-speedTolerance)
 }
--- a/node/digest_test.go
+++ b/node/digest_test.go
@@ -14,48 +14,48 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-var sample = structs.LoadReport{
+var sampleReport = structs.LoadReport{
 	Replica: "trakiya-e0", Age: 120 * time.Millisecond, Running: 20, Waiting: 3, WaitingTokens: 4000, Slots: 32, KVFree: 0.5,
 	PrefillRate: 20000, StepTime: 12 * time.Millisecond, Models: []string{"ezik"}, Role: structs.RoleBoth,
 }
 
-func TestDigestKeepsTheReport(t *testing.T) {
+// Guards against fields of a report that are lost in its digest.
+func TestDigestRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
-	whole := newDigest(&sample, true)
-	g.Expect(whole.expand(&structs.LoadReport{})).To(gomega.Equal(sample))
-	short := newDigest(&sample, false)
-	g.Expect(short.expand(&sample)).To(gomega.Equal(sample), "what is left out stays")
-	moved := sample
-	moved.StepTime *= 2
-	g.Expect(rareChanged(&sample, &moved)).To(gomega.BeTrue())
-	g.Expect(rareChanged(&sample, &sample)).To(gomega.BeFalse())
+	full := newDigest(&sampleReport, true)
+	g.Expect(full.expand(&structs.LoadReport{})).To(gomega.Equal(sampleReport))
+	withoutRare := newDigest(&sampleReport, false)
+	g.Expect(withoutRare.expand(&sampleReport)).To(gomega.Equal(sampleReport), "fields that are left out keep their values")
+	slower := sampleReport
+	slower.StepTime *= 2
+	g.Expect(rareChanged(&sampleReport, &slower)).To(gomega.BeTrue())
+	g.Expect(rareChanged(&sampleReport, &sampleReport)).To(gomega.BeFalse())
 }
 
-// Seen in the fault matrix as "request at gate: load reports stale": a node that
-// joined between two rare parts took the replicas for engines without models,
-// and refused every request until the next report.
-func TestDigestWithoutRarePartIsNoReportByItself(t *testing.T) {
+// A node that joins between two rare parts must not treat replicas as engines
+// without models, or it rejects all requests until the next rare part.
+func TestDigestWithoutRarePartNeedsEarlierReport(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := &Node{
 		scheduler:   scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 1))),
 		reportQueue: gossip.NewBroadcastQueue[structs.ReplicaID, timestampedDigest](maxQueuedReports, gossip.RetransmitMinimal),
 	}
-	n.scheduler.View().Upsert(structs.Replica{ID: sample.Replica, Kind: structs.KindEngine})
-	state, _ := n.scheduler.View().Get(sample.Replica)
-	n.applyDigests([]digest{newDigest(&sample, false)})
+	n.scheduler.View().Upsert(structs.Replica{ID: sampleReport.Replica, Kind: structs.KindEngine})
+	state, _ := n.scheduler.View().Get(sampleReport.Replica)
+	n.applyDigests([]digest{newDigest(&sampleReport, false)})
 	g.Expect(state.HasReport).To(gomega.BeFalse())
-	newer := sample
+	newer := sampleReport
 	newer.Age = 0
 	n.applyDigests([]digest{newDigest(&newer, true)})
 	g.Expect(state.HasReport).To(gomega.BeTrue())
-	g.Expect(state.Report.Models).To(gomega.Equal(sample.Models))
+	g.Expect(state.Report.Models).To(gomega.Equal(sampleReport.Models))
 }
 
-// BenchmarkDigest measures a heartbeat of a full set of digests.
+// BenchmarkDigest measures encoding and decoding a heartbeat full of digests.
 func BenchmarkDigest(b *testing.B) {
 	message := heartbeat{}
 	for number := range reportsPerMessage {
-		report := sample
+		report := sampleReport
 		report.Replica = structs.ReplicaID(fmt.Sprintf("trakiya-e%d", number))
 		message.Reports = append(message.Reports, newDigest(&report, false))
 	}
--- a/node/execute.go
+++ b/node/execute.go
@@ -22,12 +22,12 @@
 	"github.com/thornwalk/thornwalk/transport/oneshot"
 )
 
-// call is one request of a caller, checked and resolved against the settings.
+// call is one request of a caller, validated and resolved against the settings.
 type call struct {
 	tenant *settings.Named
 	route  string
 	values settings.Values
-	// generation is set for engines, service for plain services.
+	// generation is set for calls of engines, service for calls of plain services.
 	generation *openai.Request
 	service    *serviceCall
 	body       []byte
@@ -38,40 +38,42 @@
 	repeatable bool
 }
 
-// serviceCall is the HTTP part of a call of a plain service.
+// serviceCall is the HTTP request of a call of a plain service.
 type serviceCall struct {
 	method string
 	path   string
 	header http.Header
 }
 
-// execution is a request under way at this node.
+// execution is a request in progress at this node.
 type execution struct {
 	call    *call
 	request *structs.Request
 	answer  *answer.Answer
-	plans   chan structs.Plan
-	ctx     context.Context
-	cancel  context.CancelFunc
-	entry   registry.Entry
-	// keepers are the members that the entry was registered with.
+	// plans receives the scheduler's plan; it has room for one.
+	plans  chan structs.Plan
+	ctx    context.Context
+	cancel context.CancelFunc
+	entry  registry.Entry
+	// registryNodes are the members that the entry was registered with.
 	registryNodes []membership.Member
-	claimed       bool
-	// sent is true from the moment before the first byte is written.
-	sent   bool
+	// claimed is true while the store may hold a claim of this request.
+	claimed bool
+	// sent is set just before the first byte is written.
+	sent bool
+	// tokens is the number of output tokens received.
 	tokens int
 }
 
-// requestIDPrefix begins every request id; node, process and number follow.
+// requestIDPrefix starts every request id; node, process and number follow it.
 const requestIDPrefix = "tw"
 
-// newRequestID mints an id that names the node and its process; no process
-// mints one twice.
+// newRequestID returns a unique id that contains the node's name and process.
 func (n *Node) newRequestID() string {
 	return fmt.Sprintf("%s_%s_%s_%s", requestIDPrefix, n.config.Name, strconv.FormatInt(n.startMilliseconds(), 36), strconv.FormatUint(n.sequence.Add(1), 36))
 }
 
-// nodeOf returns the node and process that minted a request id.
+// parseRequestID returns the node and process that created a request id.
 func parseRequestID(requestID string) (name string, process int64, valid bool) {
 	parts := strings.Split(requestID, "_")
 	if len(parts) < 4 || parts[0] != requestIDPrefix {
@@ -81,11 +83,12 @@
 	return strings.Join(parts[1:len(parts)-2], "_"), process, err == nil
 }
 
-// begin admits a call and starts its execution. The returned answer may be
-// that of an earlier request that the call joins.
+// startExecution admits a call and starts its execution in the background. If the
+// call's ticket or key belongs to an earlier request, that request's answer is
+// returned instead.
 func (n *Node) startExecution(ctx context.Context, c *call) (*answer.Answer, error) {
 	if n.rejecting.Load() {
-		return nil, errkind.New(errkind.Stopping, "%s is stopping", n.config.Name)
+		return nil, errkind.New(errkind.Stopping, "start request: node %s is stopping", n.config.Name)
 	}
 	if err := faultpoint.Reach(ctx, n.deps.Faults, faultpoint.Accept, c.route); err != nil {
 		return nil, errkind.New(errkind.Stopping, "%v", err)
@@ -111,7 +114,7 @@
 	}
 	n.group.Go(func() { n.run(exec) })
 	if c.key == "" && c.ticket == "" {
-		// Nobody can ask for this answer again, so that it ends with its caller.
+		// The answer can't be requested again, so the request ends with its caller.
 		stop := context.AfterFunc(ctx, exec.cancel)
 		context.AfterFunc(exec.ctx, func() { stop() })
 	}
@@ -126,21 +129,21 @@
 	return exec
 }
 
-// admit takes the call from the tenant's limits and enters the execution.
+// admit charges the call to the tenant's limits and records the execution.
 func (n *Node) admit(exec *execution) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	limit := limitOf(&exec.call.tenant.Values)
 	if reason := n.limitMember.Admit(n.now(), exec.call.tenant.Name, limit); reason != structs.ReasonNone {
 		n.count("refused." + string(reason))
-		return errkind.New(errkind.Limited, "tenant %s: %s", exec.call.tenant.Name, reason)
+		return errkind.New(errkind.Limited, "admit request of tenant %s: %s", exec.call.tenant.Name, reason)
 	}
 	n.executions[exec.request.ID] = exec
 	n.answers.Add(exec.answer)
 	return nil
 }
 
-// endUnstarted ends a request that was identified and then not admitted.
+// endNotAdmitted ends a request that was rejected by the tenant's limits.
 func (n *Node) endNotAdmitted(exec *execution, err error) {
 	exec.cancel()
 	exec.answer.End(structs.OutcomeNotRun, err)
@@ -151,15 +154,15 @@
 	n.tickets.release(exec.call.ticket, exec.request.ID)
 }
 
-// run takes the request from the queue to its outcome.
+// run executes the request until it has an outcome.
 func (n *Node) run(exec *execution) {
 	outcome, err := n.queueAndDispatch(exec)
 	n.finish(exec, outcome, err)
 }
 
-// settle tells the outcome to everyone who may ask.
+// finish records the outcome and releases what the request holds.
 func (n *Node) finish(exec *execution, outcome structs.Outcome, err error) {
-	_ = faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Finish, exec.request.ID) // the outcome is settled whatever happens here
+	_ = faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Finish, exec.request.ID) // the outcome is final, whatever is injected here
 	exec.cancel()
 	exec.answer.End(outcome, err)
 	n.answers.MarkEnded(n.now(), exec.answer)
@@ -181,8 +184,8 @@
 	}
 }
 
-// attempt queues the request and dispatches it, again and again while it is
-// proven that nothing was sent.
+// queueAndDispatch queues the request and dispatches it. It repeats both as long
+// as it is certain that nothing was sent.
 func (n *Node) queueAndDispatch(exec *execution) (structs.Outcome, error) {
 	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Queue, exec.request.ID); err != nil {
 		return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "%v", err)
@@ -214,8 +217,8 @@
 	}
 }
 
-// awaitPlan waits for the scheduler. A caller that hangs up meanwhile leaves a
-// request that did not run.
+// awaitPlan waits for the scheduler's plan. If the execution's context ends
+// first, it cancels the request and returns an error of kind Stopping.
 func (n *Node) awaitPlan(exec *execution) (structs.Plan, error) {
 	select {
 	case plan := <-exec.plans:
@@ -232,10 +235,10 @@
 		default:
 		}
 	}
-	return structs.Plan{}, errkind.New(errkind.Stopping, "the caller hung up or the node stopped before the request was sent")
+	return structs.Plan{}, errkind.New(errkind.Stopping, "request not sent: the caller disconnected or the node stopped")
 }
 
-// release ends the reservation of a dispatch that did not take place.
+// releaseReservation ends the request's reservation at its replica.
 func (n *Node) releaseReservation(exec *execution, result reserve.Result) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -249,16 +252,16 @@
 	structs.ReasonNoReplica: errkind.NoReplica, structs.ReasonStopping: errkind.Stopping,
 }
 
-// refusalError is the error that tells a caller of a refusal.
+// rejectionError returns the error for a caller whose request was rejected.
 func rejectionError(plan structs.Plan) error {
 	kind, known := reasonKinds[plan.Reason]
 	if !known {
 		kind = errkind.Shed
 	}
-	return &retryAfterError{err: errkind.New(kind, "not run: %s", plan.Reason), after: plan.RetryAfter}
+	return &retryAfterError{err: errkind.New(kind, "request rejected: %s", plan.Reason), after: plan.RetryAfter}
 }
 
-// retryError adds to an error the time after which to send again.
+// retryAfterError is an error with the time after which the caller may retry.
 type retryAfterError struct {
 	err   error
 	after time.Duration
@@ -267,8 +270,8 @@
 func (e *retryAfterError) Error() string { return e.err.Error() }
 func (e *retryAfterError) Unwrap() error { return e.err }
 
-// dispatch sends the planned request. OutcomePending means that nothing was
-// sent and the request may be planned again.
+// dispatch sends the request to the planned replica and reads its answer.
+// OutcomePending means that nothing was sent and the request may be queued again.
 func (n *Node) dispatch(exec *execution, plan structs.Plan) (structs.Outcome, error) {
 	sealed, err := n.sealReceipt(exec, plan.Replica)
 	if err != nil {
@@ -300,7 +303,7 @@
 		exec.sent = false
 		if exec.ctx.Err() != nil {
 			n.releaseReservation(exec, reserve.Result{Connected: true})
-			return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "the caller hung up or the node stopped before the request was sent")
+			return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "request not sent: the caller disconnected or the node stopped")
 		}
 		n.count("connect.failed")
 		return structs.OutcomePending, err
@@ -309,9 +312,9 @@
 	return outcome, err
 }
 
-// permit passes the gates that stand before a dispatch: the fault point after
-// the reservation, the claim of a request that must not run twice, and the
-// registry, which may have given the key to another meanwhile.
+// permitDispatch checks that the request may be sent: it acquires the claim of a
+// request that must not run twice, and has the registry confirm that the key has
+// not been taken over meanwhile.
 func (n *Node) permitDispatch(exec *execution, replica structs.Replica, sealed string) error {
 	if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Reserve, exec.request.ID); err != nil {
 		return errkind.New(errkind.Stopping, "%v", err)
@@ -331,8 +334,8 @@
 	return n.confirmDispatch(exec)
 }
 
-// notPermitted ends a request that was stopped at a gate. One whose key was
-// claimed before gets the answer of the claim's holder, if it can be read.
+// endNotPermitted returns the outcome of a request that permitDispatch stopped. If
+// another request holds the claim, its answer is used if it can be read.
 func (n *Node) endNotPermitted(exec *execution, err error) (structs.Outcome, error) {
 	var heldClaim *heldClaimError
 	if errors.As(err, &heldClaim) {
@@ -344,6 +347,7 @@
 	return structs.OutcomeNotRun, err
 }
 
+// sealReceipt returns the sealed receipt of a dispatch to the replica.
 func (n *Node) sealReceipt(exec *execution, replica structs.Replica) (string, error) {
 	return n.sealer.Seal(&receipt.Receipt{
 		RequestID: exec.request.ID, Tenant: exec.call.tenant.Name, Route: exec.call.route, Zone: n.config.Zone, Node: n.config.Name,
--- a/node/spread.go
+++ b/node/generation_status.go
@@ -10,38 +10,38 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// PathOperatorSpread tells how far a generation has spread.
+// PathOperatorSpread serves, by zone, which nodes have activated a generation.
 const PathOperatorSpread = "/operator/spread"
 
-// spreadFreshness is how long the last word of a node counts.
+// generationFreshness is how long the last heartbeat of a node counts.
 const generationFreshness = 5 * time.Second
 
-// ZoneSpread is how far a generation has spread in one zone, as this node has
-// heard.
+// ZoneSpread lists which nodes of a zone have activated a generation, as far as
+// this node knows.
 type ZoneSpread struct {
 	Zone string `json:"zone"`
-	// InForce lists the nodes that are known to have it in force.
+	// InForce lists the nodes that have activated the generation or a higher one.
 	InForce []string `json:"in_force"`
-	// Behind lists the live nodes that were last heard with a lower one.
+	// Behind lists the nodes that recently had a lower generation.
 	Behind []string `json:"behind"`
-	// Unheard lists the nodes of the machine list that were not heard lately:
-	// they may be gone, or the zone is large and they were not asked yet.
+	// Unheard lists the nodes of the machine list without a recent heartbeat; they
+	// may have ended, or this node has not exchanged heartbeats with them yet.
 	Unheard []string `json:"unheard"`
-	// CutOff is true if nothing was heard of the zone lately.
+	// CutOff reports whether no recent heartbeat came from the zone.
 	CutOff bool `json:"cut_off"`
 }
 
-// serveSpread answers how far the generation has spread.
+// serveSpread responds with the ZoneSpreads of the generation of the query.
 func (n *Node) serveSpread(writer http.ResponseWriter, request *http.Request) {
 	generation, err := strconv.ParseUint(request.URL.Query().Get("generation"), 10, 64)
 	if err != nil {
-		n.writeError(writer, errkind.New(errkind.BadRequest, "generation is %q: write a number", request.URL.Query().Get("generation")), "", "")
+		n.writeError(writer, errkind.New(errkind.BadRequest, "generation is %q: use an unsigned integer", request.URL.Query().Get("generation")), "", "")
 		return
 	}
 	writeJSON(writer, http.StatusOK, n.Spread(generation))
 }
 
-// Spread returns how far the generation has spread, by zone.
+// Spread returns, sorted by zone, which nodes have activated the generation.
 func (n *Node) Spread(generation uint64) []ZoneSpread {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -80,6 +80,8 @@
 	return sorted
 }
 
+// addNode adds the node to those that have activated the wanted generation or to
+// those behind.
 func (n *Node) addNode(spread *ZoneSpread, name string, observed, wanted uint64) {
 	if observed >= wanted {
 		spread.InForce = append(spread.InForce, name)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// probesPerInterval is the members that a node probes at each heartbeat; it
-	// does not grow with the zone.
+	// probesPerInterval is the number of members probed at each heartbeat, whatever
+	// the size of the zone.
 	probesPerInterval = 2
-	// indirectProbes is the members asked to probe one that did not answer.
+	// indirectProbes is the number of members that probe one that did not answer.
 	indirectProbes = 2
-	// rumorsPerMessage and reportsPerMessage bound a heartbeat.
+	// rumorsPerMessage and reportsPerMessage bound the content of a heartbeat.
 	rumorsPerMessage  = 8
 	reportsPerMessage = 24
-	// sentPerMessage bounds the prefixes told; of more, the newest are told.
+	// sentPrefixesPerMessage bounds the prefixes of a heartbeat; the newest are sent.
 	sentPrefixesPerMessage = 16
 )
 
-// heartbeat is what nodes tell each other; a reply has the same form.
+// heartbeat is the message that nodes exchange; its reply has the same type.
 type heartbeat struct {
 	From         membership.Member  `msgpack:"f"`
 	Generation   uint64             `msgpack:"g"`
@@ -35,8 +35,8 @@
 	SentPrefixes []sentPrefix       `msgpack:"s,omitempty"`
 }
 
-// sentPrefix tells that a replica was sent a prompt whose prefix ends with the
-// block, so that every node of the zone knows where a conversation is cached.
+// sentPrefix records that a replica was sent a prompt whose prefix ends with the
+// block, so that all nodes of the zone know where the prompt is cached.
 type sentPrefix struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -45,17 +45,17 @@
 	Block   uint64
 }
 
-// probeRequest asks a peer to probe another.
+// probeRequest asks a peer to probe another member.
 type probeRequest struct {
 	Target membership.Member `msgpack:"t"`
 }
 
-// probeReply tells whether the target answered.
+// probeReply reports whether the target answered.
 type probeReply struct {
 	Answered bool `msgpack:"a"`
 }
 
-// joinReply tells a new node what it needs before it admits work.
+// joinReply is the state that a new node needs before it admits requests.
 type joinReply struct {
 	Members []membership.Rumor     `msgpack:"m"`
 	Floors  []shedding.FloorUpdate `msgpack:"f"`
@@ -77,7 +77,7 @@
 	peer.Handle(server, peerwire.KindRegistryLookup, n.serveRegistryLookup)
 }
 
-// heartbeatLoop probes members and spreads news.
+// heartbeatLoop sends heartbeats to members, which also serve as probes.
 func (n *Node) heartbeatLoop() {
 	for n.awaitHeartbeat(n.settings.Compiled().Node.HeartbeatInterval) {
 		n.mutex.Lock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// awaitHeartbeat waits for the interval, or less if there is news that should
-// spread at once.
+// awaitHeartbeat waits for the interval, or until triggerHeartbeat is called. It
+// returns false if the node ends.
 func (n *Node) awaitHeartbeat(interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -104,7 +104,7 @@
 	}
 }
 
-// spreadNow lets the next heartbeats go out at once.
+// triggerHeartbeat makes the next heartbeats go out at once. It does not block.
 func (n *Node) triggerHeartbeat() {
 	select {
 	case n.heartbeatTrigger <- struct{}{}:
@@ -112,8 +112,8 @@
 	}
 }
 
-// probe sends a heartbeat to the target and, if it does not answer, has others
-// try before the target is suspected.
+// probe sends a heartbeat to the target. If neither that nor an indirect probe is
+// answered, the target becomes suspected.
 func (n *Node) probe(target membership.Member) {
 	values := n.settings.Compiled().Node
 	if n.exchangeHeartbeat(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
@@ -127,7 +127,8 @@
 	n.table.ProbeFailed(n.now(), target.Name)
 }
 
-// exchange sends a heartbeat and merges the reply.
+// exchangeHeartbeat sends a heartbeat and applies the reply. It returns false if
+// there was none.
 func (n *Node) exchangeHeartbeat(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
 	message := n.newHeartbeat()
@@ -142,6 +143,8 @@
 	return true
 }
 
+// probeIndirectly asks other members to probe the target and reports whether one of
+// them got an answer.
 func (n *Node) probeIndirectly(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
 	helpers := n.table.ProbeTargets(indirectProbes)
@@ -163,7 +166,8 @@
 	return answered
 }
 
-// heartbeat composes a message with the news that are due. The mutex is held.
+// newHeartbeat returns a heartbeat with the updates that are due. The caller holds
+// the mutex.
 func (n *Node) newHeartbeat() heartbeat {
 	return heartbeat{
 		From: n.table.Self(), Generation: n.settings.Compiled().Generation,
@@ -172,13 +176,13 @@
 	}
 }
 
-// agedReports takes reports from the queue, with their ages as of now. The
-// mutex is held.
+// takeQueuedReports takes up to limit reports from the queue and brings their ages
+// up to date. The caller holds the mutex.
 func (n *Node) takeQueuedReports(limit int) []digest {
 	now := n.now()
-	dated := n.reportQueue.Take(limit, len(n.table.Live()))
-	digests := make([]digest, len(dated))
-	for i, entry := range dated {
+	entries := n.reportQueue.Take(limit, len(n.table.Live()))
+	digests := make([]digest, len(entries))
+	for i, entry := range entries {
 		digests[i] = entry.digest
 		digests[i].AgeMS += uint32((now - entry.at).Milliseconds())
 	}
@@ -187,7 +191,7 @@
 
 func (n *Node) serveHeartbeat(_ context.Context, message *heartbeat) (*heartbeat, error) {
 	if message.From.Name == "" {
-		return nil, errkind.New(errkind.BadFrame, "heartbeat without a sender")
+		return nil, errkind.New(errkind.BadFrame, "serve heartbeat: sender has no name")
 	}
 	n.applyHeartbeat(message)
 	n.mutex.Lock()
@@ -196,7 +200,8 @@
 	return &reply, nil
 }
 
-// takeHeartbeat merges what a peer told.
+// applyHeartbeat applies a received heartbeat and, if its sender has newer settings,
+// starts to pull them.
 func (n *Node) applyHeartbeat(message *heartbeat) {
 	now := n.now()
 	n.mutex.Lock()
@@ -217,8 +222,8 @@
 	}
 }
 
-// takeSent records a prefix that another node sent and passes it on if it was
-// news. The mutex is held.
+// applySentPrefix records a prefix that another node sent to a replica and, if it
+// was unknown, queues it for other nodes. The caller holds the mutex.
 func (n *Node) applySentPrefix(sent sentPrefix) {
 	chain := []uint64{sent.Block}
 	if n.scheduler.Prefixes().CachedTokens(sent.Replica, chain) > 0 {
@@ -228,40 +233,42 @@
 	n.sentPrefixQueue.Put(sent.Block, sent)
 }
 
-// takeDigests applies reports and passes on those that were news. The mutex is held.
+// applyDigests applies received reports and queues those that were newer for other
+// nodes. The caller holds the mutex.
 func (n *Node) applyDigests(digests []digest) {
 	now := n.now()
-	for _, short := range digests {
-		state, known := n.scheduler.View().Get(short.Replica)
-		if known && short.isApplicable(state.HasReport) && n.scheduler.View().Observe(now, short.expand(&state.Report)) {
-			n.reportQueue.Put(short.Replica, timestampedDigest{digest: short, at: now})
-			n.loadKnown.Store(true) // most nodes of a large zone poll no replica themselves
+	for _, received := range digests {
+		state, known := n.scheduler.View().Get(received.Replica)
+		if known && received.isApplicable(state.HasReport) && n.scheduler.View().Observe(now, received.expand(&state.Report)) {
+			n.reportQueue.Put(received.Replica, timestampedDigest{digest: received, at: now})
+			n.loadKnown.Store(true) // in a large zone, most nodes poll no replica themselves
 		}
 	}
 }
 
-// takeReport applies a report that this node took itself. The mutex is held.
+// applyPolledReport applies a report that this node polled and queues it for other
+// nodes. The caller holds the mutex.
 func (n *Node) applyPolledReport(report structs.LoadReport) {
 	now := n.now()
-	told, known := n.announced[report.Replica]
+	last, known := n.announced[report.Replica]
 	if !n.scheduler.View().Observe(now, report) {
 		return
 	}
-	told.count++
-	withRare := !known || told.count%reportsPerRarePart == 0 || rareChanged(&told.report, &report)
+	last.count++
+	withRare := !known || last.count%reportsPerRarePart == 0 || rareChanged(&last.report, &report)
 	if withRare {
-		told.report = report
+		last.report = report
 	}
-	n.announced[report.Replica] = told
+	n.announced[report.Replica] = last
 	n.reportQueue.Put(report.Replica, timestampedDigest{digest: newDigest(&report, withRare), at: now})
 }
 
 func (n *Node) serveProbe(ctx context.Context, message *probeRequest) (*probeReply, error) {
 	n.mutex.Lock()
-	ping := n.newHeartbeat()
+	request := n.newHeartbeat()
 	n.mutex.Unlock()
 	var reply heartbeat
-	err := n.peers.Call(ctx, message.Target.PeerAddress, peerwire.KindHeartbeat, &ping, &reply)
+	err := n.peers.Call(ctx, message.Target.PeerAddress, peerwire.KindHeartbeat, &request, &reply)
 	if err == nil {
 		n.applyHeartbeat(&reply)
 	}
@@ -284,7 +291,8 @@
 	return reply, nil
 }
 
-// join introduces the node to a peer and takes what it needs from the answer.
+// join announces this node to a peer and applies the reply. It returns false if
+// there was none.
 func (n *Node) join(address string) bool {
 	n.mutex.Lock()
 	message := n.newHeartbeat()
@@ -320,12 +328,12 @@
 	return &ack, nil
 }
 
-// delegates is the number of members of a zone that talk to other zones and
-// watch the store. Two at once are harmless; one more covers a loss.
+// delegatesPerZone is the number of nodes of a zone that communicate with other
+// zones and watch the store; with more than one, a failure is covered.
 const delegatesPerZone = 2
 
-// isDelegate returns whether this node is one of the zone's delegates. The
-// mutex is held.
+// isDelegate reports whether this node is a delegate of its zone. The caller holds
+// the mutex.
 func (n *Node) isDelegate() bool {
 	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegatesPerZone) {
 		if name == n.config.Name {
--- a/node/identity.go
+++ b/node/identity.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// registryCopies is the owner and the backup of a key.
+	// registryCopies is the number of nodes that store a key: its owner and a backup.
 	registryCopies = 2
-	// takeOverPatience is how often a key that keeps changing hands is tried.
+	// maxTakeOverAttempts bounds the attempts to take over a key whose holder changes.
 	maxTakeOverAttempts = 3
 )
 
-// registerRequest enters a keyed request at an owner or backup.
+// registerRequest registers a keyed request with the owner or the backup of the key.
 type registerRequest struct {
 	Entry registry.Entry `msgpack:"e"`
-	// Replaces names a request whose process is gone and that gives way if it
-	// was only registered.
+	// Replaces is the id of a request whose process has ended; its entry is
+	// replaced if the request was not dispatched.
 	Replaces string `msgpack:"r,omitempty"`
 }
 
-// registerReply is the entry in force and whether it is the sender's.
+// registerReply is the stored entry and whether it belongs to the sender's request.
 type registerReply struct {
-	Entry    registry.Entry `msgpack:"e"`
-	IsSender bool           `msgpack:"m"`
+	Entry           registry.Entry `msgpack:"e"`
+	BelongsToSender bool           `msgpack:"m"`
 }
 
-// updateReply tells whether the key still belongs to the request.
+// updateReply reports whether the key still belongs to the request.
 type updateReply struct {
 	Current bool `msgpack:"c"`
 }
 
-// lookupReply is the entry of a key, if there is one.
+// lookupReply is the entry of a key; Found is false if there is none.
 type lookupReply struct {
 	Entry registry.Entry `msgpack:"e"`
 	Found bool           `msgpack:"f"`
@@ -50,10 +50,10 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if message.Replaces != "" && n.registry.TakeOver(n.now(), message.Replaces, message.Entry) {
-		return &registerReply{Entry: message.Entry, IsSender: true}, nil
+		return &registerReply{Entry: message.Entry, BelongsToSender: true}, nil
 	}
 	entry, mine, err := n.registry.Register(n.now(), message.Entry)
-	return &registerReply{Entry: entry, IsSender: mine}, err
+	return &registerReply{Entry: entry, BelongsToSender: mine}, err
 }
 
 func (n *Node) serveRegistryUpdate(_ context.Context, entry *registry.Entry) (*updateReply, error) {
@@ -69,21 +69,22 @@
 	return &lookupReply{Entry: entry, Found: found}, nil
 }
 
-// keepers returns the members that keep the key, the owner first.
+// registryNodes returns the live members that store the key, the owner first.
 func (n *Node) registryNodes(key registry.Key) []membership.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	names := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
-	keepers := make([]membership.Member, 0, len(names))
+	members := make([]membership.Member, 0, len(names))
 	for _, name := range names {
 		if known, found := n.table.Get(name); found {
-			keepers = append(keepers, known.Member)
+			members = append(members, known.Member)
 		}
 	}
-	return keepers
+	return members
 }
 
-// ask calls a member, or serves the call here if the member is this node.
+// callOrServe calls a member, or calls local if the member is this node. Calls
+// block for at most peerCallTimeout.
 func callOrServe[Request, Reply any](ctx context.Context, n *Node, member membership.Member, kind peerwire.Kind, message *Request, local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
 	if member.Name == n.config.Name {
 		return local(ctx, message)
@@ -95,8 +96,8 @@
 	return reply, err
 }
 
-// identify registers a keyed request. It returns the answer to join if the key
-// belongs to an earlier request, or nil if this one may go on.
+// registerOrJoin registers a keyed request. It returns the answer of the earlier
+// request if the key belongs to one, and nil if this request may proceed.
 func (n *Node) registerOrJoin(ctx context.Context, exec *execution) (*answer.Answer, error) {
 	entry := registry.Entry{
 		Key: registry.Key{Tenant: exec.call.tenant.Name, Key: exec.call.key}, BodyHash: exec.call.bodyHash, RequestID: exec.request.ID,
@@ -118,59 +119,58 @@
 		}
 		replaces = holder.RequestID
 	}
-	return nil, errkind.New(errkind.InProgress, "the key changes hands")
+	return nil, errkind.New(errkind.InProgress, "register idempotency key: its holder changed at each attempt")
 }
 
-// register enters the request with the owner and then the backup; the first
-// that knows another request decides, and its entry is returned. Otherwise it
-// returns the members that keep this one, of which there is at least one.
+// registerEntry registers the request with the owner and then the backup of the
+// key. It returns the entry of another request if one of them has one, and
+// otherwise the members that stored this entry, at least one.
 func (n *Node) registerEntry(ctx context.Context, entry registry.Entry, replaces string) (registry.Entry, []membership.Member, error) {
-	var kept []membership.Member
-	for _, keeper := range n.registryNodes(entry.Key) {
-		reply, err := callOrServe(ctx, n, keeper, peerwire.KindRegister, &registerRequest{Entry: entry, Replaces: replaces}, n.serveRegister)
+	var stored []membership.Member
+	for _, member := range n.registryNodes(entry.Key) {
+		reply, err := callOrServe(ctx, n, member, peerwire.KindRegister, &registerRequest{Entry: entry, Replaces: replaces}, n.serveRegister)
 		switch {
-		case err == nil && !reply.IsSender:
+		case err == nil && !reply.BelongsToSender:
 			return reply.Entry, nil, nil
 		case err == nil:
-			kept = append(kept, keeper)
+			stored = append(stored, member)
 		case !errors.Is(err, errkind.PeerUnavailable):
 			return registry.Entry{}, nil, err
 		}
 	}
-	if len(kept) == 0 {
-		return registry.Entry{}, nil, errkind.New(errkind.Stopping, "no keeper of the key answers")
+	if len(stored) == 0 {
+		return registry.Entry{}, nil, errkind.New(errkind.Stopping, "register idempotency key: neither its owner nor its backup answers")
 	}
-	return entry, kept, nil
+	return entry, stored, nil
 }
 
-// confirmDispatch tells the members that the request was registered with that
-// it is about to be dispatched. Each of them has to confirm that the key is
-// still the request's: one that can't be reached may be on the other side of a
-// cut, where the key was given to a resubmission.
+// confirmDispatch announces the dispatch to all members that the request was
+// registered with. Each must confirm that the key still belongs to the request:
+// an unreachable one may be partitioned off and may have accepted a resubmission.
 func (n *Node) confirmDispatch(exec *execution) error {
-	for _, keeper := range exec.registryNodes {
-		reply, err := callOrServe(exec.ctx, n, keeper, peerwire.KindRegistryUpdate, &exec.entry, n.serveRegistryUpdate)
+	for _, member := range exec.registryNodes {
+		reply, err := callOrServe(exec.ctx, n, member, peerwire.KindRegistryUpdate, &exec.entry, n.serveRegistryUpdate)
 		if err != nil {
-			return errkind.New(errkind.Stopping, "%s, which keeps the key, does not answer", keeper.Name)
+			return errkind.New(errkind.Stopping, "confirm idempotency key: no answer from %s, which stores it", member.Name)
 		}
 		if !reply.Current {
-			exec.entry = registry.Entry{} // it is another request's now
-			return errkind.New(errkind.Stopping, "the key was taken over by another request")
+			exec.entry = registry.Entry{} // the key belongs to another request now
+			return errkind.New(errkind.Stopping, "confirm idempotency key: another request has taken it over")
 		}
 	}
 	return nil
 }
 
-// updateRegistry tells the members that keep the key now of the request's
-// progress, best effort.
+// updateRegistry reports the request's progress to the members that currently
+// store the key. Errors are ignored.
 func (n *Node) updateRegistry(ctx context.Context, entry registry.Entry) {
-	for _, keeper := range n.registryNodes(entry.Key) {
-		_, _ = callOrServe(ctx, n, keeper, peerwire.KindRegistryUpdate, &entry, n.serveRegistryUpdate) // they may be gone
+	for _, member := range n.registryNodes(entry.Key) {
+		_, _ = callOrServe(ctx, n, member, peerwire.KindRegistryUpdate, &entry, n.serveRegistryUpdate) // unreachable members are skipped
 	}
 }
 
-// registerAgain tells the keepers of the live executions' keys after a change
-// of the members, which may have made others the keepers. The mutex is held.
+// reregisterKeys reports the keys of all executions to the members that store
+// them after a change of membership. The caller holds the mutex.
 func (n *Node) reregisterKeys() {
 	var entries []registry.Entry
 	for _, exec := range n.executions {
@@ -195,9 +195,9 @@
 	})
 }
 
-// joinEntry finds the answer of the request that holds the key. It returns gone
-// if that request's process is gone and it was not dispatched, so that the key
-// may be taken over.
+// joinHolder returns the answer of the request that holds the key. replaceable
+// is true, without an answer, if the holder's process has ended before it
+// dispatched the request, so that the key may be taken over.
 func (n *Node) joinHolder(ctx context.Context, holder registry.Entry, exec *execution) (joined *answer.Answer, replaceable bool, err error) {
 	if holder.Node == n.config.Name && holder.Process == uint64(n.startMilliseconds()) {
 		if own, found := n.answers.Get(holder.RequestID); found {
@@ -209,14 +209,14 @@
 		return nil, true, nil
 	}
 	if holder.Receipt == "" {
-		return nil, false, errkind.New(errkind.OutcomeUnknown, "request %s is not kept any more", holder.RequestID)
+		return nil, false, errkind.New(errkind.OutcomeUnknown, "answer of request %s is no longer stored", holder.RequestID)
 	}
 	resumed, err := n.resumeByReceipt(ctx, holder.Receipt, exec.call.tenant.Name)
 	return resumed, false, err
 }
 
-// processLives returns whether the process of a node is live as far as this
-// node knows. Nodes of other zones are asked directly.
+// isProcessLive reports whether the process of a node of the zone is not known to
+// have ended.
 func (n *Node) isProcessLive(name string, process uint64) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -224,26 +224,27 @@
 	return found && known.Status != membership.Dead && known.Member.Process() == process
 }
 
-// adopt reads the answer of a request of another process from its engine.
+// resumeByReceipt returns the answer of a request of another process, read from
+// the engine that the sealed receipt names. It does not wait for its end.
 func (n *Node) resumeByReceipt(ctx context.Context, sealed, tenant string) (*answer.Answer, error) {
 	var found receipt.Receipt
 	if err := n.sealer.Open(sealed, &found); err != nil {
 		return nil, err
 	}
 	if found.Tenant != tenant {
-		return nil, errkind.New(errkind.BadReceipt, "the receipt belongs to another tenant")
+		return nil, errkind.New(errkind.BadReceipt, "receipt belongs to another tenant")
 	}
-	if kept, known := n.answers.Get(found.RequestID); known {
-		return kept, nil
+	if stored, known := n.answers.Get(found.RequestID); known {
+		return stored, nil
 	}
 	if !found.Engine {
-		return nil, errkind.New(errkind.OutcomeUnknown, "request %s went to the plain service at %s: look its effect up there", found.RequestID, found.Replica)
+		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s: sent to the plain service at replica %s; look up its effect there", found.RequestID, found.Replica)
 	}
 	adopted := answer.New(found.RequestID, tenant)
 	adopted.SetReceipt(sealed)
 	stream, err := n.adapter.Resume(ctx, found.Address, found.RequestID, 0)
 	if err != nil {
-		return nil, errkind.New(errkind.OutcomeUnknown, "request %s at %s: %v", found.RequestID, found.Replica, err)
+		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s at replica %s: %v", found.RequestID, found.Replica, err)
 	}
 	reader := &eventReader{node: n, request: &structs.Request{ID: found.RequestID}, address: found.Address, answer: adopted}
 	n.group.Go(func() {
--- a/node/node.go
+++ b/node/node.go
@@ -28,7 +28,7 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Bounds of what a node keeps beside the settings' bounds.
+// Bounds of a node's queues and logs that the settings do not set.
 const (
 	maxQueuedReports      = 4096
 	maxQueuedSentPrefixes = 256
@@ -44,7 +44,7 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
-	// pullingSettings is true while a peer is asked for its settings.
+	// pullingSettings is true while settings are pulled from a peer.
 	pullingSettings   atomic.Bool
 	sealer            *receipt.Sealer
 	adapter           *backendhttp.Adapter
@@ -60,15 +60,21 @@
 
 	callerListener, operatorListener, peerListener net.Listener
 
-	sequence         atomic.Uint64
-	draining         atomic.Bool
-	rejecting        atomic.Bool
-	joined           atomic.Bool
-	loadKnown        atomic.Bool
-	storeHealthy     atomic.Bool
+	// sequence numbers the request ids of this process.
+	sequence atomic.Uint64
+	draining atomic.Bool
+	// rejecting is true once new requests are rejected because the node stops.
+	rejecting atomic.Bool
+	// joined is true once the node has tried to join the members of its zone.
+	joined atomic.Bool
+	// loadKnown is true once a load report was received, or if there are no replicas.
+	loadKnown atomic.Bool
+	// storeHealthy is false while reading the store fails.
+	storeHealthy atomic.Bool
+	// heartbeatTrigger makes the next heartbeats go out at once.
 	heartbeatTrigger chan struct{}
 
-	// mutex guards the passive state machines below.
+	// mutex guards the fields below.
 	mutex             sync.Mutex
 	scheduler         *scheduler.Scheduler
 	table             *membership.Table
@@ -91,25 +97,27 @@
 	random            *rand.Rand
 }
 
-// datedDigest is a report with the time at which its age was right.
+// timestampedDigest is a digest and the time at which its age applied.
 type timestampedDigest struct {
 	digest digest
 	at     structs.Instant
 }
 
-// heardGeneration is the generation that a node last told of, and when.
+// observedGeneration is the last generation received from a node, and when.
 type observedGeneration struct {
 	generation uint64
 	at         structs.Instant
 }
 
-// toldReport is the last report of a replica whose rare part this node told.
+// announcedReport is the last report of a replica that this node announced with
+// its rare part. count is the number of its reports that this node has applied.
 type announcedReport struct {
 	report structs.LoadReport
 	count  uint64
 }
 
-// New returns a node that does not run yet. The error is of kind InvalidSettings.
+// New returns a node that is not started. Errors of the configuration are of kind
+// InvalidSettings.
 func New(config Config, depend Dependencies) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -132,7 +140,7 @@
 	return n, n.initialise()
 }
 
-// initialise builds the state machines from the initial settings.
+// initialise creates the state machines from the initial settings.
 func (n *Node) initialise() error {
 	document := n.config.InitialSettings
 	if document == nil {
@@ -160,8 +168,8 @@
 	return nil
 }
 
-// processName names this process, so that floors of an earlier one under the
-// same name are told apart.
+// processName identifies this process, so that its floors are distinguished from
+// those of an earlier process of the same node.
 func (n *Node) processName() string {
 	return fmt.Sprintf("%s/%d", n.config.Name, n.startMilliseconds())
 }
@@ -173,10 +181,11 @@
 	return n.deps.StartMilliseconds
 }
 
-// now is the node's monotonic time.
+// now returns the monotonic time since the node was created.
 func (n *Node) now() structs.Instant { return time.Since(n.started) }
 
-// Start listens and runs the node until Drain, Kill or the end of the context.
+// Start opens the listeners and starts the node's goroutines, without blocking.
+// The node runs until Drain, Kill or the end of the context.
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.cancel = context.WithCancel(ctx)
 	if err := n.listen(); err != nil {
@@ -216,43 +225,42 @@
 // Name returns the node's name.
 func (n *Node) Name() string { return n.config.Name }
 
-// CallerAddress returns where callers reach the node.
+// CallerAddress returns the address that the node announces to callers.
 func (n *Node) CallerAddress() string {
 	return advertisedAddress(n.config.CallerAdvertise, n.callerListener)
 }
 
-// PeerAddress returns where peers reach the node.
+// PeerAddress returns the address that the node announces to peers.
 func (n *Node) PeerAddress() string { return advertisedAddress(n.config.PeerAdvertise, n.peerListener) }
 
-// OperatorAddress returns where operators reach the node.
+// OperatorAddress returns the address of the operators' interface.
 func (n *Node) OperatorAddress() string { return n.operatorListener.Addr().String() }
 
-func advertisedAddress(given string, listener net.Listener) string {
-	if given != "" {
-		return given
+func advertisedAddress(configured string, listener net.Listener) string {
+	if configured != "" {
+		return configured
 	}
 	return listener.Addr().String()
 }
 
-// Metrics returns the node's metrics.
 func (n *Node) Metrics() metrics.Registry { return n.metrics }
 
-// Settings returns the settings in force.
+// Settings returns the active settings.
 func (n *Node) Settings() *settings.Compiled { return n.settings.Compiled() }
 
-// Done is closed when the node has been told to end.
+// Done returns a channel that is closed when the node starts to end.
 func (n *Node) Done() <-chan struct{} { return n.ctx.Done() }
 
-// SetReceiptKeys takes changed keys into force without a restart.
+// SetReceiptKeys replaces the receipt keys: the first seals, all open.
 func (n *Node) SetReceiptKeys(keys ...[]byte) { n.sealer.SetKeys(keys...) }
 
-// Ready returns whether the node should get requests from the balancer.
+// Ready reports whether the load balancer should send requests to the node.
 func (n *Node) Ready() bool {
 	return !n.draining.Load() && n.joined.Load() && n.loadKnown.Load() && n.settings.Compiled().Generation > 0
 }
 
-// Kill ends the node at once, as the death of its process would: requests are
-// cut and nothing is told to anybody.
+// Kill stops the node as a crash would: requests are aborted and peers are not
+// notified. It blocks until all goroutines have ended.
 func (n *Node) Kill() {
 	n.cancel()
 	n.peers.Close()
@@ -260,12 +268,13 @@
 	n.claims.Wait()
 }
 
-// drainPoll is the time between looks at what is still in progress.
+// drainPollInterval is the time between checks for requests in progress.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain is a planned stop: it announces the leaving, goes on serving for the
-// grace, refuses new requests as not run, lets every request in progress end,
-// and stops. It returns false if the drain timeout of the settings passed first.
+// Drain stops the node in order: it announces that the node is leaving, serves
+// for the drain grace, then rejects new requests and waits until those in
+// progress have ended. It blocks until the node has stopped, and returns false if
+// the context or the drain timeout of the settings ended first.
 func (n *Node) Drain(ctx context.Context) bool {
 	n.draining.Store(true)
 	n.mutex.Lock()
@@ -285,15 +294,15 @@
 	return clean
 }
 
-// idle returns whether no request is in progress and every answer was read.
+// isIdle reports whether no request is in progress and no caller is being served.
 func (n *Node) isIdle() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.executions) == 0 && n.traffic.openCallers.Load() == 0
 }
 
-// LiveNodes returns the number of nodes of the zone that this one takes for
-// live, itself included.
+// LiveNodes returns the number of live nodes of the zone as this node sees them,
+// including itself.
 func (n *Node) LiveNodes() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -6,7 +6,8 @@
 	"github.com/onsi/gomega"
 )
 
-func TestRequestIDNamesItsNode(t *testing.T) {
+// A request id must yield its node also if the node's name contains the separator.
+func TestRequestIDContainsNodeAndProcess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := &Node{config: Config{Name: "trakiya-n0_b"}}
 	n.deps.StartMilliseconds = 1234
--- a/node/observe.go
+++ b/node/observe.go
@@ -14,12 +14,11 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// quietLog takes the HTTP servers' complaints of broken connections, which the
-// node counts by itself.
+// discardLog discards the HTTP servers' messages about broken connections.
 var discardLog = log.New(io.Discard, "", 0)
 
-// samples is the size of the reservoirs of the histograms, and sampleDecay
-// their preference for recent values.
+// The histograms sample reservoirSize values; reservoirDecay is the weight of
+// recent values.
 const (
 	reservoirSize  = 1028
 	reservoirDecay = 0.015
@@ -27,7 +26,7 @@
 
 func (n *Node) count(name string) { metrics.GetOrRegisterCounter(name, n.metrics).Inc(1) }
 
-// observe records a duration, in microseconds.
+// recordDuration adds a duration to the histogram of the name, in microseconds.
 func (n *Node) recordDuration(name string, duration time.Duration) {
 	histogram := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirDecay))
@@ -44,8 +43,8 @@
 	}
 }
 
-// trafficMeter counts the bytes of the peer protocol by kind of message, and
-// the callers that are connected.
+// trafficMeter counts the bytes of the peer protocol by kind of message, and the
+// requests of callers that are being served.
 type trafficMeter struct {
 	openCallers atomic.Int64
 	out, in     [64]metrics.Counter
@@ -72,7 +71,8 @@
 	}
 }
 
-// Decision is one routing decision as it is logged and explained.
+// Decision is a scheduling decision on a request, as written to the log and to
+// operators.
 type Decision struct {
 	Time       time.Time           `json:"time"`
 	Node       string              `json:"node"`
@@ -89,7 +89,7 @@
 	Candidates []structs.Candidate `json:"candidates,omitempty"`
 }
 
-// decisionLog keeps the last decisions. It is safe for concurrent use.
+// decisionLog holds the latest decisions. It is safe for concurrent use.
 type decisionLog struct {
 	mutex sync.Mutex
 	ring  []Decision
@@ -109,7 +109,7 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// of returns the decisions on the request, in the order in which they were made.
+// forRequest returns the decisions on the request, the oldest first.
 func (l *decisionLog) forRequest(requestID string) []Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -123,7 +123,7 @@
 	return found
 }
 
-// explain logs the decision and keeps it. The mutex of the node is held.
+// recordDecision logs, counts and stores the decision. The caller holds the mutex.
 func (n *Node) recordDecision(plan structs.Plan) {
 	request := plan.Request
 	decision := Decision{
--- a/node/operators.go
+++ b/node/operators.go
@@ -30,13 +30,13 @@
 	PathOperatorDrain    = "/operator/drain"
 )
 
-// changeTimeout bounds the acceptance of a change.
+// changeTimeout bounds the commit of a change.
 const changeTimeout = 10 * time.Second
 
-// maximumChange bounds the body of a change.
+// maxChangeBytes bounds the body of a change.
 const maxChangeBytes = 8 << 20
 
-// Status is a node's state in brief.
+// Status is a summary of a node's state.
 type Status struct {
 	Node       string                     `json:"node"`
 	Zone       string                     `json:"zone"`
@@ -72,19 +72,19 @@
 	Suspended bool               `json:"suspended"`
 }
 
-// SettingsReply is the settings in force.
+// SettingsReply carries the active settings and their latest changes.
 type SettingsReply struct {
 	Generation uint64                     `json:"generation"`
 	Branches   []settings.Branch          `json:"branches"`
 	Changes    []settingsync.ChangeRecord `json:"changes"`
 }
 
-// ChangeReply tells where an accepted change is in force.
+// ChangeReply carries the record of an accepted change.
 type ChangeReply struct {
 	Record settingsync.ChangeRecord `json:"record"`
 }
 
-// operatorHandler is the operators' interface.
+// operatorHandler returns the handler of the operators' interface.
 func (n *Node) operatorHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(PathOperatorStatus, n.withOperator(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, n.Status()) })).Methods(http.MethodGet)
@@ -100,19 +100,20 @@
 	return router
 }
 
+// withOperator checks the operators' token before serve is called.
 func (n *Node) withOperator(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		given := request.Header.Get("Authorization")
-		wanted := "Bearer " + n.config.OperatorToken
-		if n.config.OperatorToken == "" || subtle.ConstantTimeCompare([]byte(given), []byte(wanted)) != 1 {
-			n.writeError(writer, errkind.New(errkind.Unauthorized, "the operators' token does not match"), "", "")
+		received := request.Header.Get("Authorization")
+		expected := "Bearer " + n.config.OperatorToken
+		if n.config.OperatorToken == "" || subtle.ConstantTimeCompare([]byte(received), []byte(expected)) != 1 {
+			n.writeError(writer, errkind.New(errkind.Unauthorized, "authenticate operator: token does not match"), "", "")
 			return
 		}
 		serve(writer, request)
 	}
 }
 
-// Status returns the node's state in brief.
+// Status returns a summary of the node's state.
 func (n *Node) Status() Status {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -168,7 +169,7 @@
 func (n *Node) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	decisions := n.decisions.forRequest(mux.Vars(request)["id"])
 	if len(decisions) == 0 {
-		n.writeError(writer, errkind.New(errkind.NotFound, "no decision on this request is remembered here"), "", "")
+		n.writeError(writer, errkind.New(errkind.NotFound, "explain request: this node has no decision on it"), "", "")
 		return
 	}
 	writeJSON(writer, http.StatusOK, decisions)
@@ -182,7 +183,7 @@
 func (n *Node) serveChange(writer http.ResponseWriter, request *http.Request) {
 	var change settingsync.Change
 	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxChangeBytes)).Decode(&change); err != nil {
-		n.writeError(writer, errkind.New(errkind.BadRequest, "the change does not parse: %v", err), "", "")
+		n.writeError(writer, errkind.New(errkind.BadRequest, "decode change of settings: %v", err), "", "")
 		return
 	}
 	if change.ID == "" {
@@ -198,7 +199,7 @@
 	writeJSON(writer, http.StatusOK, ChangeReply{Record: record})
 }
 
-// serveDrain begins a planned stop and answers at once.
+// serveDrain starts Drain, if it is not running yet, and responds at once.
 func (n *Node) serveDrain(writer http.ResponseWriter, _ *http.Request) {
 	if n.draining.CompareAndSwap(false, true) {
 		go n.Drain(context.WithoutCancel(n.ctx))
--- a/node/polling.go
+++ b/node/polling.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	// pollersPerReplica is the nodes that may ask a replica for its load: the
-	// first does, the next one if nothing was heard for overdueIntervals.
+	// pollersPerReplica is the number of nodes that may poll a replica: the first
+	// does, the others once its report is older than overduePollIntervals.
 	pollersPerReplica    = 2
 	overduePollIntervals = 4
-	// pollTimeout bounds one question.
+	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// machineInterval is the time between looks at the machine list.
+	// machineListInterval is the time between reads of the machine list.
 	machineListInterval = time.Second
-	// introductions is the members that a node joins through at a time.
+	// maxJoinsAtOnce bounds the members that a node joins through at once.
 	maxJoinsAtOnce = 3
-	// zoneInterval is the time between words of delegates to other zones.
+	// zoneHeartbeatInterval is the time between a delegate's heartbeats to other zones.
 	zoneHeartbeatInterval = 500 * time.Millisecond
-	// removeAfter is how long a replica may be missing from the list before it
-	// is forgotten; until then it counts as leaving.
+	// removeMissingAfter is how long a replica may be missing from the machine
+	// list before it is removed; until then it counts as leaving.
 	removeMissingAfter = 30 * time.Second
 )
 
-// machineView is the machine list as last read.
+// machineView is the last machine list: the entry nodes, and since when replicas
+// are missing from the list.
 type machineView struct {
 	entries      []outside.Machine
 	missingSince map[structs.ReplicaID]structs.Instant
 }
 
-// pollLoop asks the replicas that fall to this node for their load.
+// pollLoop polls the load of the replicas that are assigned to this node.
 func (n *Node) pollLoop() {
 	for {
 		n.mutex.Lock()
@@ -54,8 +55,8 @@
 	}
 }
 
-// assignedReplicas returns the zone's replicas that this node polls and that
-// it is not polling just now. The mutex is held.
+// assignedReplicas returns the zone's replicas that this node should poll now, and
+// marks them as being polled. The caller holds the mutex.
 func (n *Node) assignedReplicas() []structs.Replica {
 	live := n.table.LiveNames()
 	var assigned []structs.Replica
@@ -73,13 +74,14 @@
 	return assigned
 }
 
-// isOverdue returns whether the first poller of the replica seems to be gone.
-// The mutex is held.
+// isReportOverdue reports whether the replica has no recent report, so that its
+// first poller may have failed. The caller holds the mutex.
 func (n *Node) isReportOverdue(id structs.ReplicaID) bool {
 	state, found := n.scheduler.View().Get(id)
 	return !found || !state.HasReport || state.Age(n.now()) > overduePollIntervals*n.settings.Compiled().Node.PollInterval
 }
 
+// poll reads the load and the cache events of the replica and applies them.
 func (n *Node) poll(replica structs.Replica) {
 	ctx, cancel := context.WithTimeout(n.ctx, pollTimeout)
 	defer cancel()
@@ -90,7 +92,7 @@
 		n.mutex.Lock()
 		cursor := n.cacheEventCursors[replica.ID]
 		n.mutex.Unlock()
-		events, _ = n.adapter.CacheEvents(ctx, replica.Address, cursor) // a gap is as good as an error
+		events, _ = n.adapter.CacheEvents(ctx, replica.Address, cursor) // events lost by an error or a gap are tolerated
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -99,8 +101,8 @@
 		return
 	}
 	report.Replica = replica.ID
-	// The state was seen at some time between question and answer; taking the
-	// question's time makes the report too old rather than too young.
+	// The replica took the report between request and response. Counting from the
+	// request overestimates its age.
 	report.Age += n.now() - started
 	n.applyPolledReport(report)
 	for _, event := range events {
@@ -111,14 +113,14 @@
 	n.schedulePending()
 }
 
-// machineLoop follows the platform's machine list.
+// machineLoop reads the platform's machine list and applies it.
 func (n *Node) machineLoop() {
 	for {
 		ctx, cancel := context.WithTimeout(n.ctx, machineListInterval)
 		machines, err := n.deps.Machines.Machines(ctx)
 		cancel()
 		if err != nil {
-			klog.V(1).InfoS("machine list not read", "node", n.config.Name, "error", err.Error())
+			klog.V(1).InfoS("machine list read failed", "node", n.config.Name, "error", err.Error())
 		} else {
 			n.applyMachines(machines)
 		}
@@ -128,10 +130,10 @@
 	}
 }
 
-// takeMachines applies a reading of the list: it names back ends, and members
-// to introduce oneself to. Whether members are alive is for heartbeats to say.
+// applyMachines applies a machine list: it updates the replicas and joins the zone
+// through members that are unknown or dead. Liveness depends on heartbeats only.
 func (n *Node) applyMachines(machines []outside.Machine) {
-	var introduce []string
+	var unknown []string
 	n.mutex.Lock()
 	n.machines.entries = n.machines.entries[:0]
 	seen := map[structs.ReplicaID]bool{}
@@ -144,7 +146,7 @@
 		n.machines.entries = append(n.machines.entries, machine)
 		if machine.Zone == n.config.Zone && machine.Name != n.config.Name {
 			if known, found := n.table.Get(machine.Name); !found || known.Status == membership.Dead {
-				introduce = append(introduce, machine.PeerAddress)
+				unknown = append(unknown, machine.PeerAddress)
 			}
 		}
 	}
@@ -153,15 +155,15 @@
 	hasReplicas := len(n.scheduler.View().Replicas()) > 0
 	n.schedulePending()
 	n.mutex.Unlock()
-	n.joinUnknownMembers(introduce)
+	n.joinUnknownMembers(unknown)
 	if !hasReplicas {
 		n.loadKnown.Store(true)
 	}
 }
 
-// introduce joins through a few of the members that are not known yet; their
-// answers name the others. At the first time the owners of the floors are told
-// too, so that they count this node before it admits work.
+// joinUnknownMembers joins through some of the addresses; the replies name the
+// other members. The first time it also joins through the owners of the shed
+// floors, so that they know this node before it admits requests.
 func (n *Node) joinUnknownMembers(addresses []string) {
 	n.mutex.Lock()
 	n.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
@@ -192,6 +194,8 @@
 	return addresses
 }
 
+// applyReplica updates the replica of a machine if requests may be sent to its
+// zone. The caller holds the mutex.
 func (n *Node) applyReplica(machine outside.Machine) {
 	replica := *machine.Replica
 	replica.Zone = machine.Zone
@@ -201,7 +205,7 @@
 	}
 }
 
-// wantsZone returns whether any service may overflow to the zone.
+// mayOverflowTo reports whether any service may overflow to the zone.
 func (n *Node) mayOverflowTo(zone string) bool {
 	compiled := n.settings.Compiled()
 	for _, name := range compiled.Services() {
@@ -212,8 +216,8 @@
 	return false
 }
 
-// dropMissing treats replicas that left the list as leaving and forgets them
-// after a time. The mutex is held.
+// removeMissing marks replicas that are missing from the machine list as leaving
+// and removes them after removeMissingAfter. The caller holds the mutex.
 func (n *Node) removeMissing(seen map[structs.ReplicaID]bool) {
 	if n.machines.missingSince == nil {
 		n.machines.missingSince = map[structs.ReplicaID]structs.Instant{}
@@ -235,8 +239,8 @@
 	}
 }
 
-// zoneLoop exchanges words with other zones, if this node is a delegate: the
-// generation in force and, for overflow, the load of the replicas.
+// zoneLoop exchanges heartbeats with the other zones while this node is a delegate:
+// the active generation and, for overflow, the load of the replicas.
 func (n *Node) zoneLoop() {
 	for wait.For(n.ctx, zoneHeartbeatInterval) {
 		n.mutex.Lock()
@@ -251,7 +255,8 @@
 	}
 }
 
-// otherZones picks one random entry machine of each other zone. The mutex is held.
+// otherZones returns a random entry node of each other zone. The caller holds the
+// mutex.
 func (n *Node) otherZones() []outside.Machine {
 	byZone := map[string][]outside.Machine{}
 	var zones []string
@@ -272,8 +277,8 @@
 	return picked
 }
 
-// greetZone sends the zone's reports, so that the other may overflow here, and
-// merges those of the answer.
+// exchangeWithZone sends a heartbeat with the load reports of this zone to a node
+// of another zone, which may overflow here, and applies the reply.
 func (n *Node) exchangeWithZone(target outside.Machine) {
 	n.mutex.Lock()
 	message := heartbeat{From: n.table.Self(), Generation: n.settings.Compiled().Generation, Reports: n.zoneReports()}
@@ -286,8 +291,8 @@
 	}
 }
 
-// zoneReports returns the last reports of the zone's own replicas if some
-// service overflows anywhere. The mutex is held.
+// zoneReports returns the last reports of the zone's replicas of all services that
+// may overflow. The caller holds the mutex.
 func (n *Node) zoneReports() []digest {
 	compiled := n.settings.Compiled()
 	var reports []digest
--- a/node/relay.go
+++ b/node/relay.go
@@ -21,16 +21,16 @@
 
 const kindLookup = peerwire.KindRegistryLookup
 
-// settleTime is how long a status look-up waits for a relayed answer's state.
+// statusWait is how long a status request waits for the state of a relayed answer.
 const statusWait = 200 * time.Millisecond
 
-// relayPass authorises a node to read an answer at another.
+// relayAuthorization, sealed, allows a node to read an answer from another node.
 type relayAuthorization struct {
 	RequestID string `msgpack:"r"`
 	Tenant    string `msgpack:"t"`
 }
 
-// relayLine is one line of a relayed answer; one field is set.
+// relayLine is one line of a relayed answer, of which one field is set.
 type relayLine struct {
 	Receipt string               `json:"receipt,omitempty"`
 	Head    *answer.ResponseHead `json:"head,omitempty"`
@@ -45,9 +45,9 @@
 	Detail  string          `json:"detail,omitempty"`
 }
 
-// relay returns an answer that is read from the node that has it or, if that
-// node can't be reached, from the engine that the receipt names. The receipt may
-// be empty; the other node then tells it.
+// relayAnswer returns an answer that is read in the background from the node at
+// the address or, if that fails, from the engine that the receipt names. sealed
+// may be empty; the receipt then comes from the other node.
 func (n *Node) relayAnswer(address, id, tenant, sealed string) *answer.Answer {
 	relayed := answer.New(id, tenant)
 	var opened receipt.Receipt
@@ -64,18 +64,18 @@
 	if view.Ended {
 		return
 	}
-	// The other node is gone or cut off. What it dispatched goes on at the
-	// engine, and can be read there from where the relay broke off.
+	// A request that the other node dispatched goes on at its engine, and its
+	// answer can be read there from where the relay broke.
 	var found receipt.Receipt
 	if view.Receipt == "" || n.sealer.Open(view.Receipt, &found) != nil || !found.Engine {
-		relayed.End(structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "request %s: %v", relayed.RequestID, err))
+		relayed.End(structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "relay answer of request %s: %v", relayed.RequestID, err))
 		return
 	}
 	reader := &eventReader{node: n, request: &structs.Request{ID: relayed.RequestID}, address: found.Address, answer: relayed, lastNumber: len(view.Parts)}
 	relayed.End(reader.read(n.ctx, nil, err))
 }
 
-// readRelay reads the lines of another node until the end of the answer.
+// readRelay reads the answer from another node until its end.
 func (n *Node) readRelay(relayed *answer.Answer, address string) error {
 	pass, err := n.sealer.Seal(&relayAuthorization{RequestID: relayed.RequestID, Tenant: relayed.Tenant})
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.New("the node does not have the answer any more")
+		return errors.New("the node no longer has the answer")
 	}
 	decoder := json.NewDecoder(response.Body)
 	for {
@@ -109,7 +109,7 @@
 	}
 }
 
-// takeLine applies a line and returns whether it was the last.
+// applyLine applies a line to the answer and reports whether it was the last.
 func applyLine(relayed *answer.Answer, line *relayLine) bool {
 	switch {
 	case line.End != nil:
@@ -133,7 +133,7 @@
 	return false
 }
 
-// serveInternal sends an answer to another node.
+// serveRelay sends an answer to another node.
 func (n *Node) serveRelay(writer http.ResponseWriter, request *http.Request) {
 	id := mux.Vars(request)["id"]
 	var pass relayAuthorization
@@ -151,6 +151,7 @@
 	n.sendLines(writer, request, found)
 }
 
+// sendLines sends the answer as relay lines until it ends.
 func (n *Node) sendLines(writer http.ResponseWriter, request *http.Request, ans *answer.Answer) {
 	encoder := json.NewEncoder(writer)
 	sent := 0
@@ -159,7 +160,7 @@
 		view, changed := ans.Snapshot(sent)
 		if view.Receipt != "" && !receiptSent {
 			receiptSent = true
-			_ = encoder.Encode(relayLine{Receipt: view.Receipt}) // a broken connection shows at the flush
+			_ = encoder.Encode(relayLine{Receipt: view.Receipt}) // a broken connection is detected by Flush
 		}
 		if view.Head != nil && !headSent {
 			headSent = true
@@ -190,16 +191,16 @@
 	}
 }
 
-// settle waits a moment for a relayed answer to show its state.
+// awaitKnownState waits until a relayed answer has a state, for at most statusWait.
 func awaitKnownState(ctx context.Context, ans *answer.Answer) {
 	ctx, cancel := context.WithTimeout(ctx, statusWait)
 	defer cancel()
-	_, _ = ans.Await(ctx, 0, 0) // the state as it is then is what is told
+	_, _ = ans.Await(ctx, 0, 0) // on a timeout the current state is reported
 }
 
-// forwardTicket sends a call whose ticket belongs to another process there, and
-// returns false if the ticket is this process's own. The call is sent once: if
-// the way there breaks after its first byte, the outcome is unknown.
+// forwardToTicketOwner forwards a call to the process that issued its ticket and
+// writes the response. It returns false, without a response, if that is this
+// process. The call is sent once: if it fails, its outcome is unknown.
 func (n *Node) forwardToTicketOwner(writer http.ResponseWriter, request *http.Request, c *call) bool {
 	ticket, err := n.openTicket(c.ticket, c.tenant.Name)
 	if err != nil {
@@ -210,7 +211,7 @@
 		return false
 	}
 	if request.Header.Get(HeaderForwarded) != "" {
-		n.writeError(writer, errkind.New(errkind.OutcomeUnknown, "the process that gave the ticket is gone"), "", "")
+		n.writeError(writer, errkind.New(errkind.OutcomeUnknown, "forward request: the process that issued its ticket has ended"), "", "")
 		return true
 	}
 	forwarded, err := http.NewRequestWithContext(request.Context(), request.Method, "http://"+ticket.Address+request.URL.RequestURI(), bytes.NewReader(c.body))
@@ -223,7 +224,7 @@
 	sender := oneshot.Sender{Network: n.callerNetwork()}
 	response, err := sender.Send(request.Context(), ticket.Address, forwarded)
 	if err != nil {
-		n.writeError(writer, errkind.New(errkind.OutcomeUnknown, "the process that gave the ticket does not answer: %v", err), "", "")
+		n.writeError(writer, errkind.New(errkind.OutcomeUnknown, "forward request to the process that issued its ticket: %v", err), "", "")
 		return true
 	}
 	defer response.Body.Close()
@@ -231,8 +232,8 @@
 	return true
 }
 
-// copyResponse passes a response on as it arrives; if it breaks off, so does
-// the caller's.
+// copyResponse forwards a response as it arrives. If it breaks, the caller's
+// connection is aborted.
 func copyResponse(writer http.ResponseWriter, response *http.Response) {
 	header := writer.Header()
 	for name, values := range forwardedHeader(response.Header) {
@@ -243,7 +244,7 @@
 	chunk := make([]byte, serviceChunkBytes)
 	for {
 		count, err := response.Body.Read(chunk)
-		_, _ = writer.Write(chunk[:count]) // a broken connection shows at the flush
+		_, _ = writer.Write(chunk[:count]) // a broken connection is detected by Flush
 		if errors.Is(err, io.EOF) {
 			break
 		}
--- a/node/resolve.go
+++ b/node/resolve.go
@@ -19,7 +19,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Headers of callers, and of answers.
+// Headers of callers' requests and of responses.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRoute          = "Thornwalk-Route"
@@ -33,39 +33,38 @@
 	HeaderForwarded      = "Thornwalk-Forwarded"
 )
 
-// maximumKeyLength bounds an idempotency key, in bytes.
 const maxKeyBytes = 255
 
-// authenticate finds the tenant of the bearer key. The lookup is by the key's
-// hash, so that its time does not depend on how much of a key is right.
+// authenticate returns the tenant of the bearer key. It looks up the key's hash,
+// so that the time taken reveals nothing about valid keys.
 func (n *Node) authenticate(request *http.Request) (*settings.Named, error) {
 	key, isBearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	if !isBearer || key == "" {
-		return nil, errkind.New(errkind.Unauthorized, "no bearer key")
+		return nil, errkind.New(errkind.Unauthorized, "authenticate: bearer key is missing")
 	}
 	sum := sha256.Sum256([]byte(key))
 	tenant, found := n.settings.Compiled().TenantByKeyHash(hex.EncodeToString(sum[:]))
 	if !found {
-		return nil, errkind.New(errkind.Unauthorized, "the bearer key belongs to no tenant")
+		return nil, errkind.New(errkind.Unauthorized, "authenticate: bearer key belongs to no tenant")
 	}
 	return tenant, nil
 }
 
-// readBody reads the request's body within the tenant's limit.
+// readBody reads the request's body of at most limit bytes.
 func readBody(writer http.ResponseWriter, request *http.Request, limit int) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, int64(limit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, errkind.New(errkind.TooLarge, "the body exceeds %d bytes", limit)
+		return nil, errkind.New(errkind.TooLarge, "request body exceeds %d bytes", limit)
 	}
 	if err != nil {
-		return nil, errkind.New(errkind.BadRequest, "the body broke off: %v", err)
+		return nil, errkind.New(errkind.BadRequest, "read request body: %v", err)
 	}
 	return body, nil
 }
 
-// resolveCompletion makes a call of an OpenAI-compatible request. Its model
-// names a route.
+// resolveCompletion resolves an OpenAI-compatible request to a call. The route is
+// named by HeaderRoute, or else by the request's model.
 func (n *Node) resolveCompletion(request *http.Request, tenant *settings.Named, body []byte, chat bool) (*call, error) {
 	parsed, err := openai.ParseRequest(body, chat)
 	if err != nil {
@@ -77,14 +76,14 @@
 	}
 	route, found := n.settings.Compiled().Route(name)
 	if !found || route.Values.Model == "" {
-		return nil, errkind.New(errkind.UnknownRoute, "%q is no route to a model", name)
+		return nil, errkind.New(errkind.UnknownRoute, "%q is not a route to a model", name)
 	}
 	c := &call{tenant: tenant, route: name, values: route.Values, generation: parsed, body: body}
 	return c, c.readHeaders(request)
 }
 
-// resolveService makes a call of a request to a plain service: the route is
-// named by the header, or has the name of the service.
+// resolveService resolves a request to a plain service to a call. The route is
+// named by HeaderRoute, or else has the name of the service.
 func (n *Node) resolveService(request *http.Request, tenant *settings.Named, service, path string, body []byte) (*call, error) {
 	name := request.Header.Get(HeaderRoute)
 	if name == "" {
@@ -92,7 +91,7 @@
 	}
 	route, found := n.settings.Compiled().Route(name)
 	if !found || route.Values.Service != service || route.Values.Model != "" {
-		return nil, errkind.New(errkind.UnknownRoute, "%q is no route to the plain service %q", name, service)
+		return nil, errkind.New(errkind.UnknownRoute, "%q is not a route to the plain service %q", name, service)
 	}
 	if request.URL.RawQuery != "" {
 		path += "?" + request.URL.RawQuery
@@ -104,7 +103,7 @@
 	return c, c.readHeaders(request)
 }
 
-// notForwarded are headers that concern one connection or the caller's key.
+// headersNotForwarded apply to one connection only or carry the caller's credentials.
 var headersNotForwarded = []string{"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", HeaderTicket}
 
 func forwardedHeader(header http.Header) http.Header {
@@ -119,13 +118,13 @@
 	c.key = request.Header.Get(HeaderIdempotencyKey)
 	c.ticket = request.Header.Get(HeaderTicket)
 	if len(c.key) > maxKeyBytes {
-		return errkind.New(errkind.BadRequest, "%s has %d bytes, more than %d", HeaderIdempotencyKey, len(c.key), maxKeyBytes)
+		return errkind.New(errkind.BadRequest, "%s has %d bytes, more than the limit of %d", HeaderIdempotencyKey, len(c.key), maxKeyBytes)
 	}
 	c.deadline = c.values.Deadline
 	if text := request.Header.Get(HeaderDeadline); text != "" {
 		milliseconds, err := strconv.Atoi(text)
 		if err != nil || milliseconds < 1 || time.Duration(milliseconds) > time.Hour/time.Millisecond {
-			return errkind.New(errkind.BadRequest, "%s is %q: write milliseconds from 1 to 3600000", HeaderDeadline, text)
+			return errkind.New(errkind.BadRequest, "%s is %q: use milliseconds from 1 to 3600000", HeaderDeadline, text)
 		}
 		c.deadline = time.Duration(milliseconds) * time.Millisecond
 	}
@@ -134,7 +133,8 @@
 	return nil
 }
 
-// hashCall tells a resubmission from a different request under the same key.
+// hashCall returns a hash that distinguishes a resubmission from a different
+// request under the same key.
 func hashCall(c *call, request *http.Request) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(request.Method + " " + request.URL.RequestURI() + "\x00" + c.route + "\x00") // never fails
@@ -142,7 +142,7 @@
 	return digest.Sum64()
 }
 
-// describe makes the scheduler's view of the call.
+// newSchedulerRequest returns the request that the scheduler queues for the call.
 func (n *Node) newSchedulerRequest(id string, c *call) *structs.Request {
 	now := n.now()
 	request := &structs.Request{
@@ -163,6 +163,7 @@
 	return request
 }
 
+// routeEngineModel returns the name under which engines serve the route's model.
 func routeEngineModel(values *settings.Values) string {
 	if values.Adapter != "" {
 		return values.Adapter
--- a/node/respond.go
+++ b/node/respond.go
@@ -15,16 +15,17 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// keepAliveInterval is the time between comments in a stream that has nothing
-// to say, so that connections in between do not lapse.
+// keepAliveInterval is the time between comments in a stream without events, which
+// keep proxies from closing the connection.
 const keepAliveInterval = 15 * time.Second
 
-// writeError tells the caller of an error: its kind, its remedy, what it proves
-// of the request, and when to come back.
+// writeError responds with the error: its kind, its remedy, what it proves about
+// the request, and when to retry.
 func (n *Node) writeError(writer http.ResponseWriter, err error, requestID, sealed string) {
 	n.writeOutcomeError(writer, err, outcomeOf(err), requestID, sealed)
 }
 
+// writeOutcomeError is writeError with an outcome other than that of the error's kind.
 func (n *Node) writeOutcomeError(writer http.ResponseWriter, err error, outcome structs.Outcome, requestID, sealed string) {
 	kind := errkind.Of(err)
 	header := writer.Header()
@@ -56,6 +57,7 @@
 	}
 }
 
+// lastEventID returns the number of the last event that the caller received, or 0.
 func lastEventID(request *http.Request) int {
 	number, err := strconv.Atoi(request.Header.Get("Last-Event-ID"))
 	if err != nil || number < 0 {
@@ -64,7 +66,8 @@
 	return number
 }
 
-// writeGeneration sends the answer of an engine, as a stream or whole.
+// writeGeneration sends the answer of an engine, as a stream after the event
+// number from, or as one body.
 func (n *Node) writeGeneration(writer http.ResponseWriter, request *http.Request, ans *answer.Answer, stream, usage bool, from int) {
 	if stream {
 		n.writeStream(writer, request, ans, usage, from)
@@ -72,7 +75,7 @@
 	}
 	view, err := ans.AwaitEnd(request.Context())
 	if err != nil {
-		return // the caller hung up
+		return // the caller disconnected
 	}
 	if view.Outcome != structs.OutcomeAnswered {
 		n.writeOutcomeError(writer, view.Err, view.Outcome, view.RequestID, view.Receipt)
@@ -93,8 +96,9 @@
 	setIfNotEmpty(header, HeaderReceipt, view.Receipt)
 }
 
-// writeStream sends events as they arrive. The head goes out with the receipt,
-// as soon as the request is dispatched; what ends the stream says the outcome.
+// writeStream sends events as they arrive. The headers, with the receipt, are sent
+// when the request is dispatched. The outcome follows in the trailer, and an error
+// also as the last event.
 func (n *Node) writeStream(writer http.ResponseWriter, request *http.Request, ans *answer.Answer, usage bool, from int) {
 	view, err := ans.Await(request.Context(), from, 0)
 	if err != nil {
@@ -133,7 +137,7 @@
 	fmt.Fprintf(writer, "event: error\ndata: %s\n\n", mustJSON(errorBody(view.Err, view.Outcome, view.RequestID, view.Receipt)))
 }
 
-// awaitNext waits for the next part and keeps the connection alive meanwhile.
+// awaitNext waits for the next part and sends keep-alive comments meanwhile.
 func (n *Node) awaitNext(request *http.Request, writer http.ResponseWriter, ans *answer.Answer, from int) (answer.Snapshot, error) {
 	for {
 		ctx, cancel := context.WithTimeout(request.Context(), keepAliveInterval)
@@ -149,6 +153,8 @@
 	}
 }
 
+// writeEvent sends one event; chunks that only carry usage are skipped unless usage
+// was requested.
 func writeEvent(writer http.ResponseWriter, number int, part []byte, usage bool) {
 	if !usage {
 		if chunk, err := openai.ParseChunk(part); err == nil && chunk.Usage != nil && len(chunk.Choices) == 0 {
@@ -158,8 +164,8 @@
 	fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, part)
 }
 
-// writeService sends the answer of a plain service as it arrives. A caller can
-// tell an answer that broke off: its connection is cut.
+// writeService sends the answer of a plain service as it arrives. If the answer is
+// not complete, the caller's connection is aborted.
 func (n *Node) writeService(writer http.ResponseWriter, request *http.Request, ans *answer.Answer) {
 	view, err := awaitHead(request.Context(), ans)
 	if err != nil {
@@ -179,7 +185,7 @@
 	sent := 0
 	for {
 		for _, part := range view.Parts {
-			_, _ = writer.Write(part) // a broken connection shows at the flush
+			_, _ = writer.Write(part) // a broken connection is detected by Flush
 			sent++
 		}
 		if view.Ended {
@@ -198,7 +204,7 @@
 	header.Set(HeaderOutcome, view.Outcome.String())
 }
 
-// awaitHead waits past the receipt, until there is a head or the end.
+// awaitHead waits until the answer has response headers or has ended.
 func awaitHead(ctx context.Context, ans *answer.Answer) (answer.Snapshot, error) {
 	for {
 		view, changed := ans.Snapshot(0)
@@ -213,11 +219,11 @@
 	}
 }
 
-// mustJSON encodes a value of plain fields.
+// mustJSON returns the encoded value, which must be of a type that always encodes.
 func mustJSON(value any) []byte {
 	content, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // unreachable for the types that are passed
+		panic(err) // not reached for the types passed here
 	}
 	return content
 }
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// tickInterval is the time between looks at deadlines and leases.
+	// tickInterval is the time between checks of deadlines, leases and membership.
 	tickInterval = 20 * time.Millisecond
-	// demandInterval is the least time between repeated demands for a floor.
+	// minDemandInterval is the minimum time between equal demands for a floor.
 	minDemandInterval = 100 * time.Millisecond
-	// callTimeout bounds a call of a peer in the zone.
+	// peerCallTimeout bounds one call of a peer.
 	peerCallTimeout = 500 * time.Millisecond
-	// zoneFreshness is how long a zone counts as reachable after its last word.
+	// zoneFreshness is how long a zone counts as reachable after its last heartbeat.
 	zoneFreshness = 3 * time.Second
 )
 
-// schedulerOptions takes the scheduler's settings from the tree.
+// schedulerOptions returns the scheduler's options from the settings.
 func (n *Node) schedulerOptions(compiled *settings.Compiled) scheduler.Options {
 	lowest := structs.Rank(0)
 	for _, tier := range compiled.Tiers() {
@@ -48,7 +48,7 @@
 	return claims.Settings{Shards: values.ClaimShards, Window: values.ClaimBatchWindow, Retention: values.ClaimRetention}
 }
 
-// settingsChanged takes a new generation into force in the state machines.
+// applySettings activates a new generation in the state machines.
 func (n *Node) applySettings(compiled *settings.Compiled) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -62,10 +62,11 @@
 	}
 	n.applyClosedReplicas(compiled)
 	n.triggerHeartbeat()
-	klog.InfoS("settings in force", "node", n.config.Name, "generation", compiled.Generation)
+	klog.InfoS("settings activated", "node", n.config.Name, "generation", compiled.Generation)
 }
 
-// applyClosed closes and opens replicas by the services' settings. The mutex is held.
+// applyClosedReplicas closes and opens replicas by the services' settings. The
+// caller holds the mutex.
 func (n *Node) applyClosedReplicas(compiled *settings.Compiled) {
 	closed := map[structs.ReplicaID]bool{}
 	for _, name := range compiled.Services() {
@@ -82,8 +83,8 @@
 	}
 }
 
-// overflowZones names the reachable zones that may take a service's overflow.
-// The mutex is held.
+// overflowZones returns the reachable zones that a service may overflow to. The
+// caller holds the mutex.
 func (n *Node) overflowZones(service string) []string {
 	named, found := n.settings.Compiled().Service(service)
 	if !found || !named.Values.Overflow {
@@ -98,7 +99,7 @@
 	return zones
 }
 
-// tickLoop moves time-driven state on.
+// tickLoop advances the state that depends on time.
 func (n *Node) tickLoop() {
 	for wait.For(n.ctx, tickInterval) {
 		n.tick()
@@ -122,8 +123,8 @@
 	n.schedulePending()
 }
 
-// followMembership tells the state machines how many nodes share the zone and
-// moves registry entries to new owners. The mutex is held.
+// applyMembership passes a changed number of live nodes to the state machines and
+// registers keys with their new owners. The caller holds the mutex.
 func (n *Node) applyMembership() {
 	if n.table.Version() == n.membershipVersion {
 		return
@@ -135,7 +136,8 @@
 	n.reregisterKeys()
 }
 
-// pump carries out what the scheduler plans. The mutex is held.
+// schedulePending delivers the plans that the scheduler makes now and sends its
+// floor demands. The caller holds the mutex.
 func (n *Node) schedulePending() {
 	for _, plan := range n.scheduler.Schedule(n.now()) {
 		n.deliver(plan)
@@ -143,7 +145,8 @@
 	n.sendDemands()
 }
 
-// deliver hands a plan to the request's execution. The mutex is held.
+// deliver records a plan and passes it to the request's execution. The caller
+// holds the mutex.
 func (n *Node) deliver(plan structs.Plan) {
 	n.recordDecision(plan)
 	if chain := plan.Request.Prefix; plan.Verdict == structs.VerdictDispatch && len(chain) > 0 {
@@ -151,17 +154,18 @@
 		n.sentPrefixQueue.Put(block, sentPrefix{Replica: plan.Replica.ID, Block: block})
 	}
 	if exec, found := n.executions[plan.Request.ID]; found {
-		exec.plans <- plan // has room: a request has at most one plan at a time
+		exec.plans <- plan // does not block: a request has at most one plan at a time
 	}
 }
 
-// floorOwnerOf returns the member that owns the floor of the service. The
-// mutex is held.
+// floorOwnerOf returns the member that owns the shed floor of the service. The
+// caller holds the mutex.
 func (n *Node) floorOwnerOf(service string) string {
 	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("floor/"+service), 1)[0]
 }
 
-// sendDemands carries new demands to the owners of the floors. The mutex is held.
+// sendDemands sends the scheduler's floor demands to the owners of the floors. The
+// caller holds the mutex.
 func (n *Node) sendDemands() {
 	now := n.now()
 	for _, demand := range n.scheduler.Demands(now) {
@@ -177,8 +181,8 @@
 	}
 }
 
-// tell sends a message without waiting, or takes it locally if the member is
-// this node. The mutex is held; remote runs without it.
+// notifyMember calls remote in the background, or local directly if the member is
+// this node. The caller holds the mutex; local runs with it, remote without it.
 func (n *Node) notifyMember(member string, remote func(ctx context.Context, address string) error, local func()) {
 	if member == n.config.Name {
 		local()
@@ -197,13 +201,14 @@
 	})
 }
 
-// takeDemand is the owner's side of a demand. The mutex is held.
+// applyDemand applies a demand at the owner of the floor. The caller holds the mutex.
 func (n *Node) applyDemand(demand shedding.Demand) {
 	n.floorOwner.Demand(n.now(), demand)
 	n.advanceFloor(demand.Service)
 }
 
-// advanceFloor sends what the owner's protocol has due. The mutex is held.
+// advanceFloor sends the floor updates that are due, or releases the floor if this
+// node does not own it. The caller holds the mutex.
 func (n *Node) advanceFloor(service string) {
 	if n.floorOwnerOf(service) != n.config.Name {
 		n.floorOwner.Release(service)
@@ -224,33 +229,35 @@
 	}
 }
 
-// takeSet applies a floor and returns the acknowledgement. The mutex is held.
+// applyFloorUpdate applies a floor at a member and returns the acknowledgement. The
+// caller holds the mutex.
 func (n *Node) applyFloorUpdate(set shedding.FloorUpdate) shedding.Ack {
 	ack := n.floorMember.Apply(n.now(), set)
 	n.applyFloor(set.Service)
 	return ack
 }
 
+// applyAck applies an acknowledgement at the owner. The caller holds the mutex.
 func (n *Node) applyAck(ack shedding.Ack) {
 	n.floorOwner.Ack(ack)
 	n.advanceFloor(ack.Service)
 }
 
-// applyFloor takes the floor that the member's side merged into force. The
-// mutex is held.
+// applyFloor activates the floor that this member has merged for the service. The
+// caller holds the mutex.
 func (n *Node) applyFloor(service string) {
 	floor := n.floorMember.Floor(n.now(), service)
 	if floor == n.scheduler.Floor(service) {
 		return
 	}
-	klog.V(1).InfoS("shed floor", "node", n.config.Name, "service", service, "refuse_from", floor.RefuseFrom, "shed_from", floor.ShedFrom)
+	klog.V(1).InfoS("shed floor changed", "node", n.config.Name, "service", service, "refuse_from", floor.RefuseFrom, "shed_from", floor.ShedFrom)
 	for _, plan := range n.scheduler.SetFloor(service, floor) {
 		n.deliver(plan)
 	}
 }
 
-// limitLoop reports demands to the owners of the tenants' limits and takes the
-// slices that they grant.
+// limitLoop reports the tenants' usage to the owners of their limits and applies
+// the shares that they grant.
 func (n *Node) limitLoop() {
 	for wait.For(n.ctx, limits.ReportInterval) {
 		n.mutex.Lock()
@@ -271,11 +278,14 @@
 	}
 }
 
+// limitOwnerOf returns the member that owns the tenant's limits. The caller holds
+// the mutex.
 func (n *Node) limitOwnerOf(tenant string) string {
 	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("limit/"+tenant), 1)[0]
 }
 
-// divideLimits is the owner's side. The mutex is held.
+// allocateLimits returns the shares that this owner grants for a report. The caller
+// holds the mutex.
 func (n *Node) allocateLimits(report limits.Report) limits.Grant {
 	compiled := n.settings.Compiled()
 	return n.limitOwner.Allocate(n.now(), report, func(tenant string) limits.Limit {
--- a/node/serve.go
+++ b/node/serve.go
@@ -11,16 +11,16 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Bounds of the HTTP servers against slow and large callers.
+// Bounds of the HTTP servers against slow callers and large headers.
 const (
 	readHeaderTimeout = 10 * time.Second
-	// readTimeout bounds the reading of a whole request.
+	// readTimeout bounds reading a request with its body.
 	readTimeout    = 60 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// peerNetwork is the network to other nodes' peer interface.
+// peerNetwork returns the network for the peer protocol.
 func (n *Node) peerNetwork() network.Network {
 	if n.config.PeerTLS == nil {
 		return n.deps.Network
@@ -28,7 +28,7 @@
 	return network.TLS{Inner: n.deps.Network, Server: n.config.PeerTLS, Client: n.config.PeerTLS}
 }
 
-// callerNetwork is the network to other nodes' callers' interface.
+// callerNetwork returns the network to the callers' interface of other nodes.
 func (n *Node) callerNetwork() network.Network {
 	if n.config.CallerTLS == nil {
 		return n.deps.Network
@@ -40,7 +40,7 @@
 	return network.TLS{Inner: n.deps.Network, Client: client}
 }
 
-// serve starts the servers of the three interfaces.
+// serve starts the servers for peers, callers and operators.
 func (n *Node) serve() {
 	server := peer.NewServer(n.traffic)
 	n.handlePeers(server)
@@ -53,14 +53,14 @@
 	n.serveHTTP(n.operatorListener, n.operatorHandler())
 }
 
-// serveHTTP serves until the node's context ends, which cuts all connections.
+// serveHTTP starts a server. It closes all connections when the node's context ends.
 func (n *Node) serveHTTP(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return n.ctx },
 		ErrorLog:    discardLog,
 	}
-	n.group.Go(func() { _ = server.Serve(listener) }) // always returns an error; it ends with Close
+	n.group.Go(func() { _ = server.Serve(listener) }) // always returns an error, also after Close
 	n.group.Go(func() {
 		<-n.ctx.Done()
 		_ = server.Close()
--- a/node/settings.go
+++ b/node/settings.go
@@ -19,26 +19,25 @@
 )
 
 const (
-	// watchLimit is how long a delegate waits in one watch before it looks
-	// whether it still is one.
+	// maxWatchTime bounds one watch of the store; the settings are read after it.
 	maxWatchTime = 20 * time.Second
-	// storePause is the time between tries while the store fails.
+	// storeRetryInterval is the time between attempts while the store fails.
 	storeRetryInterval = 500 * time.Millisecond
-	// delegateInterval is the time between looks of a node that is no delegate.
+	// delegateCheckInterval is the time between checks whether the node is a delegate.
 	delegateCheckInterval = 500 * time.Millisecond
 )
 
-// settingsPull asks a peer for a generation above the sender's.
+// settingsPull requests settings of a generation above that of the sender.
 type settingsPull struct {
 	Generation uint64 `msgpack:"h"`
 }
 
-// settingsReply carries the document in force, or nothing if it is not newer.
+// settingsReply carries the active document, or none if it is not newer.
 type settingsReply struct {
 	Document []byte `msgpack:"d"`
 }
 
-// settingsLoop reads the settings once at the start and watches them while the
+// settingsLoop reads the settings from the store once, and watches them while the
 // node is a delegate of its zone.
 func (n *Node) settingsLoop() {
 	revision := int64(0)
@@ -69,28 +68,30 @@
 	if err != nil {
 		return 0, err
 	}
-	n.installStored(value.Data)
+	n.installReceived(value.Data)
 	return value.Revision, nil
 }
 
+// watchSettings waits for a change after the revision, for at most maxWatchTime,
+// and returns the revision that it has applied.
 func (n *Node) watchSettings(revision int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(n.ctx, maxWatchTime)
 	defer cancel()
 	n.group.Go(func() { n.cancelWatchUnlessDelegate(ctx, cancel) })
 	value, err := n.deps.Store.Watch(ctx, settingsync.Key, revision)
 	if ctx.Err() != nil {
-		// A watch may have died without a word; reading settles what was missed.
+		// The watch may have failed silently; reading applies any missed change.
 		return n.readSettings()
 	}
 	if err != nil {
 		return revision, err
 	}
-	n.installStored(value.Data)
+	n.installReceived(value.Data)
 	return value.Revision, nil
 }
 
-// endWatchOfOthers ends a watch when the node is no delegate any more: a node
-// that starts knows no others yet and takes itself for one.
+// cancelWatchUnlessDelegate cancels a watch once the node is no longer a delegate. A
+// starting node knows no other members and counts itself as one.
 func (n *Node) cancelWatchUnlessDelegate(ctx context.Context, cancel context.CancelFunc) {
 	for wait.For(ctx, delegateCheckInterval) {
 		n.mutex.Lock()
@@ -103,9 +104,9 @@
 	}
 }
 
-// offerStored takes a value of the store into force if it is newer. A value
-// that does not parse or compile leaves the last good generation in force.
-func (n *Node) installStored(data []byte) {
+// installReceived activates settings from the store or a peer if they are newer.
+// Invalid settings are logged and ignored.
+func (n *Node) installReceived(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -114,14 +115,13 @@
 		_, err = n.settings.InstallIfNewer(document)
 	}
 	if err != nil {
-		klog.ErrorS(err, "settings in the store refused", "node", n.config.Name, "in_force", n.settings.Compiled().Generation)
+		klog.ErrorS(err, "received settings rejected", "node", n.config.Name, "in_force", n.settings.Compiled().Generation)
 		n.count("settings.refused")
 	}
 }
 
-// pullSettings asks a peer that is ahead for its document, one peer at a time: every
-// heartbeat of every peer that is ahead comes here, and each copy takes its time on the
-// link that heartbeats use too.
+// pullSettings pulls the settings from a peer in the background. While one pull is
+// in progress it does nothing, since pulls share the links with heartbeats.
 func (n *Node) pullSettings(address string) {
 	if !n.pullingSettings.CompareAndSwap(false, true) {
 		return
@@ -141,7 +141,7 @@
 	var reply settingsReply
 	message := settingsPull{Generation: n.settings.Compiled().Generation}
 	if err := n.peers.Call(ctx, address, peerwire.KindSettingsPull, &message, &reply); err == nil {
-		n.installStored(reply.Document)
+		n.installReceived(reply.Document)
 	}
 }
 
@@ -150,13 +150,13 @@
 	return &settingsReply{Document: data}, err
 }
 
-// Change accepts a change of the settings and takes it into force here. Errors
-// are those of settingsync.Committer.Commit.
+// Change commits a change of the settings to the store and activates it on this
+// node. Errors are those of settingsync.Committer.Commit.
 func (n *Node) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
 	record, document, err := n.settingsCommitter.Commit(ctx, change)
 	if err != nil {
 		if document != nil && errors.Is(err, errkind.Conflict) {
-			_, _ = n.settings.InstallIfNewer(document) // what conflicts is newer than what is in force here
+			_, _ = n.settings.InstallIfNewer(document) // the conflicting document may be newer than the active one
 		}
 		return record, err
 	}
@@ -173,8 +173,8 @@
 	return &grant, nil
 }
 
-// placementLoop coordinates placement for the services that this node is the
-// first candidate of.
+// placementLoop runs the placement coordinators of the services for which this node
+// is the first candidate.
 func (n *Node) placementLoop() {
 	coordinators := map[string]*placement.Coordinator{}
 	for wait.For(n.ctx, placement.RenewInterval) {
@@ -217,6 +217,8 @@
 	return err.Error()
 }
 
+// placementState returns the demands of the service's models and the state of its
+// engines in the zone.
 func (n *Node) placementState(service string) placement.ClusterState {
 	compiled := n.settings.Compiled()
 	cluster := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -15,19 +15,19 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Every heartbeat of every peer that is ahead asks for the settings. While one peer is
-// sending them over a slow link, heartbeats go on and no other copy is asked for.
-func TestSettingsArePulledOnceAtATimeAndHoldUpNoHeartbeat(t *testing.T) {
+// While a peer sends the settings over a slow link, heartbeats must not block and
+// must not start further pulls.
+func TestSettingsPullsDoNotOverlapOrBlockHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		fabric := memnet.New()
 		listener, err := fabric.Host("ahead").Listen("ahead:7600")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		var asked atomic.Int64
+		var pulls atomic.Int64
 		server := peer.NewServer(nil)
 		peer.Handle(server, peerwire.KindSettingsPull, func(context.Context, *settingsPull) (*settingsReply, error) {
-			asked.Add(1)
+			pulls.Add(1)
 			time.Sleep(300 * time.Millisecond) // a long document on a slow link
 			return &settingsReply{}, nil
 		})
@@ -39,13 +39,13 @@
 		for range 5 {
 			n.pullSettings("ahead:7600")
 		}
-		g.Expect(time.Since(started)).To(gomega.BeZero(), "the heartbeat that tells of them goes on")
+		g.Expect(time.Since(started)).To(gomega.BeZero(), "pulling does not block the heartbeat")
 		time.Sleep(200 * time.Millisecond)
-		g.Expect(asked.Load()).To(gomega.Equal(int64(1)))
+		g.Expect(pulls.Load()).To(gomega.Equal(int64(1)))
 		time.Sleep(200 * time.Millisecond)
 		n.pullSettings("ahead:7600")
 		time.Sleep(time.Second)
-		g.Expect(asked.Load()).To(gomega.Equal(int64(2)), "once the first has ended another one may be asked")
+		g.Expect(pulls.Load()).To(gomega.Equal(int64(2)), "a second pull starts after the first has ended")
 		cancel()
 		n.peers.Close()
 		time.Sleep(time.Second)
--- a/node/tickets.go
+++ b/node/tickets.go
@@ -8,16 +8,18 @@
 	"github.com/thornwalk/thornwalk/state/answer"
 )
 
-// ticketBook is the tickets that this process handed out. It is safe for
+// ticketStore holds the tickets that this process issued. It is safe for
 // concurrent use.
 type ticketStore struct {
 	mutex sync.Mutex
 	limit int
-	// used maps a ticket to the request that it dispatches, or "".
+	// uses maps the id of a ticket to its use.
 	uses       map[string]ticketUse
 	issueOrder []string
 }
 
+// ticketUse is the request that a ticket was spent on; requestID is empty if the
+// ticket is unused.
 type ticketUse struct {
 	requestID string
 	bodyHash  uint64
@@ -27,8 +29,8 @@
 	return &ticketStore{limit: limit, uses: map[string]ticketUse{}}
 }
 
-// issue enters a ticket; the oldest is forgotten when there are too many, and
-// is then refused.
+// issue adds a ticket. At the limit it removes the oldest one, which is then
+// rejected as unknown.
 func (b *ticketStore) issue(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -40,24 +42,25 @@
 	b.issueOrder = append(b.issueOrder, id)
 }
 
-// use spends the ticket on the request. It returns the request that has it.
+// spend assigns the ticket to the request if it is unused. It returns the id of
+// the request that the ticket is assigned to.
 func (b *ticketStore) spend(id, requestID string, bodyHash uint64) (string, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	use, known := b.uses[id]
 	switch {
 	case !known:
-		return "", errkind.New(errkind.BadTicket, "the ticket is not known any more")
+		return "", errkind.New(errkind.BadTicket, "ticket is no longer known")
 	case use.requestID == "":
 		b.uses[id] = ticketUse{requestID: requestID, bodyHash: bodyHash}
 		return requestID, nil
 	case use.bodyHash != bodyHash:
-		return "", errkind.New(errkind.KeyReused, "the ticket was used for a request with another body")
+		return "", errkind.New(errkind.KeyReused, "ticket was used for a request with another body")
 	}
 	return use.requestID, nil
 }
 
-// free makes the ticket of a request that did not run usable again.
+// release makes the ticket of a request that did not run usable again.
 func (b *ticketStore) release(sealed, requestID string) {
 	if sealed == "" {
 		return
@@ -72,16 +75,16 @@
 	}
 }
 
-// issueTicket makes a ticket that this process alone may dispatch.
+// issueTicket returns a sealed ticket that only this process may dispatch.
 func (n *Node) issueTicket(tenant string) (string, error) {
 	ticket := receipt.Ticket{ID: n.newRequestID(), Tenant: tenant, Zone: n.config.Zone, Node: n.config.Name, Incarnation: uint64(n.startMilliseconds()), Address: n.CallerAddress()}
 	n.tickets.issue(ticket.ID)
 	return n.sealer.Seal(&ticket)
 }
 
-// useTicket spends a ticket of this process on the execution, or returns the
-// answer of the request that it was spent on. Tickets of other processes are
-// forwarded before this is reached.
+// useTicket spends a ticket of this process on the execution. It returns the
+// answer of the earlier request if the ticket was spent before. Calls with tickets
+// of other processes have been forwarded already.
 func (n *Node) useTicket(c *call, exec *execution) (*answer.Answer, error) {
 	ticket, err := n.openTicket(c.ticket, c.tenant.Name)
 	if err != nil {
@@ -94,7 +97,7 @@
 	if earlier, found := n.answers.Get(holder); found {
 		return earlier, nil
 	}
-	return nil, errkind.New(errkind.OutcomeUnknown, "request %s of the ticket is not kept any more", holder)
+	return nil, errkind.New(errkind.OutcomeUnknown, "answer of request %s, on which the ticket was spent, is no longer stored", holder)
 }
 
 func (n *Node) openTicket(sealed, tenant string) (receipt.Ticket, error) {
@@ -103,12 +106,12 @@
 		return ticket, errkind.New(errkind.BadTicket, "%v", err)
 	}
 	if ticket.Tenant != tenant {
-		return ticket, errkind.New(errkind.BadTicket, "the ticket belongs to another tenant")
+		return ticket, errkind.New(errkind.BadTicket, "ticket belongs to another tenant")
 	}
 	return ticket, nil
 }
 
-// ownsTicket returns whether this process may dispatch the ticket.
+// ownsTicket reports whether this process issued the ticket.
 func (n *Node) ownsTicket(ticket *receipt.Ticket) bool {
 	return ticket.Node == n.config.Name && ticket.Incarnation == uint64(n.startMilliseconds())
 }
--- a/protocol/peerwire/peerwire_test.go
+++ b/protocol/peerwire/peerwire_test.go
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, _, err := ReadFrame(bytes.NewReader(content))
 			if !errors.Is(err, errkind.BadFrame) {
-				t.Fatalf("error is %v, want kind %v", err, errkind.BadFrame)
+				t.Fatalf("error is %v, want kind bad-frame", err)
 			}
 		})
 	}
