--- a/node/backend.go
+++ b/node/backend.go
@@ -79,11 +79,13 @@
 // events to the answer in the order of their numbers, each once, and drops those
 // of other requests.
 type eventReader struct {
-	node       *Node
-	request    *structs.Request
-	address    string
-	answer     *answer.Answer
+	node    *Node
+	request *structs.Request
+	address string
+	answer  *answer.Answer
+	// lastNumber is the number of the last event that was appended.
 	lastNumber int
+	// outOfOrder holds events by number until those before them arrive.
 	outOfOrder map[int][]byte
 	tokens     int
 	bytes      int
--- a/node/callers.go
+++ b/node/callers.go
@@ -147,7 +147,7 @@
 
 func (n *Node) serveTicket(writer http.ResponseWriter, _ *http.Request, tenant *settings.Named) {
 	if n.rejecting.Load() || n.draining.Load() {
-		n.writeError(writer, errkind.New(errkind.Stopping, "%s is stopping", n.config.Name), "", "")
+		n.writeError(writer, errkind.New(errkind.Stopping, "issue ticket: node %s is stopping", n.config.Name), "", "")
 		return
 	}
 	ticket, err := n.issueTicket(tenant.Name)
--- a/node/execute.go
+++ b/node/execute.go
@@ -191,7 +191,7 @@
 		return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "%v", err)
 	}
 	n.mutex.Lock()
-	if plan, refused := n.scheduler.Submit(n.now(), exec.request); refused {
+	if plan, rejected := n.scheduler.Submit(n.now(), exec.request); rejected {
 		n.deliver(plan)
 	}
 	n.schedulePending()
@@ -209,8 +209,8 @@
 			return outcome, err
 		}
 		n.mutex.Lock()
-		if refused, ended := n.scheduler.Requeue(n.now(), exec.request.ID); ended {
-			n.deliver(refused)
+		if rejection, ended := n.scheduler.Requeue(n.now(), exec.request.ID); ended {
+			n.deliver(rejection)
 		}
 		n.schedulePending()
 		n.mutex.Unlock()
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -321,10 +321,10 @@
 	return &struct{}{}, nil
 }
 
-func (n *Node) serveFloorSet(_ context.Context, set *shedding.FloorUpdate) (*shedding.Ack, error) {
+func (n *Node) serveFloorSet(_ context.Context, update *shedding.FloorUpdate) (*shedding.Ack, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	ack := n.applyFloorUpdate(*set)
+	ack := n.applyFloorUpdate(*update)
 	return &ack, nil
 }
 
--- a/node/identity.go
+++ b/node/identity.go
@@ -215,8 +215,8 @@
 	return resumed, false, err
 }
 
-// isProcessLive reports whether the process of a node of the zone is not known to
-// have ended.
+// isProcessLive reports whether the node is a member of the zone that is not dead
+// and still runs the process.
 func (n *Node) isProcessLive(name string, process uint64) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -227,29 +227,29 @@
 // resumeByReceipt returns the answer of a request of another process, read from
 // the engine that the sealed receipt names. It does not wait for its end.
 func (n *Node) resumeByReceipt(ctx context.Context, sealed, tenant string) (*answer.Answer, error) {
-	var found receipt.Receipt
-	if err := n.sealer.Open(sealed, &found); err != nil {
+	var opened receipt.Receipt
+	if err := n.sealer.Open(sealed, &opened); err != nil {
 		return nil, err
 	}
-	if found.Tenant != tenant {
+	if opened.Tenant != tenant {
 		return nil, errkind.New(errkind.BadReceipt, "receipt belongs to another tenant")
 	}
-	if stored, known := n.answers.Get(found.RequestID); known {
+	if stored, known := n.answers.Get(opened.RequestID); known {
 		return stored, nil
 	}
-	if !found.Engine {
-		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s: sent to the plain service at replica %s; look up its effect there", found.RequestID, found.Replica)
+	if !opened.Engine {
+		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s: sent to the plain service at replica %s; look up its effect there", opened.RequestID, opened.Replica)
 	}
-	adopted := answer.New(found.RequestID, tenant)
-	adopted.SetReceipt(sealed)
-	stream, err := n.adapter.Resume(ctx, found.Address, found.RequestID, 0)
+	resumed := answer.New(opened.RequestID, tenant)
+	resumed.SetReceipt(sealed)
+	stream, err := n.adapter.Resume(ctx, opened.Address, opened.RequestID, 0)
 	if err != nil {
-		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s at replica %s: %v", found.RequestID, found.Replica, err)
+		return nil, errkind.New(errkind.OutcomeUnknown, "resume request %s at replica %s: %v", opened.RequestID, opened.Replica, err)
 	}
-	reader := &eventReader{node: n, request: &structs.Request{ID: found.RequestID}, address: found.Address, answer: adopted}
+	reader := &eventReader{node: n, request: &structs.Request{ID: opened.RequestID}, address: opened.Address, answer: resumed}
 	n.group.Go(func() {
 		outcome, err := reader.read(n.ctx, stream, nil)
-		adopted.End(outcome, err)
+		resumed.End(outcome, err)
 	})
-	return adopted, nil
+	return resumed, nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -118,14 +118,14 @@
 
 // New returns a node that is not started. Errors of the configuration are of kind
 // InvalidSettings.
-func New(config Config, depend Dependencies) (*Node, error) {
+func New(config Config, dependencies Dependencies) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	n := &Node{
-		config: config, deps: depend, started: time.Now(),
+		config: config, deps: dependencies, started: time.Now(),
 		sealer:  receipt.NewSealer(config.ReceiptKeys...),
-		adapter: backendhttp.New(depend.Network),
+		adapter: backendhttp.New(dependencies.Network),
 		answers: answer.NewStore(), metrics: metrics.NewRegistry(),
 		decisions: newDecisionLog(maxDecisions), tickets: newTicketStore(maxTickets),
 		executions:      map[string]*execution{},
@@ -136,7 +136,7 @@
 	}
 	n.traffic = newTrafficMeter(n.metrics)
 	n.peers = peer.NewClient(n.peerNetwork(), n.traffic)
-	n.settingsCommitter = settingsync.Committer{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
+	n.settingsCommitter = settingsync.Committer{Store: dependencies.Store, WallTime: dependencies.WallTime, Faults: dependencies.Faults}
 	return n, n.initialise()
 }
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -6,7 +6,8 @@
 	"github.com/onsi/gomega"
 )
 
-// A request id must yield its node also if the node's name contains the separator.
+// Guards against request ids from which the node can't be read because its name
+// contains the separator.
 func TestRequestIDContainsNodeAndProcess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := &Node{config: Config{Name: "trakiya-n0_b"}}
--- a/node/polling.go
+++ b/node/polling.go
@@ -101,8 +101,8 @@
 		return
 	}
 	report.Replica = replica.ID
-	// The replica took the report between request and response. Counting from the
-	// request overestimates its age.
+	// The replica created the report between request and response. Counting from
+	// the request can only overestimate its age.
 	report.Age += n.now() - started
 	n.applyPolledReport(report)
 	for _, event := range events {
--- a/node/relay.go
+++ b/node/relay.go
@@ -66,18 +66,18 @@
 	}
 	// A request that the other node dispatched goes on at its engine, and its
 	// answer can be read there from where the relay broke.
-	var found receipt.Receipt
-	if view.Receipt == "" || n.sealer.Open(view.Receipt, &found) != nil || !found.Engine {
+	var opened receipt.Receipt
+	if view.Receipt == "" || n.sealer.Open(view.Receipt, &opened) != nil || !opened.Engine {
 		relayed.End(structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "relay answer of request %s: %v", relayed.RequestID, err))
 		return
 	}
-	reader := &eventReader{node: n, request: &structs.Request{ID: relayed.RequestID}, address: found.Address, answer: relayed, lastNumber: len(view.Parts)}
+	reader := &eventReader{node: n, request: &structs.Request{ID: relayed.RequestID}, address: opened.Address, answer: relayed, lastNumber: len(view.Parts)}
 	relayed.End(reader.read(n.ctx, nil, err))
 }
 
 // readRelay reads the answer from another node until its end.
 func (n *Node) readRelay(relayed *answer.Answer, address string) error {
-	pass, err := n.sealer.Seal(&relayAuthorization{RequestID: relayed.RequestID, Tenant: relayed.Tenant})
+	authorization, err := n.sealer.Seal(&relayAuthorization{RequestID: relayed.RequestID, Tenant: relayed.Tenant})
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	request.Header.Set(HeaderReceipt, pass)
+	request.Header.Set(HeaderReceipt, authorization)
 	sender := oneshot.Sender{Network: n.callerNetwork()}
 	dialContext, cancel := context.WithCancel(n.ctx)
 	defer cancel()
@@ -136,13 +136,13 @@
 // serveRelay sends an answer to another node.
 func (n *Node) serveRelay(writer http.ResponseWriter, request *http.Request) {
 	id := mux.Vars(request)["id"]
-	var pass relayAuthorization
-	if err := n.sealer.Open(request.Header.Get(HeaderReceipt), &pass); err != nil || pass.RequestID != id {
+	var authorization relayAuthorization
+	if err := n.sealer.Open(request.Header.Get(HeaderReceipt), &authorization); err != nil || authorization.RequestID != id {
 		writer.WriteHeader(http.StatusForbidden)
 		return
 	}
 	found, known := n.answers.Get(id)
-	if !known || found.Tenant != pass.Tenant {
+	if !known || found.Tenant != authorization.Tenant {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -215,25 +215,25 @@
 		return
 	}
 	for _, outgoing := range n.floorOwner.Tick(n.now(), service, n.table.LiveNames()) {
-		set := outgoing.Update
+		update := outgoing.Update
 		n.notifyMember(outgoing.To, func(ctx context.Context, address string) error {
 			var ack shedding.Ack
-			if err := n.peers.Call(ctx, address, peerwire.KindFloorSet, set, &ack); err != nil {
+			if err := n.peers.Call(ctx, address, peerwire.KindFloorSet, update, &ack); err != nil {
 				return err
 			}
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
 			n.applyAck(ack)
 			return nil
-		}, func() { n.applyAck(n.applyFloorUpdate(set)) })
+		}, func() { n.applyAck(n.applyFloorUpdate(update)) })
 	}
 }
 
 // applyFloorUpdate applies a floor at a member and returns the acknowledgement. The
 // caller holds the mutex.
-func (n *Node) applyFloorUpdate(set shedding.FloorUpdate) shedding.Ack {
-	ack := n.floorMember.Apply(n.now(), set)
-	n.applyFloor(set.Service)
+func (n *Node) applyFloorUpdate(update shedding.FloorUpdate) shedding.Ack {
+	ack := n.floorMember.Apply(n.now(), update)
+	n.applyFloor(update.Service)
 	return ack
 }
 
