--- a/node/relay.go
+++ b/node/relay.go
@@ -64,8 +64,8 @@
 	if view.Ended {
 		return
 	}
-	// A request that the other node dispatched goes on at its engine, and its
-	// answer can be read there from where the relay broke.
+	// A request that the other node dispatched continues at its engine, from which
+	// the remaining events of the answer can be read.
 	var opened receipt.Receipt
 	if view.Receipt == "" || n.sealer.Open(view.Receipt, &opened) != nil || !opened.Engine {
 		relayed.End(structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "relay answer of request %s: %v", relayed.RequestID, err))
--- a/protocol/peerwire/peerwire.go
+++ b/protocol/peerwire/peerwire.go
@@ -75,7 +75,7 @@
 }
 
 // WriteFrame writes the envelope as one frame and returns the bytes written. An
-// envelope that can not be encoded or is too long is an error of kind BadFrame.
+// envelope that can't be encoded or is too long is an error of kind BadFrame.
 func WriteFrame(writer io.Writer, envelope *Envelope) (int, error) {
 	var buffer bytes.Buffer
 	buffer.Write([]byte{0, 0, 0, 0})
@@ -93,8 +93,9 @@
 const lengthBytes = 4
 
 // ReadFrame reads one frame and returns its size in bytes. The error is io.EOF
-// if the connection ended between frames, and of kind BadFrame for a frame that
-// is invalid or truncated. After any error the connection must be closed.
+// if the connection ended between frames, a read error if it failed within the
+// length, and of kind BadFrame if the length or the envelope is invalid or the
+// envelope is truncated. After any error the connection must be closed.
 func ReadFrame(reader io.Reader) (*Envelope, int, error) {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
