--- a/node/backend.go
+++ b/node/backend.go
@@ -18,183 +18,188 @@
 )
 
 const (
-	// resumeWindow is how long a broken answer is asked for again, and
-	// resumePause the time between tries.
-	resumeWindow = 10 * time.Second
-	resumePause  = 100 * time.Millisecond
-	// reorderLimit bounds events that wait for an earlier one.
-	reorderLimit = 256
-	// maximumAnswerBytes bounds one answer.
-	maximumAnswerBytes = 32 << 20
-	// cancelTimeout bounds the message that ends a request at its engine.
+	// resumeWindow is how long resuming an answer is tried without progress, every
+	// resumeInterval.
+	resumeWindow   = 10 * time.Second
+	resumeInterval = 100 * time.Millisecond
+	// maxReorderedEvents bounds the events that wait for an earlier one.
+	maxReorderedEvents = 256
+	// maxAnswerBytes bounds the data of one answer.
+	maxAnswerBytes = 32 << 20
+	// cancelTimeout bounds the call that cancels a request at its engine.
 	cancelTimeout = time.Second
-	// serviceChunk is the size of the pieces in which a service's body is read.
-	serviceChunk = 32 << 10
+	// serviceChunkBytes is the size of one read of a response body.
+	serviceChunkBytes = 32 << 10
 )
 
-// generate dispatches to an engine and reads the answer to its end, resuming it
-// when the stream breaks. Errors that wrap oneshot.ErrNotSent prove that
-// nothing was sent.
-func (n *Node) generate(x *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
-	body, err := x.call.generation.EngineBody(engineModel(x), int(x.request.Rank), x.request.MaxTokens)
+// generate sends the request to an engine and reads the complete answer, resuming
+// it when the stream breaks. If nothing was sent, it returns OutcomePending and
+// an error that wraps oneshot.ErrNotSent.
+func (n *Node) generate(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
+	body, err := exec.call.generation.EngineBody(requestEngineModel(exec), int(exec.request.Rank), exec.request.MaxTokens)
 	if err != nil {
 		return structs.OutcomeNotRun, errkind.Wrap(errkind.BadRequest, err)
 	}
 	path := openai.PathCompletions
-	if x.call.generation.Chat {
+	if exec.call.generation.Chat {
 		path = openai.PathChat
 	}
-	stream, err := n.adapter.Generate(x.ctx, replica.Address, &backendhttp.Generation{ID: x.request.ID, Path: path, Body: body, BeforeFirstByte: beforeFirstByte})
+	stream, err := n.adapter.Generate(exec.ctx, replica.Address, &backendhttp.Generation{ID: exec.request.ID, Path: path, Body: body, BeforeFirstByte: beforeFirstByte})
 	if errors.Is(err, oneshot.ErrNotSent) {
 		return structs.OutcomePending, err
 	}
-	reader := &eventReader{node: n, request: x.request, address: replica.Address, answer: x.answer}
-	outcome, err := reader.read(x.ctx, stream, err)
-	x.tokens = reader.tokens
-	if x.ctx.Err() != nil && outcome == structs.OutcomeUnknown {
-		n.cancelAt(replica.Address, x.request.ID)
+	reader := &eventReader{node: n, request: exec.request, address: replica.Address, answer: exec.answer}
+	outcome, err := reader.read(exec.ctx, stream, err)
+	exec.tokens = reader.tokens
+	if exec.ctx.Err() != nil && outcome == structs.OutcomeUnknown {
+		n.cancelAtEngine(replica.Address, exec.request.ID)
 	}
 	return outcome, err
 }
 
-func engineModel(x *execution) string {
-	if x.request.Adapter != "" {
-		return x.request.Adapter
+// requestEngineModel returns the name under which the engine serves the model.
+func requestEngineModel(exec *execution) string {
+	if exec.request.Adapter != "" {
+		return exec.request.Adapter
 	}
-	return x.request.Model
+	return exec.request.Model
 }
 
-// cancelAt ends the request at the engine, best effort.
-func (n *Node) cancelAt(address, id string) {
+// cancelAtEngine cancels the request at the engine. Errors are ignored.
+func (n *Node) cancelAtEngine(address, id string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(n.ctx), cancelTimeout)
 	defer cancel()
 	if n.ctx.Err() != nil {
-		return // the process is gone as far as others can tell
+		return // Kill has ended the node, which must then send nothing
 	}
 	_ = n.adapter.Cancel(ctx, address, id)
 }
 
-// eventReader reads the answer of one request from its engine. Events are
-// taken in the order of their numbers, each once; those of another request are
-// dropped.
+// eventReader reads the answer of one request from its engine. It appends the
+// events to the answer in the order of their numbers, each once, and drops those
+// of other requests.
 type eventReader struct {
 	node    *Node
 	request *structs.Request
 	address string
 	answer  *answer.Answer
-	last    int
-	ahead   map[int][]byte
-	tokens  int
-	bytes   int
+	// lastNumber is the number of the last event that was appended.
+	lastNumber int
+	// outOfOrder holds events by number until those before them arrive.
+	outOfOrder map[int][]byte
+	tokens     int
+	bytes      int
 }
 
-// read reads to the end. The stream may be nil with the error that opening it
-// gave; it is then resumed like a broken one.
+// read reads until the answer is complete or can't be resumed. If the stream is
+// nil, err is the error of opening it, and read starts by resuming the answer.
 func (r *eventReader) read(ctx context.Context, stream *backendhttp.Stream, err error) (structs.Outcome, error) {
-	since := time.Now()
+	lastProgress := time.Now()
 	for {
 		if stream != nil {
-			before := r.last
-			err = r.consume(ctx, stream)
+			before := r.lastNumber
+			err = r.readStream(ctx, stream)
 			stream.Close()
 			if err == nil {
 				return structs.OutcomeAnswered, nil
 			}
-			if r.last > before {
-				since = time.Now()
+			if r.lastNumber > before {
+				lastProgress = time.Now()
 			}
 		}
-		if refused := asRefusal(err); refused != nil {
-			return structs.OutcomeUnknown, refused
+		if fatal := engineError(err); fatal != nil {
+			return structs.OutcomeUnknown, fatal
 		}
-		if time.Since(since) > resumeWindow || !wait.For(ctx, resumePause) {
-			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "the answer broke off: %v", err)
+		if time.Since(lastProgress) > resumeWindow || !wait.For(ctx, resumeInterval) {
+			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "read answer of the engine: stream broke and was not resumed: %v", err)
 		}
 		r.node.count("answer.resumed")
-		stream, err = r.node.adapter.Resume(ctx, r.address, r.request.ID, r.last)
+		stream, err = r.node.adapter.Resume(ctx, r.address, r.request.ID, r.lastNumber)
 	}
 }
 
-// asRefusal returns an error if the engine itself refused, so that trying again
-// is of no use: it does not know the request, or it answered with an error.
-func asRefusal(err error) error {
+// engineError returns an error if err is a StatusError, after which resuming the
+// answer can't succeed, and nil otherwise.
+func engineError(err error) error {
 	var status *backendhttp.StatusError
 	if !errors.As(err, &status) {
 		return nil
 	}
-	return errkind.New(errkind.OutcomeUnknown, "the engine answered %s", status.Error())
+	return errkind.New(errkind.OutcomeUnknown, "read answer of the engine: %s", status.Error())
 }
 
-// consume reads one stream; nil means that the answer is whole.
-func (r *eventReader) consume(ctx context.Context, stream *backendhttp.Stream) error {
+// readStream reads one stream; nil means that the answer is complete.
+func (r *eventReader) readStream(ctx context.Context, stream *backendhttp.Stream) error {
 	for {
 		event, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			if len(r.ahead) > 0 {
-				clear(r.ahead)
+			if len(r.outOfOrder) > 0 {
+				clear(r.outOfOrder)
 				return io.ErrUnexpectedEOF
 			}
 			return nil
 		}
 		if err != nil {
-			clear(r.ahead)
+			clear(r.outOfOrder)
 			return err
 		}
-		if err := r.take(ctx, event); err != nil {
+		if err := r.handleEvent(ctx, event); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *eventReader) take(ctx context.Context, event backendhttp.Event) error {
+// handleEvent appends the event to the answer, with those that waited for it, or
+// stores it until the events before it arrive.
+func (r *eventReader) handleEvent(ctx context.Context, event backendhttp.Event) error {
 	chunk, err := openai.ParseChunk(event.Data)
-	if err != nil || chunk.ID != r.request.ID || event.Number <= r.last {
+	if err != nil || chunk.ID != r.request.ID || event.Number <= r.lastNumber {
 		r.node.count("answer.dropped-events")
 		return nil
 	}
-	if event.Number > r.last+1 {
-		if r.ahead == nil {
-			r.ahead = map[int][]byte{}
+	if event.Number > r.lastNumber+1 {
+		if r.outOfOrder == nil {
+			r.outOfOrder = map[int][]byte{}
 		}
-		if len(r.ahead) >= reorderLimit {
-			clear(r.ahead)
+		if len(r.outOfOrder) >= maxReorderedEvents {
+			clear(r.outOfOrder)
 			return io.ErrUnexpectedEOF
 		}
-		r.ahead[event.Number] = event.Data
+		r.outOfOrder[event.Number] = event.Data
 		return nil
 	}
-	if err := r.accept(ctx, event.Data, chunk); err != nil {
+	if err := r.appendEvent(ctx, event.Data, chunk); err != nil {
 		return err
 	}
 	for {
-		data, waiting := r.ahead[r.last+1]
-		if !waiting {
+		data, found := r.outOfOrder[r.lastNumber+1]
+		if !found {
 			return nil
 		}
-		delete(r.ahead, r.last+1)
+		delete(r.outOfOrder, r.lastNumber+1)
 		if chunk, err = openai.ParseChunk(data); err != nil {
 			return err
 		}
-		if err := r.accept(ctx, data, chunk); err != nil {
+		if err := r.appendEvent(ctx, data, chunk); err != nil {
 			return err
 		}
 	}
 }
 
-// accept passes the next event on.
-func (r *eventReader) accept(ctx context.Context, data []byte, chunk *openai.Chunk) error {
-	if err := faultpoint.Reach(ctx, r.node.depend.Faults, faultpoint.Stream, r.request.ID); err != nil {
+// appendEvent appends the event that is next in order to the answer.
+func (r *eventReader) appendEvent(ctx context.Context, data []byte, chunk *openai.Chunk) error {
+	if err := faultpoint.Reach(ctx, r.node.deps.Faults, faultpoint.Stream, r.request.ID); err != nil {
 		return err
 	}
-	r.last++
+	r.lastNumber++
 	r.bytes += len(data)
-	if r.bytes > maximumAnswerBytes {
-		return &backendhttp.StatusError{Status: http.StatusBadGateway, Body: "the answer is too large"}
+	if r.bytes > maxAnswerBytes {
+		return &backendhttp.StatusError{Status: http.StatusBadGateway, Body: "answer is too large"}
 	}
 	if chunk.HasText() {
 		r.tokens++
 		if r.tokens == 1 {
-			r.node.firstToken(r.request)
+			r.node.recordFirstToken(r.request)
 		}
 	}
 	if chunk.Usage != nil {
@@ -204,19 +209,19 @@
 	return nil
 }
 
-func (n *Node) firstToken(request *structs.Request) {
+func (n *Node) recordFirstToken(request *structs.Request) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.scheduler.FirstToken(n.now(), request.ID)
-	n.observe("ttft."+request.Tier, n.now()-request.Arrived)
+	n.recordDuration("ttft."+request.Tier, n.now()-request.Arrived)
 }
 
-// callService dispatches to a plain service and reads its response. It can't be
-// resumed: a response that breaks off ends as unknown.
-func (n *Node) callService(x *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
-	service := x.call.service
-	response, err := n.adapter.Call(x.ctx, replica.Address, &backendhttp.ServiceCall{
-		ID: x.request.ID, Method: service.method, Path: service.path, Header: service.header, Body: x.call.body, BeforeFirstByte: beforeFirstByte,
+// callService sends the request to a plain service and reads its response. A
+// response that breaks can't be resumed and has an unknown outcome.
+func (n *Node) callService(exec *execution, replica structs.Replica, beforeFirstByte func() error) (structs.Outcome, error) {
+	service := exec.call.service
+	response, err := n.adapter.Call(exec.ctx, replica.Address, &backendhttp.ServiceCall{
+		ID: exec.request.ID, Method: service.method, Path: service.path, Header: service.header, Body: exec.call.body, BeforeFirstByte: beforeFirstByte,
 	})
 	if errors.Is(err, oneshot.ErrNotSent) {
 		return structs.OutcomePending, err
@@ -225,29 +230,29 @@
 		return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "%v", err)
 	}
 	defer response.Body.Close()
-	x.answer.SetHead(answer.ResponseHead{Status: response.StatusCode, Header: response.Header})
-	return n.copyBody(x, response.Body)
+	exec.answer.SetHead(answer.ResponseHead{Status: response.StatusCode, Header: response.Header})
+	return n.copyBody(exec, response.Body)
 }
 
-func (n *Node) copyBody(x *execution, body io.Reader) (structs.Outcome, error) {
+func (n *Node) copyBody(exec *execution, body io.Reader) (structs.Outcome, error) {
 	total := 0
 	for {
-		if err := faultpoint.Reach(x.ctx, n.depend.Faults, faultpoint.Stream, x.request.ID); err != nil {
+		if err := faultpoint.Reach(exec.ctx, n.deps.Faults, faultpoint.Stream, exec.request.ID); err != nil {
 			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "%v", err)
 		}
-		piece := make([]byte, serviceChunk)
-		count, err := body.Read(piece)
+		chunk := make([]byte, serviceChunkBytes)
+		count, err := body.Read(chunk)
 		if total += count; count > 0 {
-			x.answer.Append(piece[:count])
+			exec.answer.Append(chunk[:count])
 		}
 		if errors.Is(err, io.EOF) {
 			return structs.OutcomeAnswered, nil
 		}
-		if err == nil && total > maximumAnswerBytes {
-			err = errors.New("the answer is too large")
+		if err == nil && total > maxAnswerBytes {
+			err = errors.New("answer is too large")
 		}
 		if err != nil {
-			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "the response broke off after %d bytes: %v", total, err)
+			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "read response of the service: broke after %d bytes: %v", total, err)
 		}
 	}
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// probesPerInterval is the members that a node probes at each heartbeat; it
-	// does not grow with the zone.
+	// probesPerInterval is the number of members probed at each heartbeat, whatever
+	// the size of the zone.
 	probesPerInterval = 2
-	// indirectProbes is the members asked to probe one that did not answer.
+	// indirectProbes is the number of members that probe one that did not answer.
 	indirectProbes = 2
-	// rumorsPerMessage and reportsPerMessage bound a heartbeat.
+	// rumorsPerMessage and reportsPerMessage bound the content of a heartbeat.
 	rumorsPerMessage  = 8
 	reportsPerMessage = 24
-	// sentPerMessage bounds the prefixes told; of more, the newest are told.
-	sentPerMessage = 16
+	// sentPrefixesPerMessage bounds the prefixes of a heartbeat; the newest are sent.
+	sentPrefixesPerMessage = 16
 )
 
-// heartbeat is what nodes tell each other; a reply has the same form.
+// heartbeat is the message that nodes exchange; its reply has the same type.
 type heartbeat struct {
-	From       membership.Member  `msgpack:"f"`
-	Generation uint64             `msgpack:"g"`
-	Rumors     []membership.Rumor `msgpack:"r,omitempty"`
-	Reports    []digest           `msgpack:"l,omitempty"`
-	Sent       []sentPrefix       `msgpack:"s,omitempty"`
+	From         membership.Member  `msgpack:"f"`
+	Generation   uint64             `msgpack:"g"`
+	Rumors       []membership.Rumor `msgpack:"r,omitempty"`
+	Reports      []digest           `msgpack:"l,omitempty"`
+	SentPrefixes []sentPrefix       `msgpack:"s,omitempty"`
 }
 
-// sentPrefix tells that a replica was sent a prompt whose prefix ends with the
-// block, so that every node of the zone knows where a conversation is cached.
+// sentPrefix records that a replica was sent a prompt whose prefix ends with the
+// block, so that all nodes of the zone know where the prompt is cached.
 type sentPrefix struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -45,17 +45,17 @@
 	Block   uint64
 }
 
-// probeRequest asks a peer to probe another.
+// probeRequest asks a peer to probe another member.
 type probeRequest struct {
 	Target membership.Member `msgpack:"t"`
 }
 
-// probeReply tells whether the target answered.
+// probeReply reports whether the target answered.
 type probeReply struct {
 	Answered bool `msgpack:"a"`
 }
 
-// joinReply tells a new node what it needs before it admits work.
+// joinReply is the state that a new node needs before it admits requests.
 type joinReply struct {
 	Members []membership.Rumor     `msgpack:"m"`
 	Floors  []shedding.FloorUpdate `msgpack:"f"`
@@ -77,7 +77,7 @@
 	peer.Handle(server, peerwire.KindRegistryLookup, n.serveRegistryLookup)
 }
 
-// heartbeatLoop probes members and spreads news.
+// heartbeatLoop sends heartbeats to members, which also serve as probes.
 func (n *Node) heartbeatLoop() {
 	for n.awaitHeartbeat(n.settings.Compiled().Node.HeartbeatInterval) {
 		n.mutex.Lock()
@@ -89,34 +89,34 @@
 	}
 }
 
-// awaitHeartbeat waits for the interval, or less if there is news that should
-// spread at once.
+// awaitHeartbeat waits for the interval, or until triggerHeartbeat is called. It
+// returns false if the node ends.
 func (n *Node) awaitHeartbeat(interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-n.nudge:
+	case <-n.heartbeatTrigger:
 		return true
 	case <-n.ctx.Done():
 		return false
 	}
 }
 
-// spreadNow lets the next heartbeats go out at once.
-func (n *Node) spreadNow() {
+// triggerHeartbeat makes the next heartbeats go out at once. It does not block.
+func (n *Node) triggerHeartbeat() {
 	select {
-	case n.nudge <- struct{}{}:
+	case n.heartbeatTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// probe sends a heartbeat to the target and, if it does not answer, has others
-// try before the target is suspected.
+// probe sends a heartbeat to the target. If neither that nor an indirect probe is
+// answered, the target becomes suspected.
 func (n *Node) probe(target membership.Member) {
 	values := n.settings.Compiled().Node
-	if n.exchange(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
+	if n.exchangeHeartbeat(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
 		return
 	}
 	if n.probeIndirectly(target, values.SuspectAfter/2) || n.ctx.Err() != nil {
@@ -127,10 +127,11 @@
 	n.table.ProbeFailed(n.now(), target.Name)
 }
 
-// exchange sends a heartbeat and merges the reply.
-func (n *Node) exchange(target membership.Member, timeout time.Duration) bool {
+// exchangeHeartbeat sends a heartbeat and applies the reply. It returns false if
+// there was none.
+func (n *Node) exchangeHeartbeat(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
-	message := n.heartbeat()
+	message := n.newHeartbeat()
 	n.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(n.ctx, timeout)
 	defer cancel()
@@ -138,10 +139,12 @@
 	if err := n.peers.Call(ctx, target.PeerAddress, peerwire.KindHeartbeat, &message, &reply); err != nil {
 		return false
 	}
-	n.takeHeartbeat(&reply)
+	n.applyHeartbeat(&reply)
 	return true
 }
 
+// probeIndirectly asks other members to probe the target and reports whether one of
+// them got an answer.
 func (n *Node) probeIndirectly(target membership.Member, timeout time.Duration) bool {
 	n.mutex.Lock()
 	helpers := n.table.ProbeTargets(indirectProbes)
@@ -163,22 +166,23 @@
 	return answered
 }
 
-// heartbeat composes a message with the news that are due. The mutex is held.
-func (n *Node) heartbeat() heartbeat {
+// newHeartbeat returns a heartbeat with the updates that are due. The caller holds
+// the mutex.
+func (n *Node) newHeartbeat() heartbeat {
 	return heartbeat{
 		From: n.table.Self(), Generation: n.settings.Compiled().Generation,
-		Rumors: n.table.Rumors(rumorsPerMessage), Reports: n.agedReports(reportsPerMessage),
-		Sent: n.sentPrefixes.Take(sentPerMessage, len(n.table.Live())),
+		Rumors: n.table.Rumors(rumorsPerMessage), Reports: n.takeQueuedReports(reportsPerMessage),
+		SentPrefixes: n.sentPrefixQueue.Take(sentPrefixesPerMessage, len(n.table.Live())),
 	}
 }
 
-// agedReports takes reports from the queue, with their ages as of now. The
-// mutex is held.
-func (n *Node) agedReports(limit int) []digest {
+// takeQueuedReports takes up to limit reports from the queue and brings their ages
+// up to date. The caller holds the mutex.
+func (n *Node) takeQueuedReports(limit int) []digest {
 	now := n.now()
-	dated := n.reports.Take(limit, len(n.table.Live()))
-	digests := make([]digest, len(dated))
-	for i, entry := range dated {
+	entries := n.reportQueue.Take(limit, len(n.table.Live()))
+	digests := make([]digest, len(entries))
+	for i, entry := range entries {
 		digests[i] = entry.digest
 		digests[i].AgeMS += uint32((now - entry.at).Milliseconds())
 	}
@@ -187,83 +191,86 @@
 
 func (n *Node) serveHeartbeat(_ context.Context, message *heartbeat) (*heartbeat, error) {
 	if message.From.Name == "" {
-		return nil, errkind.New(errkind.BadFrame, "heartbeat without a sender")
+		return nil, errkind.New(errkind.BadFrame, "serve heartbeat: sender has no name")
 	}
-	n.takeHeartbeat(message)
+	n.applyHeartbeat(message)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	reply := n.heartbeat()
+	reply := n.newHeartbeat()
 	return &reply, nil
 }
 
-// takeHeartbeat merges what a peer told.
-func (n *Node) takeHeartbeat(message *heartbeat) {
+// applyHeartbeat applies a received heartbeat and, if its sender has newer settings,
+// starts to pull them.
+func (n *Node) applyHeartbeat(message *heartbeat) {
 	now := n.now()
 	n.mutex.Lock()
 	n.table.Heard(now, message.From)
 	n.table.Merge(now, message.Rumors)
-	n.generations[message.From.Name] = heardGeneration{generation: message.Generation, at: now}
+	n.peerGenerations[message.From.Name] = observedGeneration{generation: message.Generation, at: now}
 	if message.From.Zone != n.config.Zone {
-		n.heardZones[message.From.Zone] = now
+		n.zoneLastSeen[message.From.Zone] = now
 	}
-	n.takeDigests(message.Reports)
-	for _, sent := range message.Sent {
-		n.takeSent(sent)
+	n.applyDigests(message.Reports)
+	for _, sent := range message.SentPrefixes {
+		n.applySentPrefix(sent)
 	}
-	n.pump()
+	n.schedulePending()
 	n.mutex.Unlock()
 	if message.Generation > n.settings.Compiled().Generation {
 		n.pullSettings(message.From.PeerAddress)
 	}
 }
 
-// takeSent records a prefix that another node sent and passes it on if it was
-// news. The mutex is held.
-func (n *Node) takeSent(sent sentPrefix) {
+// applySentPrefix records a prefix that another node sent to a replica and, if it
+// was unknown, queues it for other nodes. The caller holds the mutex.
+func (n *Node) applySentPrefix(sent sentPrefix) {
 	chain := []uint64{sent.Block}
 	if n.scheduler.Prefixes().CachedTokens(sent.Replica, chain) > 0 {
 		return
 	}
 	n.scheduler.Prefixes().Sent(sent.Replica, chain)
-	n.sentPrefixes.Put(sent.Block, sent)
+	n.sentPrefixQueue.Put(sent.Block, sent)
 }
 
-// takeDigests applies reports and passes on those that were news. The mutex is held.
-func (n *Node) takeDigests(digests []digest) {
+// applyDigests applies received reports and queues those that were newer for other
+// nodes. The caller holds the mutex.
+func (n *Node) applyDigests(digests []digest) {
 	now := n.now()
-	for _, short := range digests {
-		state, known := n.scheduler.View().Get(short.Replica)
-		if known && short.isWhole(state.HasReport) && n.scheduler.View().Observe(now, short.expand(&state.Report)) {
-			n.reports.Put(short.Replica, datedDigest{digest: short, at: now})
-			n.polled.Store(true) // most nodes of a large zone poll no replica themselves
+	for _, received := range digests {
+		state, known := n.scheduler.View().Get(received.Replica)
+		if known && received.isApplicable(state.HasReport) && n.scheduler.View().Observe(now, received.expand(&state.Report)) {
+			n.reportQueue.Put(received.Replica, timestampedDigest{digest: received, at: now})
+			n.loadKnown.Store(true) // in a large zone, most nodes poll no replica themselves
 		}
 	}
 }
 
-// takeReport applies a report that this node took itself. The mutex is held.
-func (n *Node) takeReport(report structs.LoadReport) {
+// applyPolledReport applies a report that this node polled and queues it for other
+// nodes. The caller holds the mutex.
+func (n *Node) applyPolledReport(report structs.LoadReport) {
 	now := n.now()
-	told, known := n.told[report.Replica]
+	last, known := n.announced[report.Replica]
 	if !n.scheduler.View().Observe(now, report) {
 		return
 	}
-	told.count++
-	withRare := !known || told.count%rareEvery == 0 || rareChanged(&told.report, &report)
+	last.count++
+	withRare := !known || last.count%reportsPerRarePart == 0 || rareChanged(&last.report, &report)
 	if withRare {
-		told.report = report
+		last.report = report
 	}
-	n.told[report.Replica] = told
-	n.reports.Put(report.Replica, datedDigest{digest: shorten(&report, withRare), at: now})
+	n.announced[report.Replica] = last
+	n.reportQueue.Put(report.Replica, timestampedDigest{digest: newDigest(&report, withRare), at: now})
 }
 
 func (n *Node) serveProbe(ctx context.Context, message *probeRequest) (*probeReply, error) {
 	n.mutex.Lock()
-	ping := n.heartbeat()
+	request := n.newHeartbeat()
 	n.mutex.Unlock()
 	var reply heartbeat
-	err := n.peers.Call(ctx, message.Target.PeerAddress, peerwire.KindHeartbeat, &ping, &reply)
+	err := n.peers.Call(ctx, message.Target.PeerAddress, peerwire.KindHeartbeat, &request, &reply)
 	if err == nil {
-		n.takeHeartbeat(&reply)
+		n.applyHeartbeat(&reply)
 	}
 	return &probeReply{Answered: err == nil}, nil
 }
@@ -278,18 +285,19 @@
 		if state, found := n.scheduler.View().Get(replica.ID); found && state.HasReport {
 			report := state.Report
 			report.Age = state.Age(now)
-			reply.Reports = append(reply.Reports, shorten(&report, true))
+			reply.Reports = append(reply.Reports, newDigest(&report, true))
 		}
 	}
 	return reply, nil
 }
 
-// join introduces the node to a peer and takes what it needs from the answer.
+// join announces this node to a peer and applies the reply. It returns false if
+// there was none.
 func (n *Node) join(address string) bool {
 	n.mutex.Lock()
-	message := n.heartbeat()
+	message := n.newHeartbeat()
 	n.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 	defer cancel()
 	var reply joinReply
 	if err := n.peers.Call(ctx, address, peerwire.KindJoin, &message, &reply); err != nil {
@@ -302,32 +310,32 @@
 		n.floorMember.Apply(n.now(), floor)
 		n.applyFloor(floor.Service)
 	}
-	n.takeDigests(reply.Reports)
+	n.applyDigests(reply.Reports)
 	return true
 }
 
 func (n *Node) serveFloorDemand(_ context.Context, demand *shedding.Demand) (*struct{}, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.takeDemand(*demand)
+	n.applyDemand(*demand)
 	return &struct{}{}, nil
 }
 
-func (n *Node) serveFloorSet(_ context.Context, set *shedding.FloorUpdate) (*shedding.Ack, error) {
+func (n *Node) serveFloorSet(_ context.Context, update *shedding.FloorUpdate) (*shedding.Ack, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	ack := n.takeSet(*set)
+	ack := n.applyFloorUpdate(*update)
 	return &ack, nil
 }
 
-// delegates is the number of members of a zone that talk to other zones and
-// watch the store. Two at once are harmless; one more covers a loss.
-const delegates = 2
+// delegatesPerZone is the number of nodes of a zone that communicate with other
+// zones and watch the store; with more than one, a failure is covered.
+const delegatesPerZone = 2
 
-// isDelegate returns whether this node is one of the zone's delegates. The
-// mutex is held.
+// isDelegate reports whether this node is a delegate of its zone. The caller holds
+// the mutex.
 func (n *Node) isDelegate() bool {
-	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegates) {
+	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegatesPerZone) {
 		if name == n.config.Name {
 			return true
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -28,123 +28,131 @@
 	"github.com/thornwalk/thornwalk/transport/peer"
 )
 
-// Bounds of what a node keeps beside the settings' bounds.
+// Bounds of a node's queues and logs that the settings do not set.
 const (
-	maximumReports   = 4096
-	maximumSent      = 256
-	maximumDecisions = 4096
-	maximumTickets   = 20000
+	maxQueuedReports      = 4096
+	maxQueuedSentPrefixes = 256
+	maxDecisions          = 4096
+	maxTickets            = 20000
 )
 
 // Node is one entry node.
 type Node struct {
 	config  Config
-	depend  Dependencies
+	deps    Dependencies
 	started time.Time
 	ctx     context.Context
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
-	// pullingSettings is true while a peer is asked for its settings.
-	pullingSettings atomic.Bool
-	sealer          *receipt.Sealer
-	adapter         *backendhttp.Adapter
-	peers           *peer.Client
-	answers         *answer.Store
-	claims          *claims.Committer
-	settings        *settingsync.Current
-	acceptor        settingsync.Committer
-	metrics         metrics.Registry
-	explains        *decisionLog
-	tickets         *ticketBook
-	traffic         *trafficMeter
+	// pullingSettings is true while settings are pulled from a peer.
+	pullingSettings   atomic.Bool
+	sealer            *receipt.Sealer
+	adapter           *backendhttp.Adapter
+	peers             *peer.Client
+	answers           *answer.Store
+	claims            *claims.Committer
+	settings          *settingsync.Current
+	settingsCommitter settingsync.Committer
+	metrics           metrics.Registry
+	decisions         *decisionLog
+	tickets           *ticketStore
+	traffic           *trafficMeter
 
 	callerListener, operatorListener, peerListener net.Listener
 
+	// sequence numbers the request ids of this process.
 	sequence atomic.Uint64
 	draining atomic.Bool
-	refusing atomic.Bool
-	joined   atomic.Bool
-	polled   atomic.Bool
-	storeUp  atomic.Bool
-	nudge    chan struct{}
-
-	// mutex guards the passive state machines below.
-	mutex        sync.Mutex
-	scheduler    *scheduler.Scheduler
-	table        *membership.Table
-	registry     *registry.Table
-	floorOwner   *shedding.Owner
-	floorMember  *shedding.Member
-	limitOwner   *limits.Owner
-	limitMember  *limits.Member
-	executions   map[string]*execution
-	reports      *gossip.BroadcastQueue[structs.ReplicaID, datedDigest]
-	heardZones   map[string]structs.Instant
-	sentPrefixes *gossip.BroadcastQueue[uint64, sentPrefix]
-	machines     machineView
-	polling      map[structs.ReplicaID]bool
-	cursors      map[structs.ReplicaID]uint64
-	told         map[structs.ReplicaID]toldReport
-	demanded     map[scheduler.Demand]structs.Instant
-	generations  map[string]heardGeneration
-	tableSeen    uint64
-	random       *rand.Rand
+	// rejecting is true once new requests are rejected because the node stops.
+	rejecting atomic.Bool
+	// joined is true once the node has tried to join the members of its zone.
+	joined atomic.Bool
+	// loadKnown is true once a load report was received, or if there are no replicas.
+	loadKnown atomic.Bool
+	// storeHealthy is false while reading the store fails.
+	storeHealthy atomic.Bool
+	// heartbeatTrigger makes the next heartbeats go out at once.
+	heartbeatTrigger chan struct{}
+
+	// mutex guards the fields below.
+	mutex             sync.Mutex
+	scheduler         *scheduler.Scheduler
+	table             *membership.Table
+	registry          *registry.Table
+	floorOwner        *shedding.Owner
+	floorMember       *shedding.Member
+	limitOwner        *limits.Owner
+	limitMember       *limits.Member
+	executions        map[string]*execution
+	reportQueue       *gossip.BroadcastQueue[structs.ReplicaID, timestampedDigest]
+	zoneLastSeen      map[string]structs.Instant
+	sentPrefixQueue   *gossip.BroadcastQueue[uint64, sentPrefix]
+	machines          machineView
+	polling           map[structs.ReplicaID]bool
+	cacheEventCursors map[structs.ReplicaID]uint64
+	announced         map[structs.ReplicaID]announcedReport
+	lastDemandSent    map[scheduler.Demand]structs.Instant
+	peerGenerations   map[string]observedGeneration
+	membershipVersion uint64
+	random            *rand.Rand
 }
 
-// datedDigest is a report with the time at which its age was right.
-type datedDigest struct {
+// timestampedDigest is a digest and the time at which its age applied.
+type timestampedDigest struct {
 	digest digest
 	at     structs.Instant
 }
 
-// heardGeneration is the generation that a node last told of, and when.
-type heardGeneration struct {
+// observedGeneration is the last generation received from a node, and when.
+type observedGeneration struct {
 	generation uint64
 	at         structs.Instant
 }
 
-// toldReport is the last report of a replica whose rare part this node told.
-type toldReport struct {
+// announcedReport is the last report of a replica that this node announced with
+// its rare part. count is the number of its reports that this node has applied.
+type announcedReport struct {
 	report structs.LoadReport
 	count  uint64
 }
 
-// New returns a node that does not run yet. The error is of kind InvalidSettings.
-func New(config Config, depend Dependencies) (*Node, error) {
+// New returns a node that is not started. Errors of the configuration are of kind
+// InvalidSettings.
+func New(config Config, dependencies Dependencies) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	n := &Node{
-		config: config, depend: depend, started: time.Now(),
+		config: config, deps: dependencies, started: time.Now(),
 		sealer:  receipt.NewSealer(config.ReceiptKeys...),
-		adapter: backendhttp.New(depend.Network),
+		adapter: backendhttp.New(dependencies.Network),
 		answers: answer.NewStore(), metrics: metrics.NewRegistry(),
-		explains: newDecisionLog(maximumDecisions), tickets: newTicketBook(maximumTickets),
-		executions:   map[string]*execution{},
-		reports:      gossip.NewBroadcastQueue[structs.ReplicaID, datedDigest](maximumReports, gossip.RetransmitMinimal),
-		sentPrefixes: gossip.NewBroadcastQueue[uint64, sentPrefix](maximumSent, gossip.RetransmitMinimal),
-		heardZones:   map[string]structs.Instant{}, polling: map[structs.ReplicaID]bool{}, cursors: map[structs.ReplicaID]uint64{}, told: map[structs.ReplicaID]toldReport{}, nudge: make(chan struct{}, 1),
-		demanded: map[scheduler.Demand]structs.Instant{}, generations: map[string]heardGeneration{},
+		decisions: newDecisionLog(maxDecisions), tickets: newTicketStore(maxTickets),
+		executions:      map[string]*execution{},
+		reportQueue:     gossip.NewBroadcastQueue[structs.ReplicaID, timestampedDigest](maxQueuedReports, gossip.RetransmitMinimal),
+		sentPrefixQueue: gossip.NewBroadcastQueue[uint64, sentPrefix](maxQueuedSentPrefixes, gossip.RetransmitMinimal),
+		zoneLastSeen:    map[string]structs.Instant{}, polling: map[structs.ReplicaID]bool{}, cacheEventCursors: map[structs.ReplicaID]uint64{}, announced: map[structs.ReplicaID]announcedReport{}, heartbeatTrigger: make(chan struct{}, 1),
+		lastDemandSent: map[scheduler.Demand]structs.Instant{}, peerGenerations: map[string]observedGeneration{},
 	}
 	n.traffic = newTrafficMeter(n.metrics)
 	n.peers = peer.NewClient(n.peerNetwork(), n.traffic)
-	n.acceptor = settingsync.Committer{Store: depend.Store, WallTime: depend.WallTime, Faults: depend.Faults}
+	n.settingsCommitter = settingsync.Committer{Store: dependencies.Store, WallTime: dependencies.WallTime, Faults: dependencies.Faults}
 	return n, n.initialise()
 }
 
-// initialise builds the state machines from the initial settings.
+// initialise creates the state machines from the initial settings.
 func (n *Node) initialise() error {
 	document := n.config.InitialSettings
 	if document == nil {
 		document = &settingsync.Document{}
 	}
-	holder, err := settingsync.NewCurrent(document, n.settingsChanged)
+	current, err := settingsync.NewCurrent(document, n.applySettings)
 	if err != nil {
 		return err
 	}
-	n.settings = holder
-	compiled := holder.Compiled()
-	random := n.depend.Random
+	n.settings = current
+	compiled := current.Compiled()
+	random := n.deps.Random
 	if random == nil {
 		random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
@@ -160,23 +168,24 @@
 	return nil
 }
 
-// processName names this process, so that floors of an earlier one under the
-// same name are told apart.
+// processName identifies this process, so that its floors are distinguished from
+// those of an earlier process of the same node.
 func (n *Node) processName() string {
 	return fmt.Sprintf("%s/%d", n.config.Name, n.startMilliseconds())
 }
 
 func (n *Node) startMilliseconds() int64 {
-	if n.depend.StartMilliseconds == 0 {
-		n.depend.StartMilliseconds = n.depend.WallTime().UnixMilli()
+	if n.deps.StartMilliseconds == 0 {
+		n.deps.StartMilliseconds = n.deps.WallTime().UnixMilli()
 	}
-	return n.depend.StartMilliseconds
+	return n.deps.StartMilliseconds
 }
 
-// now is the node's monotonic time.
+// now returns the monotonic time since the node was created.
 func (n *Node) now() structs.Instant { return time.Since(n.started) }
 
-// Start listens and runs the node until Drain, Kill or the end of the context.
+// Start opens the listeners and starts the node's goroutines, without blocking.
+// The node runs until Drain, Kill or the end of the context.
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.cancel = context.WithCancel(ctx)
 	if err := n.listen(); err != nil {
@@ -189,7 +198,7 @@
 	}
 	compiled := n.settings.Compiled()
 	n.table = membership.NewTable(self, compiled.Node.DeadAfter-compiled.Node.SuspectAfter, rand.New(rand.NewPCG(uint64(n.startMilliseconds()), 7)))
-	n.claims = claims.NewCommitter(n.ctx, n.depend.Store, n.claimSettings, n.depend.WallTime)
+	n.claims = claims.NewCommitter(n.ctx, n.deps.Store, n.claimSettings, n.deps.WallTime)
 	n.serve()
 	for _, loop := range []func(){n.tickLoop, n.heartbeatLoop, n.pollLoop, n.machineLoop, n.settingsLoop, n.limitLoop, n.zoneLoop, n.placementLoop} {
 		n.group.Go(loop)
@@ -202,11 +211,11 @@
 	if n.peerListener, err = n.peerNetwork().Listen(n.config.PeerListen); err != nil {
 		return err
 	}
-	if n.callerListener, err = n.depend.Network.Listen(n.config.CallerListen); err != nil {
+	if n.callerListener, err = n.deps.Network.Listen(n.config.CallerListen); err != nil {
 		_ = n.peerListener.Close()
 		return err
 	}
-	if n.operatorListener, err = n.depend.Network.Listen(n.config.OperatorListen); err != nil {
+	if n.operatorListener, err = n.deps.Network.Listen(n.config.OperatorListen); err != nil {
 		_ = n.peerListener.Close()
 		_ = n.callerListener.Close()
 	}
@@ -216,43 +225,42 @@
 // Name returns the node's name.
 func (n *Node) Name() string { return n.config.Name }
 
-// CallerAddress returns where callers reach the node.
+// CallerAddress returns the address that the node announces to callers.
 func (n *Node) CallerAddress() string {
-	return advertised(n.config.CallerAdvertise, n.callerListener)
+	return advertisedAddress(n.config.CallerAdvertise, n.callerListener)
 }
 
-// PeerAddress returns where peers reach the node.
-func (n *Node) PeerAddress() string { return advertised(n.config.PeerAdvertise, n.peerListener) }
+// PeerAddress returns the address that the node announces to peers.
+func (n *Node) PeerAddress() string { return advertisedAddress(n.config.PeerAdvertise, n.peerListener) }
 
-// OperatorAddress returns where operators reach the node.
+// OperatorAddress returns the address of the operators' interface.
 func (n *Node) OperatorAddress() string { return n.operatorListener.Addr().String() }
 
-func advertised(given string, listener net.Listener) string {
-	if given != "" {
-		return given
+func advertisedAddress(configured string, listener net.Listener) string {
+	if configured != "" {
+		return configured
 	}
 	return listener.Addr().String()
 }
 
-// Metrics returns the node's metrics.
 func (n *Node) Metrics() metrics.Registry { return n.metrics }
 
-// Settings returns the settings in force.
+// Settings returns the active settings.
 func (n *Node) Settings() *settings.Compiled { return n.settings.Compiled() }
 
-// Done is closed when the node has been told to end.
+// Done returns a channel that is closed when the node starts to end.
 func (n *Node) Done() <-chan struct{} { return n.ctx.Done() }
 
-// SetReceiptKeys takes changed keys into force without a restart.
+// SetReceiptKeys replaces the receipt keys: the first seals, all open.
 func (n *Node) SetReceiptKeys(keys ...[]byte) { n.sealer.SetKeys(keys...) }
 
-// Ready returns whether the node should get requests from the balancer.
+// Ready reports whether the load balancer should send requests to the node.
 func (n *Node) Ready() bool {
-	return !n.draining.Load() && n.joined.Load() && n.polled.Load() && n.settings.Compiled().Generation > 0
+	return !n.draining.Load() && n.joined.Load() && n.loadKnown.Load() && n.settings.Compiled().Generation > 0
 }
 
-// Kill ends the node at once, as the death of its process would: requests are
-// cut and nothing is told to anybody.
+// Kill stops the node as a crash would: requests are aborted and peers are not
+// notified. It blocks until all goroutines have ended.
 func (n *Node) Kill() {
 	n.cancel()
 	n.peers.Close()
@@ -260,12 +268,13 @@
 	n.claims.Wait()
 }
 
-// drainPoll is the time between looks at what is still in progress.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the time between checks for requests in progress.
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain is a planned stop: it announces the leaving, goes on serving for the
-// grace, refuses new requests as not run, lets every request in progress end,
-// and stops. It returns false if the drain timeout of the settings passed first.
+// Drain stops the node in order: it announces that the node is leaving, serves
+// for the drain grace, then rejects new requests and waits until those in
+// progress have ended. It blocks until the node has stopped, and returns false if
+// the context or the drain timeout of the settings ended first.
 func (n *Node) Drain(ctx context.Context) bool {
 	n.draining.Store(true)
 	n.mutex.Lock()
@@ -273,27 +282,27 @@
 	n.mutex.Unlock()
 	deadline := time.Now().Add(n.settings.Compiled().Node.DrainTimeout)
 	wait.For(ctx, n.config.DrainGrace)
-	n.refusing.Store(true)
+	n.rejecting.Store(true)
 	clean := false
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if clean = n.idle(); clean {
+		if clean = n.isIdle(); clean {
 			break
 		}
-		wait.For(ctx, drainPoll)
+		wait.For(ctx, drainPollInterval)
 	}
 	n.Kill()
 	return clean
 }
 
-// idle returns whether no request is in progress and every answer was read.
-func (n *Node) idle() bool {
+// isIdle reports whether no request is in progress and no caller is being served.
+func (n *Node) isIdle() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.executions) == 0 && n.traffic.openCallers.Load() == 0
 }
 
-// LiveNodes returns the number of nodes of the zone that this one takes for
-// live, itself included.
+// LiveNodes returns the number of live nodes of the zone as this node sees them,
+// including itself.
 func (n *Node) LiveNodes() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/node/settings.go
+++ b/node/settings.go
@@ -19,26 +19,25 @@
 )
 
 const (
-	// watchLimit is how long a delegate waits in one watch before it looks
-	// whether it still is one.
-	watchLimit = 20 * time.Second
-	// storePause is the time between tries while the store fails.
-	storePause = 500 * time.Millisecond
-	// delegateInterval is the time between looks of a node that is no delegate.
-	delegateInterval = 500 * time.Millisecond
+	// maxWatchTime bounds one watch of the store; the settings are read after it.
+	maxWatchTime = 20 * time.Second
+	// storeRetryInterval is the time between attempts while the store fails.
+	storeRetryInterval = 500 * time.Millisecond
+	// delegateCheckInterval is the time between checks whether the node is a delegate.
+	delegateCheckInterval = 500 * time.Millisecond
 )
 
-// settingsPull asks a peer for a generation above the sender's.
+// settingsPull requests settings of a generation above that of the sender.
 type settingsPull struct {
-	Have uint64 `msgpack:"h"`
+	Generation uint64 `msgpack:"h"`
 }
 
-// settingsReply carries the document in force, or nothing if it is not newer.
+// settingsReply carries the active document, or none if it is not newer.
 type settingsReply struct {
 	Document []byte `msgpack:"d"`
 }
 
-// settingsLoop reads the settings once at the start and watches them while the
+// settingsLoop reads the settings from the store once, and watches them while the
 // node is a delegate of its zone.
 func (n *Node) settingsLoop() {
 	revision := int64(0)
@@ -55,44 +54,46 @@
 		case watching:
 			revision, err = n.watchSettings(revision)
 		default:
-			wait.For(n.ctx, delegateInterval)
+			wait.For(n.ctx, delegateCheckInterval)
 		}
-		n.storeUp.Store(err == nil)
-		if err != nil && !wait.For(n.ctx, storePause) {
+		n.storeHealthy.Store(err == nil)
+		if err != nil && !wait.For(n.ctx, storeRetryInterval) {
 			return
 		}
 	}
 }
 
 func (n *Node) readSettings() (int64, error) {
-	value, err := n.depend.Store.Get(n.ctx, settingsync.Key)
+	value, err := n.deps.Store.Get(n.ctx, settingsync.Key)
 	if err != nil {
 		return 0, err
 	}
-	n.offerStored(value.Data)
+	n.installReceived(value.Data)
 	return value.Revision, nil
 }
 
+// watchSettings waits for a change after the revision, for at most maxWatchTime,
+// and returns the revision that it has applied.
 func (n *Node) watchSettings(revision int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(n.ctx, watchLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, maxWatchTime)
 	defer cancel()
-	n.group.Go(func() { n.endWatchOfOthers(ctx, cancel) })
-	value, err := n.depend.Store.Watch(ctx, settingsync.Key, revision)
+	n.group.Go(func() { n.cancelWatchUnlessDelegate(ctx, cancel) })
+	value, err := n.deps.Store.Watch(ctx, settingsync.Key, revision)
 	if ctx.Err() != nil {
-		// A watch may have died without a word; reading settles what was missed.
+		// The watch may have failed silently; reading applies any missed change.
 		return n.readSettings()
 	}
 	if err != nil {
 		return revision, err
 	}
-	n.offerStored(value.Data)
+	n.installReceived(value.Data)
 	return value.Revision, nil
 }
 
-// endWatchOfOthers ends a watch when the node is no delegate any more: a node
-// that starts knows no others yet and takes itself for one.
-func (n *Node) endWatchOfOthers(ctx context.Context, cancel context.CancelFunc) {
-	for wait.For(ctx, delegateInterval) {
+// cancelWatchUnlessDelegate cancels a watch once the node is no longer a delegate. A
+// starting node knows no other members and counts itself as one.
+func (n *Node) cancelWatchUnlessDelegate(ctx context.Context, cancel context.CancelFunc) {
+	for wait.For(ctx, delegateCheckInterval) {
 		n.mutex.Lock()
 		watching := n.isDelegate()
 		n.mutex.Unlock()
@@ -103,9 +104,9 @@
 	}
 }
 
-// offerStored takes a value of the store into force if it is newer. A value
-// that does not parse or compile leaves the last good generation in force.
-func (n *Node) offerStored(data []byte) {
+// installReceived activates settings from the store or a peer if they are newer.
+// Invalid settings are logged and ignored.
+func (n *Node) installReceived(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -114,14 +115,13 @@
 		_, err = n.settings.InstallIfNewer(document)
 	}
 	if err != nil {
-		klog.ErrorS(err, "settings in the store refused", "node", n.config.Name, "in_force", n.settings.Compiled().Generation)
+		klog.ErrorS(err, "received settings rejected", "node", n.config.Name, "in_force", n.settings.Compiled().Generation)
 		n.count("settings.refused")
 	}
 }
 
-// pullSettings asks a peer that is ahead for its document, one peer at a time: every
-// heartbeat of every peer that is ahead comes here, and each copy takes its time on the
-// link that heartbeats use too.
+// pullSettings pulls the settings from a peer in the background. While one pull is
+// in progress it does nothing, since pulls share the links with heartbeats.
 func (n *Node) pullSettings(address string) {
 	if !n.pullingSettings.CompareAndSwap(false, true) {
 		return
@@ -133,30 +133,30 @@
 }
 
 func (n *Node) pullSettingsFrom(address string) {
-	if err := faultpoint.Reach(n.ctx, n.depend.Faults, faultpoint.ChangeSpread, n.config.Name); err != nil {
+	if err := faultpoint.Reach(n.ctx, n.deps.Faults, faultpoint.ChangeSpread, n.config.Name); err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, peerCallTimeout)
 	defer cancel()
 	var reply settingsReply
-	message := settingsPull{Have: n.settings.Compiled().Generation}
+	message := settingsPull{Generation: n.settings.Compiled().Generation}
 	if err := n.peers.Call(ctx, address, peerwire.KindSettingsPull, &message, &reply); err == nil {
-		n.offerStored(reply.Document)
+		n.installReceived(reply.Document)
 	}
 }
 
 func (n *Node) serveSettingsPull(_ context.Context, message *settingsPull) (*settingsReply, error) {
-	data, err := n.settings.EncodedIfNewer(message.Have)
+	data, err := n.settings.EncodedIfNewer(message.Generation)
 	return &settingsReply{Document: data}, err
 }
 
-// Change accepts a change of the settings and takes it into force here. Errors
-// are those of settingsync.Committer.Commit.
+// Change commits a change of the settings to the store and activates it on this
+// node. Errors are those of settingsync.Committer.Commit.
 func (n *Node) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
-	record, document, err := n.acceptor.Commit(ctx, change)
+	record, document, err := n.settingsCommitter.Commit(ctx, change)
 	if err != nil {
 		if document != nil && errors.Is(err, errkind.Conflict) {
-			_, _ = n.settings.InstallIfNewer(document) // what conflicts is newer than what is in force here
+			_, _ = n.settings.InstallIfNewer(document) // the conflicting document may be newer than the active one
 		}
 		return record, err
 	}
@@ -169,12 +169,12 @@
 func (n *Node) serveLimitDemand(_ context.Context, report *limits.Report) (*limits.Grant, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	grant := n.divideLimits(*report)
+	grant := n.allocateLimits(*report)
 	return &grant, nil
 }
 
-// placementLoop coordinates placement for the services that this node is the
-// first candidate of.
+// placementLoop runs the placement coordinators of the services for which this node
+// is the first candidate.
 func (n *Node) placementLoop() {
 	coordinators := map[string]*placement.Coordinator{}
 	for wait.For(n.ctx, placement.RenewInterval) {
@@ -199,11 +199,11 @@
 
 func (n *Node) newCoordinator(service string) *placement.Coordinator {
 	return &placement.Coordinator{
-		Store: n.depend.Store, Sender: n.adapter, Zone: n.config.Zone, Service: service, Node: n.config.Name,
-		Now: n.now, ClusterState: func() placement.ClusterState { return n.placementWorld(service) }, Faults: n.depend.Faults,
+		Store: n.deps.Store, Sender: n.adapter, Zone: n.config.Zone, Service: service, Node: n.config.Name,
+		Now: n.now, ClusterState: func() placement.ClusterState { return n.placementState(service) }, Faults: n.deps.Faults,
 		Log: func(order placement.Order, err error) {
 			n.count("placement.orders")
-			if n.depend.LogDecisions {
+			if n.deps.LogDecisions {
 				klog.InfoS("placement", "node", n.config.Name, "service", service, "replica", order.Replica.ID, "model", order.Model, "fence", order.Fence, "error", errorText(err))
 			}
 		},
@@ -217,18 +217,20 @@
 	return err.Error()
 }
 
-func (n *Node) placementWorld(service string) placement.ClusterState {
+// placementState returns the demands of the service's models and the state of its
+// engines in the zone.
+func (n *Node) placementState(service string) placement.ClusterState {
 	compiled := n.settings.Compiled()
-	world := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
+	cluster := placement.ClusterState{ReadRate: compiled.Node.WeightReadRate}
 	for _, model := range compiled.Models(service) {
-		world.Demands = append(world.Demands, placement.Demand{Model: model.Name, Replicas: model.Values.Replicas})
+		cluster.Demands = append(cluster.Demands, placement.Demand{Model: model.Name, Replicas: model.Values.Replicas})
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, state := range n.scheduler.View().Pool(service).States {
 		if state.Replica.Zone == n.config.Zone && state.Replica.Kind == structs.KindEngine && state.HasReport {
-			world.Engines = append(world.Engines, placement.Engine{Replica: state.Replica, Models: state.Report.Models, Running: state.Report.Running})
+			cluster.Engines = append(cluster.Engines, placement.Engine{Replica: state.Replica, Models: state.Report.Models, Running: state.Report.Running})
 		}
 	}
-	return world
+	return cluster
 }
