--- a/outside/directory.go
+++ b/outside/directory.go
@@ -12,53 +12,52 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Gone is news that a replica's entry was removed.
+// Gone reports that the entry of a replica was removed, at the store position Revision.
 type Gone struct {
 	ID       string
 	Revision structs.StorePosition
 }
 
-// Update is news of the directory.
+// Update is a snapshot or a set of changes of the directory.
 type Update struct {
-	// Revision is the place in the directory's history up to which the news goes.
+	// Revision is the store position up to which the update covers the directory's history.
 	Revision structs.StorePosition
-	// Complete is true if Replicas lists every replica, and FullSnapshot if also Orders, Records and
-	// Evacuations list every one.
+	// Complete is true if Replicas lists all replicas. FullSnapshot is true if Orders, Records and
+	// Evacuations are complete as well.
 	Complete, FullSnapshot bool
-	// Calls is how many calls the update took.
+	// Calls is the number of store calls that the update took.
 	Calls int
-	// Catalog is nil if the configuration did not change, and CatalogRevision is its
-	// revision.
+	// Catalog is the configuration at CatalogRevision; nil if it did not change.
 	Catalog         *catalog.Document
 	CatalogRevision structs.StorePosition
 	Replicas        []replicas.Replica
 	Gone            []Gone
-	// Evacuations are the orders to empty zones, and to take them back; a whole update lists
-	// every zone that is emptied.
+	// Evacuations are orders to evacuate a zone, or to lift that. A full snapshot lists every
+	// evacuated zone.
 	Evacuations []evacuations.Order
-	// Orders and Records are of roll-outs.
+	// Orders are the operators' roll-out orders, Records the stored progress of roll-outs.
 	Orders  []rollouts.Order
 	Records []rollouts.Record
-	// Contents are the requests that replicas ended under, as the store's record of that
-	// revision names them; zero means that the update tells nothing of them.
+	// Contents are the poison records as stored at ContentsRevision. If that is zero, the update
+	// says nothing about them.
 	Contents         []poisonrecords.Record
 	ContentsRevision structs.StorePosition
-	// Problems are entries that did not parse and were left out.
+	// Problems has an error for each entry, or field of an entry, that was invalid and ignored.
 	Problems []error
 }
 
-// Scope is what a read brings.
+// Scope selects what a read returns.
 type Scope int
 
-// The scopes of reads.
+// Scopes of reads.
 const (
-	// ScopeAll is the configuration and the replicas.
+	// ScopeAll reads all entries.
 	ScopeAll Scope = iota
-	// ScopeReplicas leaves the configuration out, which may be long.
+	// ScopeReplicas reads the replicas only, without the configuration, which may be large.
 	ScopeReplicas
 )
 
-// String names the scope in logs.
+// String returns the name of the scope in logs.
 func (s Scope) String() string {
 	if s == ScopeReplicas {
 		return "replicas"
@@ -66,96 +65,100 @@
 	return "all"
 }
 
-// Directory is where the configuration and the list of replicas come from.
+// Directory is the source of the configuration and of the list of replicas.
 type Directory interface {
-	// Read returns everything of the scope as of one revision or later. A configuration
-	// of the revision that the caller has already is left out. The error is of kind
-	// TooLarge if an answer has more than the longest number of bytes, unless that is
-	// zero, OtherEra if the store came back from a copy between the pages of one read, and else
-	// StoreUnavailable.
-	Read(ctx context.Context, scope Scope, configuration structs.StorePosition, longest int64) (*Update, error)
-	// Watch returns what changed after the revision as soon as something did,
-	// or an empty update after the wait. The error is of kind StaleFence if the
-	// history is gone and OtherEra if the store came back from a copy, after which only Read
-	// helps, and else StoreUnavailable.
+	// Read returns all entries of the scope as of one store position or a later one. It omits the
+	// configuration if that is still the one at the given position. Errors: TooLarge if an answer
+	// has more than maxBytes bytes (zero: no bound), OtherEra if the store was restored between two
+	// pages of the read, otherwise StoreUnavailable.
+	Read(ctx context.Context, scope Scope, configuration structs.StorePosition, maxBytes int64) (*Update, error)
+	// Watch blocks until something changed after the given position and returns the changes, or
+	// returns an empty update after the wait. Errors: StaleFence if the store no longer has the
+	// history after that position and OtherEra if the store was restored, both of which require a
+	// new Read; otherwise StoreUnavailable.
 	Watch(ctx context.Context, after structs.StorePosition, wait time.Duration) (*Update, error)
 }
 
-// Revisions tells how far the directory's history goes, at the cost of one small call.
+// Revisions reads the latest position of the directory's history with one small call.
 type Revisions interface {
-	// Revision returns the place of the latest change. The error is of kind StoreUnavailable.
+	// Revision returns the position of the latest change. The error is of kind StoreUnavailable.
 	Revision(ctx context.Context) (structs.StorePosition, error)
 }
 
-// Rollouts keeps the progress of roll-outs and tells it to the operators.
+// Rollouts stores the progress of roll-outs and publishes it to the operators.
 type Rollouts interface {
-	// WriteRollout writes the record and the status that operators read, both or neither,
-	// if the store's record has the revision that this one names. It returns the new
-	// revision. The error is of kind Conflict if the store's record has another revision,
-	// StoreUnavailable if surely nothing was written, and StoreUnknown if the write may have
-	// taken effect or may do so later, or if it was done in another era than that of the revision,
-	// where this stands for another value.
+	// WriteRollout atomically writes the record and the status that operators read, if the stored
+	// record still has the position that this one names, and returns the new position. Errors:
+	// Conflict if the stored record has another position, StoreUnavailable if nothing was written,
+	// StoreUnknown if the write may have taken effect or may still do so. StoreUnknown also covers
+	// a write that succeeded in another era, where the expected revision belongs to another value.
 	WriteRollout(ctx context.Context, record rollouts.Record) (structs.StorePosition, error)
-	// ReadRollout returns the service's record as it is now, with revision zero if there is
-	// none. The error is of kind StoreUnavailable.
+	// ReadRollout returns the service's stored record, with position zero if there is none. The
+	// error is of kind StoreUnavailable.
 	ReadRollout(ctx context.Context, service string) (rollouts.Record, error)
 }
 
-// Contents keeps which requests are barred since replicas ended under them.
+// Contents stores the poison records: the requests that are blocked because replicas crashed under
+// them.
 type Contents interface {
-	// WriteContents writes the records if the store's have the revision; zero means that it
-	// has none. It returns the new revision. Its errors are those of Rollouts.WriteRollout.
+	// WriteContents replaces the stored records if they are at the given position, where zero means
+	// that there are none, and returns the new position. Errors are those of Rollouts.WriteRollout.
 	WriteContents(ctx context.Context, records []poisonrecords.Record, revision structs.StorePosition) (structs.StorePosition, error)
-	// ReadContents returns the records and their revision, which is zero if there are none.
-	// The error is of kind StoreUnavailable.
+	// ReadContents returns the records and their position, which is zero if there are none. The
+	// error is of kind StoreUnavailable.
 	ReadContents(ctx context.Context) ([]poisonrecords.Record, structs.StorePosition, error)
 }
 
-// HeaderNames are the names of the headers that carry what the daemon reads
-// from requests and answers, and what it sets itself.
+// HeaderNames has the names of the headers that the daemon reads from requests and answers, or sets
+// itself.
 type HeaderNames struct {
-	// RequestID names one try of a caller; the replica echoes it.
+	// RequestID identifies one attempt of a caller; the replica echoes it.
 	RequestID string
-	// Deadline is the time that the caller waits, in milliseconds.
+	// Deadline is the time for which the caller waits, in milliseconds.
 	Deadline string
-	// TokenUsage is the tokens of the prompt and the most of the answer.
+	// TokenUsage is the number of prompt tokens and the maximum number of output tokens, separated
+	// by a comma.
 	TokenUsage string
-	// LengthHint is the caller's guess at the tokens of the answer.
+	// LengthHint is the caller's estimate of the output tokens.
 	LengthHint string
-	// ExpectReplica is set to the id of the replica that alone may run the request.
+	// ExpectReplica is set to the ID of the only replica that may run the request.
 	ExpectReplica string
-	// Tenant is set to the name of the key's tenant.
+	// Tenant is set to the name of the tenant that the caller's key belongs to.
 	Tenant string
-	// NotRun marks an answer as the proof that the replica did not run the request.
+	// NotRun marks an answer that proves that the replica did not run the request.
 	NotRun string
-	// Signature is on every answer that a replica itself made.
+	// Signature is present on every answer that a replica itself made.
 	Signature string
-	// Load is on some answers: requests running, requests waiting and slots.
+	// Load is present on some answers: running requests, queued requests and slots.
 	Load string
-	// LastEvent is the number of the last event of a stream that the caller has.
+	// LastEvent is the number of the last event of a stream that the caller received.
 	LastEvent string
-	// Model names the model that has to answer, and Prefix the parts of the prompt.
-	Model, Prefix string
-	// Hold names a slot and memory that were set aside at the replica beforehand.
-	Hold string
-	// KeepFor is how long the replica keeps the memory of an ended run, in milliseconds.
-	KeepFor string
-	// BackupTo is the address of a replica to which the run's memory is copied meanwhile.
-	BackupTo string
-	// ContinueFrom names the copy of an earlier run's memory that the run goes on from.
-	ContinueFrom string
-	// FetchFrom is the address of a replica whose cached parts are copied first.
-	FetchFrom string
+	// Model is the name of the requested model. PromptPrefix identifies the leading parts of the
+	// prompt.
+	Model, PromptPrefix string
+	// Reservation refers to a slot and memory that were reserved at the replica beforehand. The
+	// daemon sets neither it nor the next four headers: it only removes them from callers'
+	// requests.
+	Reservation string
+	// CacheRetention is how long the replica keeps the KV cache of a finished request, in milliseconds.
+	CacheRetention string
+	// CacheBackupAddress is the address of a replica that receives a copy of the KV cache while the
+	// request runs.
+	CacheBackupAddress string
+	// CacheCopy identifies the copied KV cache of an earlier request that this one continues.
+	CacheCopy string
+	// CacheSourceAddress is the address of a replica whose cached prefixes are copied first.
+	CacheSourceAddress string
 }
 
-// SystemOwned returns the headers that only the daemon sets: what a caller sends
-// under these names must not reach a replica.
+// SystemOwned returns the headers that are reserved to the daemon: a replica must not get a value
+// that a caller sent under one of these names.
 func (h *HeaderNames) SystemOwned() []string {
-	return []string{h.ExpectReplica, h.Tenant, h.Hold, h.KeepFor, h.BackupTo, h.ContinueFrom, h.FetchFrom}
+	return []string{h.ExpectReplica, h.Tenant, h.Reservation, h.CacheRetention, h.CacheBackupAddress, h.CacheCopy, h.CacheSourceAddress}
 }
 
-// CallerOwned returns the headers that a replica must get exactly as the caller
-// sent them, even if the caller's Connection header names them.
+// CallerOwned returns the headers that a replica must get exactly as the caller sent them, even if
+// the caller's Connection header names them.
 func (h *HeaderNames) CallerOwned() []string {
-	return []string{h.RequestID, h.Model, h.TokenUsage, h.Prefix}
+	return []string{h.RequestID, h.Model, h.TokenUsage, h.PromptPrefix}
 }
