--- a/transport/backendhttp/backendhttp.go
+++ b/transport/backendhttp/backendhttp.go
@@ -1,6 +1,6 @@
-// Package backendhttp is the adapter to model engines and plain services that
-// speak HTTP. Dispatches go through package oneshot, so that none is ever sent
-// twice; resumption, look-up and reports are safe to repeat.
+// Package backendhttp is the client of model engines and plain services that use HTTP. It sends every
+// request at most once, through package oneshot, and retries nothing; callers may repeat resumption,
+// cancellation and reports.
 package backendhttp
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/thornwalk/thornwalk/transport/oneshot"
 )
 
-// Headers and paths that engines understand beside the OpenAI-compatible API.
+// Headers and paths of engines beyond the OpenAI-compatible API.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderLastEventID = "Last-Event-ID"
@@ -33,18 +33,18 @@
 	PathLoadModel     = "/v1/models/load"
 )
 
-// maximumLine bounds one line of an event stream.
-const maximumLine = 1 << 20
+// maxLineBytes bounds one line of an event stream.
+const maxLineBytes = 1 << 20
 
-// maximumReport bounds a load report or a batch of cache events.
-const maximumReport = 4 << 20
+// maxReportBytes bounds a load report or a batch of cache events.
+const maxReportBytes = 4 << 20
 
-// Adapter talks to back ends.
+// Adapter sends requests to backends. It is safe for concurrent use.
 type Adapter struct {
 	sender oneshot.Sender
 }
 
-// New returns an adapter on the network.
+// New returns an adapter that uses the network.
 func New(network network.Network) *Adapter {
 	return &Adapter{sender: oneshot.Sender{Network: network}}
 }
@@ -54,13 +54,13 @@
 	ID   string
 	Path string
 	Body []byte
-	// BeforeFirstByte runs once the connection stands; see oneshot.Sender.
+	// BeforeFirstByte runs once the connection is established; see oneshot.Sender.
 	BeforeFirstByte func() error
 }
 
-// Generate dispatches the request. An error that wraps oneshot.ErrNotSent
-// proves that the engine got nothing; any other proves nothing, except for a
-// *StatusError, which is the engine's own refusal.
+// Generate dispatches the request. An error that wraps oneshot.ErrNotSent proves that the engine
+// received nothing, a *StatusError is the engine's own rejection, and after any other error the
+// outcome is unknown.
 func (a *Adapter) Generate(ctx context.Context, address string, generation *Generation) (*Stream, error) {
 	request, err := newRequest(ctx, http.MethodPost, address, generation.Path, generation.Body)
 	if err != nil {
@@ -74,9 +74,9 @@
 	return openStream(response)
 }
 
-// Resume reads the events of a request that the engine has, from the one after
-// the given id; zero reads all. A *StatusError with status 404 means that the
-// engine does not know the request.
+// Resume reads the events of a request that the engine already has, starting after the given event
+// number; zero reads all. A *StatusError with status 404 means that the engine does not know the
+// request.
 func (a *Adapter) Resume(ctx context.Context, address, id string, after int) (*Stream, error) {
 	request, err := newRequest(ctx, http.MethodGet, address, PathRequests+id+"/events", nil)
 	if err != nil {
@@ -90,24 +90,23 @@
 	return openStream(response)
 }
 
-// Cancel ends the request at the engine; a request that it does not know is
-// no error.
+// Cancel ends the request at the engine. It returns nil if the engine does not know the request.
 func (a *Adapter) Cancel(ctx context.Context, address, id string) error {
 	request, err := newRequest(ctx, http.MethodDelete, address, PathRequests+id, nil)
 	if err != nil {
 		return err
 	}
-	return a.discard(ctx, address, request)
+	return a.sendAndDiscard(ctx, address, request)
 }
 
-// Report asks the back end for its load.
+// Report returns the load of the backend.
 func (a *Adapter) Report(ctx context.Context, address string) (structs.LoadReport, error) {
 	var report structs.LoadReport
 	err := a.getJSON(ctx, address, PathLoad, &report)
 	return report, err
 }
 
-// CacheEvents asks for the cache events after the sequence number.
+// CacheEvents returns the cache events after the sequence number.
 func (a *Adapter) CacheEvents(ctx context.Context, address string, after uint64) ([]structs.CacheEvent, error) {
 	var events []structs.CacheEvent
 	err := a.getJSON(ctx, address, PathCacheEvents+"?after="+strconv.FormatUint(after, 10), &events)
@@ -120,7 +119,7 @@
 	Fence int64  `json:"fence"`
 }
 
-// Send implements placement.Sender.
+// Send implements placement.Sender. A response with status 409 is an error of kind StaleFence.
 func (a *Adapter) Send(ctx context.Context, order placement.Order) error {
 	body, err := json.Marshal(LoadOrder{Model: order.Model, Fence: order.Fence})
 	if err != nil {
@@ -130,10 +129,10 @@
 	if err != nil {
 		return err
 	}
-	err = a.discard(ctx, order.Replica.Address, request)
+	err = a.sendAndDiscard(ctx, order.Replica.Address, request)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
-		return errkind.New(errkind.StaleFence, "order %s to %s", order.Model, order.Replica.ID)
+		return errkind.New(errkind.StaleFence, "load model %s on replica %s: the fence is stale", order.Model, order.Replica.ID)
 	}
 	return err
 }
@@ -148,8 +147,8 @@
 	BeforeFirstByte func() error
 }
 
-// Call dispatches the call. Errors are as for Generate, except that a response
-// with any status is the service's answer.
+// Call dispatches the call. Errors are as for Generate, except that every status is a response of
+// the service and no error.
 func (a *Adapter) Call(ctx context.Context, address string, call *ServiceCall) (*http.Response, error) {
 	request, err := newRequest(ctx, call.Method, address, call.Path, call.Body)
 	if err != nil {
@@ -176,10 +175,11 @@
 	if response.StatusCode != http.StatusOK {
 		return &StatusError{Status: response.StatusCode}
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, maximumReport)).Decode(value)
+	return json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(value)
 }
 
-func (a *Adapter) discard(ctx context.Context, address string, request *http.Request) error {
+// sendAndDiscard sends the request and ignores the response's body. Status 404 is no error.
+func (a *Adapter) sendAndDiscard(ctx context.Context, address string, request *http.Request) error {
 	response, err := a.sender.Send(ctx, address, request)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	return request, nil
 }
 
-// StatusError is a back end's own refusal.
+// StatusError is a response of a backend with a status that means failure.
 type StatusError struct {
 	Status int
 	Body   string
@@ -211,21 +211,21 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// maximumErrorBody bounds what is kept of a refusal.
-const maximumErrorBody = 2048
+// maxErrorBodyBytes bounds how much of the body a StatusError has.
+const maxErrorBodyBytes = 2048
 
 func statusError(response *http.Response) error {
-	content, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBody))
+	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBodyBytes))
 	return &StatusError{Status: response.StatusCode, Body: strings.TrimSpace(string(content))}
 }
 
-// Event is one event of an answer. Numbers start at one and have no gaps.
+// Event is one event of an answer. Numbers start at one and are consecutive.
 type Event struct {
 	Number int
 	Data   []byte
 }
 
-// Stream reads the events of an answer.
+// Stream reads the events of an answer. It is not safe for concurrent use.
 type Stream struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
@@ -237,13 +237,12 @@
 		return nil, statusError(response)
 	}
 	scanner := bufio.NewScanner(response.Body)
-	scanner.Buffer(make([]byte, 0, 4096), maximumLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	return &Stream{body: response.Body, scanner: scanner}, nil
 }
 
-// Next returns the next event. It returns io.EOF after the event that ends a
-// whole answer, and io.ErrUnexpectedEOF or the connection's error if the stream
-// broke before it.
+// Next blocks until the next event and returns it. It returns io.EOF at the end of a complete
+// answer, and io.ErrUnexpectedEOF or the connection's error if the stream broke before that.
 func (s *Stream) Next() (Event, error) {
 	var event Event
 	for s.scanner.Scan() {
@@ -257,7 +256,7 @@
 			}
 			return event, nil
 		case string(field) == "id":
-			event.Number, _ = strconv.Atoi(string(value)) // a wrong number shows as a gap
+			event.Number, _ = strconv.Atoi(string(value)) // an invalid number is zero, which callers see as a gap
 		case string(field) == "data":
 			event.Data = append(event.Data, value...)
 		}
@@ -268,5 +267,5 @@
 	return Event{}, io.ErrUnexpectedEOF
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Stream) Close() { _ = s.body.Close() }
--- a/transport/etcdstore/etcdstore.go
+++ b/transport/etcdstore/etcdstore.go
@@ -1,6 +1,5 @@
-// Package etcdstore is the adapter to a platform store that speaks the JSON
-// form of the etcd version 3 API: range, transactions that compare a key's
-// modification revision, leases and watches.
+// Package etcdstore implements outside.Store over the JSON form of the etcd version 3 API: range,
+// transactions that compare a key's modification revision, leases and watches. It retries nothing.
 package etcdstore
 
 import (
@@ -31,21 +30,21 @@
 	PathWatch     = "/v3/watch"
 )
 
-// maximumAnswer bounds an answer of the store; values are at most a megabyte.
-const maximumAnswer = 8 << 20
+// maxAnswerBytes bounds an answer of the store; a value has at most a megabyte.
+const maxAnswerBytes = 8 << 20
 
-// Client implements outside.Store.
+// Client implements outside.Store. It is safe for concurrent use.
 type Client struct {
-	sender  oneshot.Sender
-	address string
-	timeout time.Duration
-	calls   metrics.Registry
+	sender   oneshot.Sender
+	address  string
+	timeout  time.Duration
+	registry metrics.Registry
 }
 
-// New returns a client of the store at the address. Calls other than watches
-// are given up after the timeout. Calls are counted by path in the registry.
+// New returns a client of the store at the address. The timeout applies to all calls except
+// watches. The registry counts calls by path; it may be nil.
 func New(network network.Network, address string, timeout time.Duration, registry metrics.Registry) *Client {
-	return &Client{sender: oneshot.Sender{Network: network}, address: address, timeout: timeout, calls: registry}
+	return &Client{sender: oneshot.Sender{Network: network}, address: address, timeout: timeout, registry: registry}
 }
 
 // Get implements outside.Store.
@@ -71,12 +70,12 @@
 		return 0, err
 	}
 	if !answer.Succeeded {
-		return 0, errkind.New(errkind.Conflict, "%s is not at revision %d", key, expected)
+		return 0, errkind.New(errkind.Conflict, "write %s: the key is not at revision %d", key, expected)
 	}
 	return answer.Header.Revision, nil
 }
 
-// Watch implements outside.Store.
+// Watch implements outside.Store. If the key was deleted, it returns the zero value.
 func (c *Client) Watch(ctx context.Context, key string, after int64) (outside.Value, error) {
 	request := WatchRequest{Create: WatchCreate{Key: []byte(key), StartRevision: after + 1}}
 	response, err := c.send(ctx, PathWatch, request, errkind.StoreUnavailable)
@@ -88,7 +87,7 @@
 	for {
 		var message WatchResponse
 		if err := decoder.Decode(&message); err != nil {
-			return outside.Value{}, errkind.New(errkind.StoreUnavailable, "watch of %s ended: %v", key, err)
+			return outside.Value{}, errkind.New(errkind.StoreUnavailable, "watch %s: %v", key, err)
 		}
 		for _, event := range message.Result.Events {
 			if event.Type == "DELETE" {
@@ -116,7 +115,7 @@
 		return err
 	}
 	if answer.Result.TTL <= 0 {
-		return errkind.New(errkind.StaleFence, "lease %d has expired", lease)
+		return errkind.New(errkind.StaleFence, "renew lease %d: it has expired", lease)
 	}
 	return nil
 }
@@ -127,8 +126,8 @@
 	return c.call(ctx, PathRevoke, LeaseRequest{ID: int64(lease)}, &answer, errkind.StoreUnknown)
 }
 
-// call sends one request; failed is the kind of a failure after the request
-// was sent, when the store may have acted on it.
+// call sends one request and decodes its answer. failed is the kind of errors after the request was
+// sent, when the store may have acted on it.
 func (c *Client) call(ctx context.Context, path string, request, answer any, failed *errkind.Kind) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -137,15 +136,16 @@
 		return err
 	}
 	defer response.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(response.Body, maximumAnswer)).Decode(answer); err != nil {
-		return errkind.New(failed, "%s: %v", path, err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(answer); err != nil {
+		return errkind.New(failed, "call %s: %v", path, err)
 	}
 	return nil
 }
 
+// send returns the response if its status is 200. Errors are those of call.
 func (c *Client) send(ctx context.Context, path string, request any, failed *errkind.Kind) (*http.Response, error) {
-	if c.calls != nil {
-		metrics.GetOrRegisterCounter("store.calls."+path, c.calls).Inc(1)
+	if c.registry != nil {
+		metrics.GetOrRegisterCounter("store.calls."+path, c.registry).Inc(1)
 	}
 	content, err := json.Marshal(request)
 	if err != nil {
@@ -161,14 +161,14 @@
 		return nil, errkind.Wrap(errkind.StoreUnavailable, err)
 	}
 	if err != nil {
-		return nil, errkind.New(failed, "%s: %v", path, err)
+		return nil, errkind.New(failed, "call %s: %v", path, err)
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
 	_ = response.Body.Close()
 	if response.StatusCode == http.StatusTooManyRequests {
-		failed = errkind.StoreUnavailable // refused before it had any effect
+		failed = errkind.StoreUnavailable // rejected before it had any effect
 	}
-	return nil, errkind.New(failed, "%s: status %s", path, strconv.Itoa(response.StatusCode))
+	return nil, errkind.New(failed, "call %s: status %s", path, strconv.Itoa(response.StatusCode))
 }
--- a/transport/etcdstore/messages.go
+++ b/transport/etcdstore/messages.go
@@ -2,15 +2,15 @@
 
 import "github.com/thornwalk/thornwalk/outside"
 
-// The messages are the published JSON forms of the API: keys and values are
-// base64, 64-bit numbers are strings.
+// The types in this file mirror the JSON form of the etcd API: keys and values are in base64, 64-bit
+// numbers are strings.
 
 // Header is part of every answer.
 type Header struct {
 	Revision int64 `json:"revision,string"`
 }
 
-// KeyValue is one key as the store holds it.
+// KeyValue is a key with its value and the revision of its last change.
 type KeyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value"`
@@ -21,7 +21,7 @@
 	return outside.Value{Data: kv.Value, Revision: kv.ModRevision}
 }
 
-// RangeRequest asks for one key.
+// RangeRequest reads one key.
 type RangeRequest struct {
 	Key []byte `json:"key"`
 }
@@ -32,7 +32,8 @@
 	KVs    []KeyValue `json:"kvs,omitempty"`
 }
 
-// Compare is a condition of a transaction.
+// Compare is a condition of a transaction: the Target of the key has the relation Result to
+// ModRevision.
 type Compare struct {
 	Key         []byte `json:"key"`
 	Target      string `json:"target"`
@@ -52,7 +53,7 @@
 	Put *PutRequest `json:"request_put,omitempty"`
 }
 
-// TxnRequest is a transaction.
+// TxnRequest applies the Success operations if all conditions are met.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare"`
 	Success []Operation `json:"success"`
@@ -64,13 +65,13 @@
 	Succeeded bool   `json:"succeeded"`
 }
 
-// LeaseRequest grants, renews or revokes a lease.
+// LeaseRequest grants, renews or revokes a lease. TTL is in seconds.
 type LeaseRequest struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest.
+// LeaseResponse answers a LeaseRequest. TTL is the remaining time in seconds; zero means expired.
 type LeaseResponse struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -81,7 +82,7 @@
 	Result LeaseResponse `json:"result"`
 }
 
-// WatchCreate starts a watch.
+// WatchCreate starts a watch of a key from a revision on.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	StartRevision int64  `json:"start_revision,string"`
--- a/transport/keys/keys.go
+++ b/transport/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys reads keys and certificates from files and reads them again when
-// they change, so that they can be rotated without a restart.
+// Package keys loads certificates and secret keys from files. Certificates are reloaded when their
+// files change, so that they can be rotated without a restart; secret keys and authorities are not.
 package keys
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// checkInterval is the least time between looks at the files.
+// checkInterval is the minimum time between two checks of the files.
 const checkInterval = 5 * time.Second
 
-// Certificate is a certificate and key in PEM files. It is safe for concurrent use.
+// Certificate is a certificate and its key in PEM files. It is safe for concurrent use.
 type Certificate struct {
 	certificateFile, keyFile string
 
-	mutex     sync.Mutex
-	loaded    *tls.Certificate
-	changed   time.Time
-	checkedAt time.Time
+	mutex      sync.Mutex
+	loaded     *tls.Certificate
+	modifiedAt time.Time
+	checkedAt  time.Time
 }
 
 // LoadCertificate reads the files. The error is of kind InvalidSettings.
@@ -38,14 +38,14 @@
 func (c *Certificate) load() error {
 	loaded, err := tls.LoadX509KeyPair(c.certificateFile, c.keyFile)
 	if err != nil {
-		return errkind.New(errkind.InvalidSettings, "certificate %s: %v", c.certificateFile, err)
+		return errkind.New(errkind.InvalidSettings, "load certificate %s: %v", c.certificateFile, err)
 	}
 	c.loaded = &loaded
-	c.changed = c.lastChange()
+	c.modifiedAt = c.latestModTime()
 	return nil
 }
 
-func (c *Certificate) lastChange() time.Time {
+func (c *Certificate) latestModTime() time.Time {
 	latest := time.Time{}
 	for _, name := range []string{c.certificateFile, c.keyFile} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(latest) {
@@ -55,22 +55,22 @@
 	return latest
 }
 
-// Current returns the certificate, read again if its files changed. If the new
-// files do not parse, such as when half written, the last good one stays.
+// Current returns the certificate, reloaded if its files changed. If the new files are invalid,
+// such as when half written, it returns the last valid certificate.
 func (c *Certificate) Current() *tls.Certificate {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if time.Since(c.checkedAt) >= checkInterval {
 		c.checkedAt = time.Now()
-		if !c.lastChange().Equal(c.changed) {
-			_ = c.load() // tried again at the next look
+		if !c.latestModTime().Equal(c.modifiedAt) {
+			_ = c.load() // retried at the next check
 		}
 	}
 	return c.loaded
 }
 
-// ServerConfig returns a configuration for listeners. With a pool of
-// authorities, clients must show a certificate of one of them.
+// ServerConfig returns a configuration for listeners. With a pool of authorities, clients must have
+// a certificate of one of them; nil accepts any client.
 func (c *Certificate) ServerConfig(clients *x509.CertPool) *tls.Config {
 	config := &tls.Config{
 		MinVersion:     tls.VersionTLS13,
@@ -83,8 +83,8 @@
 	return config
 }
 
-// MutualConfig returns a configuration for both sides of connections between
-// nodes that all have certificates of the authorities.
+// MutualConfig returns a configuration for both sides of connections between nodes, all of which
+// have certificates of the authorities.
 func (c *Certificate) MutualConfig(authorities *x509.CertPool) *tls.Config {
 	config := c.ServerConfig(authorities)
 	config.RootCAs = authorities
@@ -92,26 +92,26 @@
 	return config
 }
 
-// LoadAuthorities reads certificates of authorities from a PEM file. The error
-// is of kind InvalidSettings.
+// LoadAuthorities reads the certificates of authorities from a PEM file. The error is of kind
+// InvalidSettings.
 func LoadAuthorities(file string) (*x509.CertPool, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errkind.New(errkind.InvalidSettings, "authorities: %v", err)
+		return nil, errkind.New(errkind.InvalidSettings, "load certificate authorities: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, errkind.New(errkind.InvalidSettings, "authorities: %s holds no certificate in PEM form", file)
+		return nil, errkind.New(errkind.InvalidSettings, "load certificate authorities: %s has no certificate in PEM form", file)
 	}
 	return pool, nil
 }
 
-// LoadSecrets reads secret keys, one a line, the newest first. The error is of
-// kind InvalidSettings.
+// LoadSecrets reads secret keys, one per line, the newest first. The error is of kind
+// InvalidSettings.
 func LoadSecrets(file string) ([][]byte, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errkind.New(errkind.InvalidSettings, "keys: %v", err)
+		return nil, errkind.New(errkind.InvalidSettings, "load secret keys: %v", err)
 	}
 	var secrets [][]byte
 	for _, line := range bytes.Split(content, []byte("\n")) {
@@ -120,7 +120,7 @@
 		}
 	}
 	if len(secrets) == 0 {
-		return nil, errkind.New(errkind.InvalidSettings, "keys: %s is empty", file)
+		return nil, errkind.New(errkind.InvalidSettings, "load secret keys: %s has no key", file)
 	}
 	return secrets, nil
 }
--- a/transport/keys/keys_test.go
+++ b/transport/keys/keys_test.go
@@ -20,7 +20,7 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// issue writes a self-signed certificate for loopback and returns its files.
+// issue writes a self-signed certificate for loopback into the folder and returns its files.
 func issue(t *testing.T, folder string, serial int64) (certificateFile, keyFile string) {
 	g := gomega.NewWithT(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -40,7 +40,8 @@
 	return certificateFile, keyFile
 }
 
-func TestMutualTLSRefusesStrangers(t *testing.T) {
+// A client without a certificate must not get a connection.
+func TestMutualTLSRejectsClientsWithoutCertificate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	certificateFile, keyFile := issue(t, t.TempDir(), 1)
 	certificate, err := LoadCertificate(certificateFile, keyFile)
@@ -54,9 +55,9 @@
 	defer listener.Close()
 	go echo(listener)
 	g.Expect(exchange(secured, listener.Addr().String())).To(gomega.Equal("hello"))
-	stranger := config.Clone()
-	stranger.GetClientCertificate = nil
-	g.Expect(exchange(network.TLS{Inner: network.TCP{}, Client: stranger}, listener.Addr().String())).To(gomega.BeEmpty())
+	anonymous := config.Clone()
+	anonymous.GetClientCertificate = nil
+	g.Expect(exchange(network.TLS{Inner: network.TCP{}, Client: anonymous}, listener.Addr().String())).To(gomega.BeEmpty())
 }
 
 func echo(listener net.Listener) {
@@ -75,8 +76,9 @@
 	}
 }
 
-func exchange(outside network.Network, address string) string {
-	connection, err := outside.Dial(context.Background(), address)
+// exchange returns what an echo server at the address sends back, empty if the connection fails.
+func exchange(dialer network.Network, address string) string {
+	connection, err := dialer.Dial(context.Background(), address)
 	if err != nil {
 		return ""
 	}
@@ -87,7 +89,9 @@
 	return string(content[:count])
 }
 
-func TestCertificateIsReadAgain(t *testing.T) {
+// A rotated certificate must be used without a restart, and a half-written one must not replace a
+// valid one.
+func TestCertificateIsReloaded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := t.TempDir()
 	certificateFile, keyFile := issue(t, folder, 1)
@@ -101,5 +105,5 @@
 	g.Expect(certificate.Current().Leaf.SerialNumber.Int64()).To(gomega.BeEquivalentTo(2))
 	g.Expect(os.WriteFile(keyFile, []byte("half"), 0o600)).To(gomega.Succeed())
 	certificate.checkedAt = time.Time{}
-	g.Expect(certificate.Current().Leaf.SerialNumber.Int64()).To(gomega.BeEquivalentTo(2), "the last good one stays")
+	g.Expect(certificate.Current().Leaf.SerialNumber.Int64()).To(gomega.BeEquivalentTo(2), "the last valid certificate must stay in use")
 }
--- a/transport/machinelist/machinelist.go
+++ b/transport/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist is the adapter to the platform's machine list, a JSON
-// document over HTTP.
+// Package machinelist is the client of the platform's machine list, a JSON document over HTTP. It
+// neither polls nor retries.
 package machinelist
 
 import (
@@ -16,62 +16,62 @@
 	"github.com/thornwalk/thornwalk/transport/oneshot"
 )
 
-// Path is where the list is served.
+// Path is the URL path of the list.
 const Path = "/machines"
 
 const (
-	timeout     = 2 * time.Second
-	maximumList = 8 << 20
+	callTimeout  = 2 * time.Second
+	maxListBytes = 8 << 20
 )
 
-// Client implements outside.MachineList.
+// Client implements outside.MachineList. It is safe for concurrent use.
 type Client struct {
 	sender  oneshot.Sender
 	address string
 
-	mutex sync.Mutex
-	tag   string
-	last  []outside.Machine
+	mutex    sync.Mutex
+	etag     string
+	machines []outside.Machine
 }
 
-// New returns a client of the list at the address.
+// New returns a client of the machine list at the address.
 func New(network network.Network, address string) *Client {
 	return &Client{sender: oneshot.Sender{Network: network}, address: address}
 }
 
-// Machines implements outside.MachineList. The error is of kind StoreUnavailable.
-// A list that did not change is not sent again, if the platform gives it an
-// entity tag; at the target it has 1,100 machines.
+// Machines implements outside.MachineList. The error is of kind StoreUnavailable. If the platform
+// sends an entity tag, an unchanged list is not transferred again. Callers must not modify the
+// result.
 func (c *Client) Machines(ctx context.Context) ([]outside.Machine, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+Path, nil)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.BadRequest, err)
 	}
 	c.mutex.Lock()
-	tag, last := c.tag, c.last
+	etag, cached := c.etag, c.machines
 	c.mutex.Unlock()
-	if tag != "" {
-		request.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		request.Header.Set("If-None-Match", etag)
 	}
 	response, err := c.sender.Send(ctx, c.address, request)
 	if err != nil {
-		return nil, errkind.New(errkind.StoreUnavailable, "machine list: %v", err)
+		return nil, errkind.New(errkind.StoreUnavailable, "fetch machine list: %v", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotModified {
-		return last, nil
+		return cached, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errkind.New(errkind.StoreUnavailable, "machine list: status %d", response.StatusCode)
+		return nil, errkind.New(errkind.StoreUnavailable, "fetch machine list: status %d", response.StatusCode)
 	}
 	var machines []outside.Machine
-	if err := json.NewDecoder(io.LimitReader(response.Body, maximumList)).Decode(&machines); err != nil {
-		return nil, errkind.New(errkind.StoreUnavailable, "machine list does not parse: %v", err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&machines); err != nil {
+		return nil, errkind.New(errkind.StoreUnavailable, "parse machine list: %v", err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.tag, c.last = response.Header.Get("ETag"), machines
+	c.etag, c.machines = response.Header.Get("ETag"), machines
 	return machines, nil
 }
--- a/transport/network/datagrams.go
+++ b/transport/network/datagrams.go
@@ -5,17 +5,18 @@
 	"sync"
 )
 
-// Datagrams opens sockets for messages that may get lost.
+// Datagrams opens sockets for unreliable messages.
 type Datagrams interface {
 	// ListenDatagrams opens a socket at the address.
 	ListenDatagrams(address string) (DatagramSocket, error)
 }
 
-// DatagramSocket sends and receives messages that may get lost.
+// DatagramSocket sends and receives messages that may be lost. It is safe for concurrent use.
 type DatagramSocket interface {
-	// Send sends the content to the address; an error proves nothing.
+	// Send sends the content to the address. Neither success nor an error shows whether it arrives.
 	Send(address string, content []byte) error
-	// Receive waits for a message and returns its length.
+	// Receive blocks until a message arrives and returns its length. Bytes beyond the buffer are
+	// lost.
 	Receive(buffer []byte) (int, error)
 	Close() error
 }
@@ -26,18 +27,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &udpSocket{PacketConn: socket, known: map[string]*net.UDPAddr{}}, nil
+	return &udpSocket{PacketConn: socket, resolved: map[string]*net.UDPAddr{}}, nil
 }
 
-// udpSocket is a UDP socket that remembers resolved addresses.
+// udpSocket is a UDP socket with a cache of resolved addresses.
 type udpSocket struct {
 	net.PacketConn
-	mutex sync.Mutex
-	known map[string]*net.UDPAddr
+	mutex    sync.Mutex
+	resolved map[string]*net.UDPAddr
 }
 
-// maximumKnown bounds the remembered addresses.
-const maximumKnown = 4096
+// maxResolvedAddresses bounds the cache, which is cleared when it is full.
+const maxResolvedAddresses = 4096
 
 // Send implements DatagramSocket.
 func (s *udpSocket) Send(address string, content []byte) error {
@@ -52,17 +53,17 @@
 func (s *udpSocket) resolve(address string) (*net.UDPAddr, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if target, found := s.known[address]; found {
+	if target, found := s.resolved[address]; found {
 		return target, nil
 	}
 	target, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, err
 	}
-	if len(s.known) >= maximumKnown {
-		clear(s.known)
+	if len(s.resolved) >= maxResolvedAddresses {
+		clear(s.resolved)
 	}
-	s.known[address] = target
+	s.resolved[address] = target
 	return target, nil
 }
 
--- a/transport/network/network.go
+++ b/transport/network/network.go
@@ -1,6 +1,6 @@
-// Package network is the narrow interface through which the daemon reaches
-// other processes, so that tests can run the whole daemon on a network of
-// their own, with cuts and pauses, under virtual time.
+// Package network defines the interface through which the daemon reaches other processes, with
+// implementations for TCP, UDP and TLS. Tests replace it by simulated networks with partitions and
+// virtual time.
 package network
 
 import (
@@ -11,24 +11,23 @@
 	"time"
 )
 
-// Network dials and listens. Addresses are IP and port, or names that the
-// implementation understands.
+// Network dials and listens. Addresses are host:port, or names that the implementation resolves.
 type Network interface {
-	// Dial connects within the context. An error proves that nothing was sent.
+	// Dial connects within the context. An error proves that no application data was sent.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// Listen accepts connections at the address; port 0 chooses a free one.
+	// Listen accepts connections at the address; port 0 selects a free one.
 	Listen(address string) (net.Listener, error)
 }
 
-// IsRefused returns whether the error of a Dial says that nobody listens at the address, as
-// against a host that can't be reached.
+// IsRefused reports whether the error of a Dial means that the host is reachable, but nothing
+// listens at the address.
 func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // TCP is the operating system's network.
 type TCP struct {
-	// SilenceLimit is the time after which a connection that this side opened,
-	// and whose other side says nothing at all, not even that it received, is
-	// broken; zero means the system's default.
+	// SilenceLimit is how long the other side may send nothing at all, not even acknowledgements,
+	// before the connection is broken; zero means the system's default. On accepted connections
+	// only the keep-alive probes use it.
 	SilenceLimit time.Duration
 }
 
@@ -37,7 +36,7 @@
 	var dialer net.Dialer
 	if t.SilenceLimit > 0 {
 		dialer.KeepAliveConfig = t.keepAlive()
-		dialer.Control = t.control
+		dialer.Control = t.setUserTimeout
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
@@ -51,26 +50,26 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// probes is the number of unanswered keep-alive probes that break a connection.
-const probes = 3
+// maxUnansweredProbes is the number of unanswered keep-alive probes that break a connection.
+const maxUnansweredProbes = 3
 
 func (t TCP) keepAlive() net.KeepAliveConfig {
-	interval := max(t.SilenceLimit/probes, time.Second)
-	return net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: probes}
+	interval := max(t.SilenceLimit/maxUnansweredProbes, time.Second)
+	return net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: maxUnansweredProbes}
 }
 
-// tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT on Linux.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
 const tcpUserTimeout = 18
 
-// control bounds how long written bytes may stay unacknowledged.
-func (t TCP) control(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout bounds how long written bytes may stay unacknowledged.
+func (t TCP) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
 		_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(t.SilenceLimit.Milliseconds()))
 	})
 }
 
-// Bounded gives up a connection that does not come up within the limit, whoever
-// asks for it: some clients go on dialling after their caller left.
+// Bounded adds a time limit to each Dial, since some clients continue to dial after their caller
+// gave up.
 type Bounded struct {
 	Network
 	Limit time.Duration
--- a/transport/network/tls.go
+++ b/transport/network/tls.go
@@ -6,15 +6,15 @@
 	"net"
 )
 
-// TLS adds TLS to another network. Server is used by listeners, Client by
-// dials; for mutual TLS, Server requires and Client carries a certificate.
+// TLS adds TLS to another network. Listeners use the Server configuration, dials the Client
+// configuration; for mutual TLS, Server requires a certificate and Client has one.
 type TLS struct {
 	Inner          Network
 	Server, Client *tls.Config
 }
 
-// Dial implements Network. It returns after the handshake, so that an error
-// proves that nothing but the handshake was sent.
+// Dial implements Network. It returns after the handshake, so an error proves that no application
+// data was sent.
 func (t TLS) Dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := t.Inner.Dial(ctx, address)
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	config := t.Client.Clone()
 	if config.ServerName == "" {
-		config.ServerName, _, _ = net.SplitHostPort(address) // an odd address fails the handshake
+		config.ServerName, _, _ = net.SplitHostPort(address) // with an invalid address the handshake fails
 	}
 	secured := tls.Client(connection, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
--- a/transport/oneshot/oneshot.go
+++ b/transport/oneshot/oneshot.go
@@ -1,8 +1,6 @@
-// Package oneshot sends one HTTP request exactly once over a connection of its
-// own. The transport of net/http resends requests by itself in several cases;
-// for requests that must not run twice each of those is a fault. Here nothing
-// is ever resent, redirects are not followed, and the caller learns for sure
-// whether a byte was written.
+// Package oneshot sends an HTTP request at most once, over a connection of its own. Unlike the
+// transport of net/http, it never resends and follows no redirects, and its errors show whether any
+// byte was written. It doesn't reuse connections.
 package oneshot
 
 import (
@@ -17,21 +15,20 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// ErrNotSent is wrapped by errors that prove that no byte was written.
+// ErrNotSent is wrapped by errors that prove that no byte of the request was written.
 var ErrNotSent = errors.New("no byte was sent")
 
-// Sender sends requests on a network.
+// Sender sends requests over a network. It is safe for concurrent use.
 type Sender struct {
 	Network network.Network
-	// BeforeFirstByte runs after the connection stands and before anything is
-	// written; its error stops the request, which then was not sent. Nil for none.
+	// BeforeFirstByte runs after the connection is established and before anything is written. Its
+	// error aborts the request and is wrapped with ErrNotSent. It may be nil.
 	BeforeFirstByte func() error
 }
 
-// Send writes the request and reads the head of the response. The response's
-// body must be closed, which ends the connection. If the context ends, the
-// connection is closed at any stage. Errors wrap ErrNotSent exactly if nothing
-// was written.
+// Send writes the request and reads the head of the response. The caller must close the response's
+// body, which closes the connection. The end of the context closes the connection at any stage.
+// Errors wrap ErrNotSent if and only if nothing was written.
 func (s *Sender) Send(ctx context.Context, address string, request *http.Request) (*http.Response, error) {
 	connection, err := s.Network.Dial(ctx, address)
 	if err != nil {
@@ -50,16 +47,17 @@
 		_ = connection.Close()
 		return nil, err
 	}
-	response.Body = &body{ReadCloser: response.Body, connection: connection, stop: stop}
+	response.Body = &body{ReadCloser: response.Body, connection: connection, stopCancel: stop}
 	return response, nil
 }
 
-// SendTracked is Send with a hook that runs just before the first byte.
+// SendTracked is Send with beforeFirstByte in place of the sender's hook.
 func (s *Sender) SendTracked(ctx context.Context, address string, request *http.Request, beforeFirstByte func() error) (*http.Response, error) {
 	tracked := Sender{Network: s.Network, BeforeFirstByte: beforeFirstByte}
 	return tracked.Send(ctx, address, request)
 }
 
+// exchange writes the request and reads responses until the first with a final status.
 func exchange(connection net.Conn, request *http.Request) (*http.Response, error) {
 	counted := &countingWriter{writer: connection}
 	request.Close = true
@@ -67,13 +65,13 @@
 		if counted.written == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return nil, fmt.Errorf("request broke after %d bytes: %w", counted.written, err)
+		return nil, fmt.Errorf("write request: failed after %d bytes: %w", counted.written, err)
 	}
 	reader := bufio.NewReader(connection)
 	for {
 		response, err := http.ReadResponse(reader, request)
 		if err != nil {
-			return nil, fmt.Errorf("no response: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -81,7 +79,7 @@
 	}
 }
 
-// countingWriter counts what the connection took.
+// countingWriter counts the bytes that were written.
 type countingWriter struct {
 	writer  io.Writer
 	written int
@@ -93,15 +91,15 @@
 	return count, err
 }
 
-// body closes the connection with the response's body.
+// body closes the connection when the response's body is closed.
 type body struct {
 	io.ReadCloser
 	connection net.Conn
-	stop       func() bool
+	stopCancel func() bool
 }
 
 func (b *body) Close() error {
-	b.stop()
+	b.stopCancel()
 	_ = b.connection.Close()
 	return nil
 }
--- a/transport/oneshot/oneshot_test.go
+++ b/transport/oneshot/oneshot_test.go
@@ -16,7 +16,8 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// backend counts the requests that it reads and treats each connection as told.
+// backend runs a server that calls serve after each request that it read. It returns its address
+// and the number of requests.
 func backend(t *testing.T, serve func(net.Conn)) (string, *atomic.Int32) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,9 +58,9 @@
 	return request
 }
 
-// TestStandardTransportWouldSendTwice shows the trap: a back end that closes a
-// kept-alive connection right after reading a keyed request gets it again.
-func TestStandardTransportWouldSendTwice(t *testing.T) {
+// Shows why net/http isn't used: it resends a request with an idempotency key when the backend closes
+// a kept-alive connection right after reading it.
+func TestStandardTransportSendsTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var answered atomic.Bool
 	address, requests := backend(t, func(connection net.Conn) {
@@ -79,6 +80,7 @@
 	g.Expect(requests.Load()).To(gomega.BeNumerically(">", 2))
 }
 
+// A closed connection or a redirect must not make the sender send the request again.
 func TestSenderSendsOnce(t *testing.T) {
 	for name, answer := range map[string]string{
 		"closed after reading": "",
@@ -105,7 +107,8 @@
 	}
 }
 
-func TestNotSentIsProven(t *testing.T) {
+// A failed dial and a failed hook must wrap ErrNotSent, and nothing may reach the backend.
+func TestErrNotSentMeansThatNothingWasSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -13,34 +13,34 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Client calls peers over one connection each.
+// Client calls peers, over one connection to each. It is safe for concurrent use.
 type Client struct {
 	network network.Network
 	traffic Traffic
 	mutex   sync.Mutex
 	links   map[string]*link
 	closed  bool
-	// silent is called when a connection was given up because nothing came from it.
-	silent func(address string)
+	// onSilence is called with the address of a peer whose silent connection was closed.
+	onSilence func(address string)
 }
 
-// OnSilence sets what is called when a connection to the address was given up because
-// nothing came from it. It is set before the first call.
-func (c *Client) OnSilence(handle func(address string)) { c.silent = handle }
+// OnSilence sets the function that is called when a connection to the address was closed since
+// nothing was received for SilenceTime. It must be set before the first call.
+func (c *Client) OnSilence(handle func(address string)) { c.onSilence = handle }
 
-// NewClient returns a client on the network.
+// NewClient returns a client that uses the network. traffic may be nil.
 func NewClient(network network.Network, traffic Traffic) *Client {
-	return &Client{network: network, traffic: traffic, links: map[string]*link{}, silent: func(string) {}}
+	return &Client{network: network, traffic: traffic, links: map[string]*link{}, onSilence: func(string) {}}
 }
 
-// ErrLinkBroken is matched by the errors of calls whose connection broke after it had
-// been opened. Another call opens a new one.
-var ErrLinkBroken = errors.New("the connection to the peer broke")
+// ErrLinkBroken is matched by the errors of calls whose established connection broke. The next call
+// opens a new one.
+var ErrLinkBroken = errors.New("peer connection broke")
 
-// Call sends the message and decodes the answer into reply. Errors: kind
-// PeerUnavailable if the peer can't be reached or does not answer in time, in
-// which case it may have acted on the message, and ErrLinkBroken as well if an open
-// connection broke; else the kind of the peer's error.
+// Call sends the message and decodes the answer into reply. An error of the peer has its kind. If
+// the peer can't be reached or doesn't answer within the context, the error is of kind
+// PeerUnavailable, and the peer may have acted on the message; if an established connection broke,
+// it also matches ErrLinkBroken.
 func (c *Client) Call(ctx context.Context, address string, kind peerwire.Kind, message, reply any) error {
 	body, err := peerwire.Marshal(message)
 	if err != nil {
@@ -61,15 +61,15 @@
 }
 
 func callError(kind peerwire.Kind, address string, cause error) error {
-	err := errkind.New(errkind.PeerUnavailable, "%s to %s: %v", kind, address, cause)
+	err := errkind.New(errkind.PeerUnavailable, "call %s at %s: %v", kind, address, cause)
 	if errors.Is(cause, ErrLinkBroken) {
 		return fmt.Errorf("%w: %w", ErrLinkBroken, err)
 	}
 	return err
 }
 
-// Ping returns an error unless the peer replies within the context, over the open
-// connection or a new one.
+// Ping returns an error unless the peer replies within the context, over the established connection
+// or a new one.
 func (c *Client) Ping(ctx context.Context, address string) error {
 	connection, err := c.link(ctx, address)
 	if err != nil {
@@ -86,10 +86,10 @@
 	if !known {
 		kind = errkind.PeerUnavailable
 	}
-	return errkind.New(kind, "peer: %s", answer.Detail)
+	return errkind.New(kind, "peer returned: %s", answer.Detail)
 }
 
-// Close ends all connections.
+// Close closes all connections. Later calls fail.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	links := c.links
@@ -97,10 +97,11 @@
 	c.closed = true
 	c.mutex.Unlock()
 	for _, connection := range links {
-		connection.fail()
+		connection.close()
 	}
 }
 
+// link returns the established connection to the address, or opens one.
 func (c *Client) link(ctx context.Context, address string) (*link, error) {
 	c.mutex.Lock()
 	existing, found := c.links[address]
@@ -110,7 +111,7 @@
 		return existing, nil
 	}
 	if closed {
-		return nil, errkind.New(errkind.PeerUnavailable, "this node is stopping")
+		return nil, errkind.New(errkind.PeerUnavailable, "connect to peer: this node is stopping")
 	}
 	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -118,11 +119,12 @@
 	if err != nil {
 		return nil, errkind.New(errkind.PeerUnavailable, "connect to %s: %v", address, err)
 	}
-	return c.keep(address, connection), nil
+	return c.addLink(address, connection), nil
 }
 
-// keep enters a new connection, unless another call was faster.
-func (c *Client) keep(address string, connection net.Conn) *link {
+// addLink registers a new connection, or closes it and returns the one that a concurrent call
+// registered first.
+func (c *Client) addLink(address string, connection net.Conn) *link {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if existing, found := c.links[address]; found && !existing.isBroken() {
@@ -131,13 +133,13 @@
 	}
 	created := &link{
 		pending: map[uint64]chan *peerwire.Envelope{}, writer: newConnectionWriter(connection, c.traffic),
-		opened: time.Now(), silent: func() { c.silent(address) },
+		opened: time.Now(), onSilence: func() { c.onSilence(address) },
 	}
 	if c.closed {
-		created.fail()
+		created.close()
 		return created
 	}
 	c.links[address] = created
-	go created.read(c.traffic)
+	go created.readLoop(c.traffic)
 	return created
 }
--- a/transport/peer/inbound.go
+++ b/transport/peer/inbound.go
@@ -7,46 +7,47 @@
 	"time"
 )
 
-// inbound remembers which peers have connections open to this process. Peers keep one
-// each, so that a second one tells that the first is gone for the peer.
+// inbound tracks the connections that peers opened to this process. Each peer uses one, so a second
+// one shows that the peer gave up the first.
 type inbound struct {
 	mutex sync.Mutex
-	// heard has, by host of the peer, when its connections brought something last.
-	heard    map[string][]*time.Time
-	replaced func()
+	// received has the time of the last received frame of each connection, by host of the peer.
+	received   map[string][]*time.Time
+	onReplaced func()
 }
 
 func newInbound() inbound {
-	return inbound{heard: map[string][]*time.Time{}, replaced: func() {}}
+	return inbound{received: map[string][]*time.Time{}, onReplaced: func() {}}
 }
 
-// opened enters a new connection of the host.
-func (i *inbound) opened(host string) *time.Time {
+// add registers a new connection of the host and returns its time of the last received frame. It
+// calls onReplaced if another connection of the host is silent.
+func (i *inbound) add(host string) *time.Time {
 	now := time.Now()
 	i.mutex.Lock()
-	replaces := slices.ContainsFunc(i.heard[host], func(at *time.Time) bool { return now.Sub(*at) >= SilenceTime })
-	i.heard[host] = append(i.heard[host], &now)
+	replaces := slices.ContainsFunc(i.received[host], func(at *time.Time) bool { return now.Sub(*at) >= SilenceTime })
+	i.received[host] = append(i.received[host], &now)
 	i.mutex.Unlock()
 	if replaces {
-		i.replaced()
+		i.onReplaced()
 	}
 	return &now
 }
 
-// note records that something came by the connection.
-func (i *inbound) note(connection *time.Time) {
+// recordReceived sets the time of the last received frame to now.
+func (i *inbound) recordReceived(connection *time.Time) {
 	i.mutex.Lock()
 	*connection = time.Now()
 	i.mutex.Unlock()
 }
 
-// closed forgets a connection of the host.
-func (i *inbound) closed(host string, connection *time.Time) {
+// remove unregisters a connection of the host.
+func (i *inbound) remove(host string, connection *time.Time) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.heard[host] = slices.DeleteFunc(i.heard[host], func(other *time.Time) bool { return other == connection })
-	if len(i.heard[host]) == 0 {
-		delete(i.heard, host)
+	i.received[host] = slices.DeleteFunc(i.received[host], func(other *time.Time) bool { return other == connection })
+	if len(i.received[host]) == 0 {
+		delete(i.received, host)
 	}
 }
 
--- a/transport/peer/cut_test.go
+++ b/transport/peer/interrupted_write_test.go
@@ -15,10 +15,9 @@
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
 )
 
-// A peer that stood still and went on dropped the connection with a bad frame, from a node
-// that runs the same version. A call that was given up while its frame was being written left
-// the first part of it on the connection, and the next call's frame followed.
-func TestAFrameThatWasCutEndsItsConnection(t *testing.T) {
+// A call that is given up while its frame is being written must close the connection. Otherwise the
+// peer reads the next call's frame as the remainder of that one and reports a bad frame.
+func TestPartialFrameClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		near, far := net.Pipe()
@@ -27,7 +26,7 @@
 		defer cancel()
 		received := make(chan error, 1)
 		go func() {
-			_, _ = io.ReadFull(far, make([]byte, 6)) // then the peer stands still
+			_, _ = io.ReadFull(far, make([]byte, 6)) // then the peer stops reading for a while
 			time.Sleep(time.Second)
 			_, _, err := peerwire.ReadFrame(far)
 			received <- err
@@ -40,8 +39,8 @@
 	})
 }
 
-// A call that was given up before a byte of it was out leaves the connection to others.
-func TestACallThatWasGivenUpUnwrittenLeavesTheConnection(t *testing.T) {
+// A call that is given up before a byte of it was written must not close the connection.
+func TestCallGivenUpBeforeItsWriteKeepsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		near, far := net.Pipe()
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -12,19 +12,19 @@
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
 )
 
-// link is one connection to a peer.
+// link is one connection to a peer, with the calls that wait for an answer.
 type link struct {
-	writer  *connectionWriter
-	call    atomic.Uint64
-	mutex   sync.Mutex
-	pending map[uint64]chan *peerwire.Envelope
-	broken  bool
-	// heard is when bytes came last and pinged when the last ping went out, as time since
-	// opened.
-	opened        time.Time
-	heard, pinged time.Duration
-	// silent is called when the link is given up for its silence.
-	silent func()
+	writer   *connectionWriter
+	lastCall atomic.Uint64
+	mutex    sync.Mutex
+	pending  map[uint64]chan *peerwire.Envelope
+	broken   bool
+	// receivedAt is the time of the last received bytes and pingedAt that of the last ping, both
+	// since opened.
+	opened               time.Time
+	receivedAt, pingedAt time.Duration
+	// onSilence is called after the link was closed since nothing was received.
+	onSilence func()
 }
 
 func (l *link) isBroken() bool {
@@ -33,19 +33,21 @@
 	return l.broken
 }
 
+// exchange sends a call and returns its answer. If the context ends first, the error is that of the
+// wait or the interrupted write; otherwise it is ErrLinkBroken, after which the link is closed.
 func (l *link) exchange(ctx context.Context, kind peerwire.Kind, body msgpack.RawMessage) (*peerwire.Envelope, error) {
-	call := l.call.Add(1)
+	call := l.lastCall.Add(1)
 	answers := make(chan *peerwire.Envelope, 1)
 	if !l.expect(call, answers) {
 		return nil, ErrLinkBroken
 	}
 	defer l.forget(call)
 	if err := l.writer.write(ctx, &peerwire.Envelope{Call: call, Kind: kind, Body: body}); err != nil {
-		isLeft := errors.Is(err, errNoTurn) || ctx.Err() != nil
-		if !isLeft || errors.Is(err, errFrameCut) {
-			l.fail()
+		gaveUp := errors.Is(err, errBusy) || ctx.Err() != nil
+		if !gaveUp || errors.Is(err, errPartialFrame) {
+			l.close()
 		}
-		if isLeft {
+		if gaveUp {
 			return nil, err
 		}
 		return nil, ErrLinkBroken
@@ -53,10 +55,9 @@
 	return l.await(ctx, answers)
 }
 
-// await waits for the answer to a call that was written, as long as the connection is
-// not silent.
+// await waits for the answer to a call that was written, and checks the link for silence meanwhile.
 func (l *link) await(ctx context.Context, answers chan *peerwire.Envelope) (*peerwire.Envelope, error) {
-	check := time.NewTicker(silenceCheck)
+	check := time.NewTicker(silenceCheckInterval)
 	defer check.Stop()
 	for {
 		select {
@@ -73,51 +74,52 @@
 	}
 }
 
-// checkSilence pings a peer that nothing came from for a while, and ends the link if
-// nothing comes after that either.
+// checkSilence pings the peer if nothing was received for pingDelay, and closes the link if nothing
+// is received within pingTimeout after the ping.
 func (l *link) checkSilence() {
 	l.mutex.Lock()
 	now := time.Since(l.opened)
-	if l.broken || now-l.heard < pingAfter {
+	if l.broken || now-l.receivedAt < pingDelay {
 		l.mutex.Unlock()
 		return
 	}
-	pings := l.pinged <= l.heard
-	if pings {
-		l.pinged = now
+	needsPing := l.pingedAt <= l.receivedAt
+	if needsPing {
+		l.pingedAt = now
 	}
-	dead := now-l.pinged > pingPatience
+	isSilent := now-l.pingedAt > pingTimeout
 	l.mutex.Unlock()
 	switch {
-	case dead:
-		l.fail()
-		l.silent()
-	case pings:
+	case isSilent:
+		l.close()
+		l.onSilence()
+	case needsPing:
 		go l.ping()
 	}
 }
 
-// ping asks for any reply.
+// ping sends a call to which the peer replies, without waiting for the reply.
 func (l *link) ping() {
-	ctx, cancel := context.WithTimeout(context.Background(), pingPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
-	// A ping that can't be written is missing like one that is not answered.
-	if err := l.writer.write(ctx, &peerwire.Envelope{Call: l.call.Add(1), Kind: kindPing}); errors.Is(err, errFrameCut) {
-		l.fail()
+	// A ping that can't be written counts as unanswered, so other errors need no handling.
+	if err := l.writer.write(ctx, &peerwire.Envelope{Call: l.lastCall.Add(1), Kind: kindPing}); errors.Is(err, errPartialFrame) {
+		l.close()
 	}
 }
 
-// Read implements io.Reader and notes that the peer was heard.
+// Read implements io.Reader and records that bytes were received.
 func (l *link) Read(into []byte) (int, error) {
 	count, err := l.writer.connection.Read(into)
 	if count > 0 {
 		l.mutex.Lock()
-		l.heard = time.Since(l.opened)
+		l.receivedAt = time.Since(l.opened)
 		l.mutex.Unlock()
 	}
 	return count, err
 }
 
+// expect registers a call that waits for an answer. It returns false if the link is broken.
 func (l *link) expect(call uint64, answers chan *peerwire.Envelope) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -134,10 +136,10 @@
 	delete(l.pending, call)
 }
 
-// read hands answers to their callers; an answer to a call that was given up,
-// or a second answer, finds none and is dropped.
-func (l *link) read(traffic Traffic) {
-	defer l.fail()
+// readLoop delivers answers to their callers until the connection fails. It drops second answers
+// and those to calls that were given up.
+func (l *link) readLoop(traffic Traffic) {
+	defer l.close()
 	for {
 		envelope, size, err := peerwire.ReadFrame(l)
 		if err != nil {
@@ -156,7 +158,8 @@
 	}
 }
 
-func (l *link) fail() {
+// close closes the connection. Pending calls fail with ErrLinkBroken.
+func (l *link) close() {
 	l.mutex.Lock()
 	pending := l.pending
 	l.pending = nil
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer carries typed calls between nodes over the peerwire protocol.
-// A failed call proves nothing about its effect, unless the error says that
-// no connection could be made.
+// Package peer carries typed calls between nodes over the peerwire protocol. It doesn't retry: after
+// a failed call the peer may have acted on the message, unless no connection could be established.
 package peer
 
 import (
@@ -13,68 +12,69 @@
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
 )
 
-// dialTimeout and writeTimeout bound a stuck peer.
+// Time limits and bounds of a connection.
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// idleTimeout closes a connection that a peer leaves silent; heartbeats are
-	// far more frequent for any connection in use.
+	// idleTimeout closes an accepted connection without calls. Heartbeats on a connection in use are
+	// far more frequent.
 	idleTimeout = 5 * time.Minute
-	// handlersPerConnection bounds the calls of one peer that run at once.
-	handlersPerConnection = 4096
-	// silenceCheck is the time between looks whether a connection with waiting calls is
-	// silent. One that is silent for pingAfter is sent a ping, and is broken if nothing
-	// comes for pingPatience after that: connections may fall silent for good while new
-	// ones work, and the kernel breaks them only after seconds. A place is granted within
-	// 20 ms where one is free; a reply of 1 MB takes 0.4 s on a link of 20 Mbit/s, but its
-	// bytes are heard as they come.
-	silenceCheck = 100 * time.Millisecond
-	pingAfter    = 200 * time.Millisecond
-	pingPatience = 400 * time.Millisecond
+	// maxHandlersPerConnection bounds the concurrent calls on one connection.
+	maxHandlersPerConnection = 4096
+	// silenceCheckInterval is the time between checks of a connection with pending calls. After
+	// pingDelay without received bytes the peer is pinged, and after another pingTimeout the
+	// connection is closed. A connection can become unresponsive while new ones work, and the kernel
+	// detects that only after seconds.
+	silenceCheckInterval = 100 * time.Millisecond
+	pingDelay            = 200 * time.Millisecond
+	pingTimeout          = 400 * time.Millisecond
 )
 
-// SilenceTime is how long a connection has been silent at least when it is given up.
-const SilenceTime = pingAfter + pingPatience
+// SilenceTime is the minimum time without received bytes after which a connection is given up.
+const SilenceTime = pingDelay + pingTimeout
 
-// kindPing is a kind that every version replies to, if only that it has no handler.
+// kindPing is a kind that every version replies to, at least with the error that it has no handler.
 const kindPing = peerwire.KindProbe
 
-// Traffic counts bytes by kind of message. It is safe for concurrent use.
+// Traffic counts bytes by kind of message. Implementations must be safe for concurrent use.
 type Traffic interface {
 	Count(kind peerwire.Kind, out bool, bytes int)
 }
 
-// connectionWriter writes whole frames from several goroutines.
+// connectionWriter writes complete frames from concurrent goroutines.
 type connectionWriter struct {
-	// turn holds one token; who has it may write. Unlike a mutex it can be
-	// waited for within a context, since a write to a stuck peer takes long.
-	turn       chan struct{}
+	// token has one element while a goroutine writes. Unlike a mutex, waiting for it can end with a
+	// context, since a write to an unresponsive peer may take long.
+	token      chan struct{}
 	connection net.Conn
 	traffic    Traffic
 }
 
 var (
-	// errNoTurn means that nothing was written: others kept the connection busy.
-	errNoTurn = errors.New("the connection was busy")
-	// errFrameCut means that a part of a frame was written. The connection is closed: what
-	// followed would be read as the rest of that frame.
-	errFrameCut = errors.New("a frame was cut")
+	// errBusy means that nothing was written, since other writes occupied the connection.
+	errBusy = errors.New("write frame: the connection stayed busy")
+	// errPartialFrame means that a part of a frame was written. The connection is closed, since the
+	// peer would read the next frame as the remainder of that one.
+	errPartialFrame = errors.New("write frame: only a part was written")
 )
 
 func newConnectionWriter(connection net.Conn, traffic Traffic) *connectionWriter {
-	return &connectionWriter{turn: make(chan struct{}, 1), connection: connection, traffic: traffic}
+	return &connectionWriter{token: make(chan struct{}, 1), connection: connection, traffic: traffic}
 }
 
+// write sends one frame. It returns errBusy if the context ends before the write starts, and an
+// error that wraps errPartialFrame if only a part of the frame was written. After any other error
+// nothing was written.
 func (w *connectionWriter) write(ctx context.Context, envelope *peerwire.Envelope) error {
 	select {
-	case w.turn <- struct{}{}:
+	case w.token <- struct{}{}:
 	case <-ctx.Done():
-		return errNoTurn
+		return errBusy
 	}
-	defer func() { <-w.turn }()
+	defer func() { <-w.token }()
 	_ = w.connection.SetWriteDeadline(time.Now().Add(writeTimeout))
-	// A peer that stands still does not hold up a caller that gave up. Whoever writes next
-	// sets a deadline of its own, which this one must not replace.
+	// The end of the context interrupts a blocked write. The wait for interrupted ensures that this
+	// deadline doesn't replace that of the next writer.
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		_ = w.connection.SetWriteDeadline(time.Unix(1, 0))
@@ -89,7 +89,7 @@
 	}
 	if err != nil && size > 0 {
 		_ = w.connection.Close()
-		return fmt.Errorf("%w: %w", errFrameCut, err)
+		return fmt.Errorf("%w: %w", errPartialFrame, err)
 	}
 	return err
 }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -15,62 +15,62 @@
 	"github.com/thornwalk/thornwalk/protocol/peerwire"
 )
 
-// handler answers one kind of call.
-type handler func(ctx context.Context, body msgpack.RawMessage) (answer, error)
+// handler answers calls of one kind.
+type handler func(ctx context.Context, body msgpack.RawMessage) (encodedReply, error)
 
-// answer is an encoded reply. Sent, if it is set, is called once the reply was written,
-// or could not be.
-type answer struct {
+// encodedReply is an encoded reply. If sent is not nil, it is called after the reply was written or
+// the write failed.
+type encodedReply struct {
 	body msgpack.RawMessage
 	sent func()
 }
 
-// Tracked is a reply whose handler has to know when it has left this node: a slow link
-// may take long to carry it. Sent is called once it was written, or could not be.
-type Tracked interface{ Sent() }
+// SendObserver is implemented by replies whose handler must know when they have been sent, as that
+// may take long over a slow link. Sent is called once the reply was written or the write failed.
+type SendObserver interface{ Sent() }
 
 // Server answers calls of peers.
 type Server struct {
 	handlers map[peerwire.Kind]handler
 	traffic  Traffic
-	// sending counts the bytes of replies that are being written or wait for it.
-	sending map[peerwire.Kind]*atomic.Int64
-	inbound inbound
+	// sendingBytes counts the bytes of replies that are queued or being written, by kind.
+	sendingBytes map[peerwire.Kind]*atomic.Int64
+	inbound      inbound
 }
 
-// NewServer returns a server with no handlers. Handlers are added before Serve.
+// NewServer returns a server without handlers. All handlers must be added before Serve. traffic may
+// be nil.
 func NewServer(traffic Traffic) *Server {
-	return &Server{handlers: map[peerwire.Kind]handler{}, traffic: traffic, sending: map[peerwire.Kind]*atomic.Int64{}, inbound: newInbound()}
+	return &Server{handlers: map[peerwire.Kind]handler{}, traffic: traffic, sendingBytes: map[peerwire.Kind]*atomic.Int64{}, inbound: newInbound()}
 }
 
-// OnReplaced sets what is called when a peer opened a connection although an earlier one
-// of it is open, from which nothing came for SilenceTime: it may have given that one up as
-// silent. It is set before Serve.
-func (s *Server) OnReplaced(handle func()) { s.inbound.replaced = handle }
+// OnReplaced sets the function that is called when a peer opens a connection while another of its
+// connections has been silent for SilenceTime, which shows that the peer gave that one up. It must
+// be set before Serve.
+func (s *Server) OnReplaced(handle func()) { s.inbound.onReplaced = handle }
 
-// Sending returns the bytes of replies of the kind that are being written or wait
-// for it.
+// Sending returns the bytes of replies of the kind that are queued or being written.
 func (s *Server) Sending(kind peerwire.Kind) int64 {
-	if bytes, known := s.sending[kind]; known {
+	if bytes, known := s.sendingBytes[kind]; known {
 		return bytes.Load()
 	}
 	return 0
 }
 
-// Handle sets the handler of a kind of call with typed messages.
+// Handle adds the handler for a kind of call. The messages are encoded and decoded by their types.
 func Handle[Request, Reply any](server *Server, kind peerwire.Kind, serve func(context.Context, *Request) (*Reply, error)) {
-	server.sending[kind] = &atomic.Int64{}
-	server.handlers[kind] = func(ctx context.Context, body msgpack.RawMessage) (answer, error) {
+	server.sendingBytes[kind] = &atomic.Int64{}
+	server.handlers[kind] = func(ctx context.Context, body msgpack.RawMessage) (encodedReply, error) {
 		request := new(Request)
 		if err := peerwire.Unmarshal(body, request); err != nil {
-			return answer{}, err
+			return encodedReply{}, err
 		}
 		reply, err := serve(ctx, request)
 		if err != nil {
-			return answer{}, err
+			return encodedReply{}, err
 		}
-		var encoded answer
-		if tracked, is := any(reply).(Tracked); is {
+		var encoded encodedReply
+		if tracked, isObserver := any(reply).(SendObserver); isObserver {
 			encoded.sent = tracked.Sent
 		}
 		encoded.body, err = peerwire.Marshal(reply)
@@ -78,7 +78,8 @@
 	}
 }
 
-// Serve accepts connections until the context ends, which closes them all.
+// Serve accepts connections until the context ends or the listener fails. It returns after all its
+// connections are closed and all handlers have returned.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -98,20 +99,20 @@
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
 	defer cancel()
-	shared := newConnectionWriter(connection, s.traffic)
-	slots := make(chan struct{}, handlersPerConnection)
+	writer := newConnectionWriter(connection, s.traffic)
+	slots := make(chan struct{}, maxHandlersPerConnection)
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer connection.Close()
-	heard := s.inbound.opened(remoteHost(connection))
-	defer s.inbound.closed(remoteHost(connection), heard)
+	lastReceived := s.inbound.add(remoteHost(connection))
+	defer s.inbound.remove(remoteHost(connection), lastReceived)
 	for {
 		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout))
 		envelope, size, err := peerwire.ReadFrame(connection)
-		s.inbound.note(heard)
+		s.inbound.recordReceived(lastReceived)
 		if err != nil {
 			if errors.Is(err, errkind.BadFrame) {
-				klog.ErrorS(err, "peer connection dropped", "remote", connection.RemoteAddr().String())
+				klog.ErrorS(err, "closed peer connection after an invalid frame", "remote", connection.RemoteAddr().String())
 			}
 			cancel()
 			return
@@ -120,7 +121,7 @@
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			s.respond(ctx, shared, envelope)
+			s.respond(ctx, writer, envelope)
 		})
 	}
 }
@@ -130,7 +131,7 @@
 	serve, known := s.handlers[envelope.Kind]
 	switch {
 	case !known && envelope.Kind == kindPing:
-		// The reply itself is the answer.
+		// An empty reply suffices.
 	case !known:
 		reply.Code, reply.Detail = errkind.BadFrame.Code, "no handler for "+envelope.Kind.String()
 	default:
@@ -144,7 +145,7 @@
 			reply.Body = encoded.body
 		}
 		length := int64(len(reply.Body))
-		sending := s.sending[envelope.Kind]
+		sending := s.sendingBytes[envelope.Kind]
 		sending.Add(length)
 		defer sending.Add(-length)
 	}
--- a/transport/replicahttp/doc.go
+++ b/transport/replicahttp/doc.go
@@ -1,10 +1,10 @@
-// Package replicahttp sends requests to replicas over HTTP/1.1 and tells with
-// certainty how far each send came. The standard client is not used, because
-// it resends by itself on kept connections that died.
+// Package replicahttp sends requests to replicas over pooled HTTP/1.1 connections, and its errors show
+// whether a request may have run. It doesn't use the transport of net/http, which resends requests when
+// an idle connection turns out to be closed. It doesn't retry.
 //
 // Guarantees:
-//   - Nothing is written twice: one Exchange writes a request at most once.
+//   - One Exchange writes a request at most once.
 //   - An error of Connect proves that no byte of the request was written.
-//   - An answer that names another request is never returned.
-//   - A connection is kept only after a whole answer with nothing behind it.
+//   - An answer with the ID of another request is never returned.
+//   - A connection is reused only after a complete answer that no further bytes follow.
 package replicahttp
--- a/transport/replicahttp/exchange.go
+++ b/transport/replicahttp/exchange.go
@@ -12,54 +12,58 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// Request is what is written to a replica.
+// Request is a request to a replica.
 type Request struct {
 	Method string
-	// Target is the path and query exactly as the caller sent them.
+	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody is true if a length must be named even for an empty body.
+	// HasBody is true if the request needs a Content-Length even if the body is empty.
 	HasBody bool
-	// IDHeader and ID let answers to other requests be told apart.
+	// IDHeader is the name of the header by which replicas echo the ID of a request. Answers with
+	// another ID are skipped.
 	IDHeader string
 	ID       string
-	// HeadTimeout bounds the wait for the head of the answer; zero means that
-	// only the context does.
+	// HeadTimeout bounds the wait for the head of the answer; zero means that only the context
+	// bounds it. The deadline also applies to reads of the body until SetReadDeadline replaces it.
 	HeadTimeout time.Duration
 }
 
-// Answer is the head of a replica's answer with its body still to be read.
+// Answer is the head of a replica's answer and its unread body. The caller must call Done or
+// Abandon. Reads of the body end with io.EOF only if it is complete.
 type Answer struct {
 	*http.Response
-	conn    *Conn
-	pool    *Pool
-	written chan error
-	stop    func() bool
-	whole   bool
+	conn        *Conn
+	pool        *Pool
+	writeResult chan error
+	stopCancel  func() bool
+	complete    bool
 }
 
-// maximumStray bounds the answers to other requests that are skipped.
-const maximumStray = 3
+// maxAnswerHeads bounds the heads that are read until the answer: provisional responses, answers to
+// other requests and the answer itself.
+const maxAnswerHeads = 3
 
-// maximumStrayBody bounds the bytes of such an answer.
-const maximumStrayBody = 1 << 20
+// maxStrayBodyBytes bounds the body of a skipped answer.
+const maxStrayBodyBytes = 1 << 20
 
-// Exchange writes the request and reads the head of its answer. After an error
-// the request may have run. The end of the context breaks the connection.
+// Exchange writes the request and reads the head of its answer. After an error, of kind
+// OutcomeUnknown, the connection is closed and the request may have run. The end of the context
+// closes the connection.
 func (p *Pool) Exchange(ctx context.Context, conn *Conn, request *Request) (*Answer, error) {
-	answer := &Answer{conn: conn, pool: p, written: make(chan error, 1)}
-	answer.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	answer := &Answer{conn: conn, pool: p, writeResult: make(chan error, 1)}
+	answer.stopCancel = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	head := request.head()
 	if len(request.Body) == 0 {
 		_, err := conn.Write(head)
-		answer.written <- err
+		answer.writeResult <- err
 	} else {
-		// The answer may come before the body was read, so both go on at once.
+		// The answer may arrive before the replica has read the body, so write and read run concurrently.
 		go func() {
 			_, err := conn.Write(append(head, request.Body...))
-			answer.written <- err
+			answer.writeResult <- err
 		}()
 	}
 	if request.HeadTimeout > 0 {
@@ -75,11 +79,11 @@
 	return answer, nil
 }
 
-var errStray = errors.New("the connection holds answers to other requests only")
+var errOnlyStrayAnswers = errors.New("read answer: the connection has only answers to other requests")
 
-// readAnswer reads heads until one names the request.
+// readAnswer reads heads until one has the ID of the request, or none.
 func (c *Conn) readAnswer(request *Request) (*http.Response, error) {
-	for range maximumStray {
+	for range maxAnswerHeads {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return nil, err
@@ -91,17 +95,18 @@
 		if echoed == "" || echoed == request.ID {
 			return response, nil
 		}
-		skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, maximumStrayBody))
+		skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBodyBytes))
 		if err != nil {
 			return nil, err
 		}
-		if skipped == maximumStrayBody || response.Close {
+		if skipped == maxStrayBodyBytes || response.Close {
 			break
 		}
 	}
-	return nil, errStray
+	return nil, errOnlyStrayAnswers
 }
 
+// head returns the encoded request line and headers.
 func (r *Request) head() []byte {
 	var head bytes.Buffer
 	head.Grow(1024)
@@ -114,7 +119,7 @@
 	return head.Bytes()
 }
 
-// bodyReader notes whether the body was read to its end.
+// bodyReader records whether the body was read to its end.
 type bodyReader struct {
 	body   io.ReadCloser
 	answer *Answer
@@ -123,51 +128,51 @@
 func (b *bodyReader) Read(into []byte) (int, error) {
 	count, err := b.body.Read(into)
 	if err == io.EOF {
-		b.answer.whole = true
+		b.answer.complete = true
 	}
 	return count, err
 }
 
 func (b *bodyReader) Close() error { return nil }
 
-// Done ends the exchange: the connection is kept if the answer was whole and
-// nothing else is on it, and closed otherwise.
+// Done ends the exchange. It returns the connection to the pool if the answer was complete and no
+// further bytes follow, and closes it otherwise.
 func (a *Answer) Done() {
-	if !a.stop() || !a.reusable() {
+	if !a.stopCancel() || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
 	_ = a.conn.SetDeadline(time.Time{})
-	a.pool.keep(a.conn, a.Header.Get("Keep-Alive"))
+	a.pool.putIdle(a.conn, a.Header.Get("Keep-Alive"))
 }
 
 func (a *Answer) reusable() bool {
-	if !a.whole || a.Close || a.conn.reader.Buffered() > 0 {
+	if !a.complete || a.Close || a.conn.reader.Buffered() > 0 {
 		return false
 	}
-	// The writer of a body that was read to its end is about to say so.
-	timer := time.NewTimer(writerPatience)
+	// If the replica read the whole body, its write has ended or is about to.
+	timer := time.NewTimer(writeEndTimeout)
 	defer timer.Stop()
 	select {
-	case err := <-a.written:
+	case err := <-a.writeResult:
 		return err == nil
 	case <-timer.C:
 		return false
 	}
 }
 
-// writerPatience is how long the end of an exchange waits for its writer; one
-// that takes longer is held up by a body that the replica does not read.
-const writerPatience = 20 * time.Millisecond
+// writeEndTimeout is how long the end of an exchange waits for the write of the body. A write that
+// takes longer is blocked, since the replica doesn't read the body.
+const writeEndTimeout = 20 * time.Millisecond
 
-// Abandon breaks the connection, by which the replica learns that nobody waits.
+// Abandon closes the connection, which cancels the request at the replica.
 func (a *Answer) Abandon() {
-	a.stop()
+	a.stopCancel()
 	_ = a.conn.Close()
 }
 
-// SetReadDeadline bounds the wait for the next bytes; the zero time unbounds it.
+// SetReadDeadline bounds the wait for the next bytes; the zero time removes the bound.
 func (a *Answer) SetReadDeadline(at time.Time) { _ = a.conn.SetReadDeadline(at) }
 
-// Ended returns whether the error of a read of the body is its proper end.
-func (a *Answer) Ended(err error) bool { return err == io.EOF && a.whole }
+// Ended reports whether the error of a read of the body means that the body is complete.
+func (a *Answer) Ended(err error) bool { return err == io.EOF && a.complete }
--- a/transport/replicahttp/pool.go
+++ b/transport/replicahttp/pool.go
@@ -15,19 +15,20 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Bounds of the pool.
+// Parameters of the pool.
 const (
-	// defaultIdle is how long a connection is kept whose replica names no time.
-	defaultIdle = 4 * time.Second
-	// idleMargin is taken off the time that the replica names.
+	// defaultIdleTimeout applies if the replica's answer has no idle timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout of the replica's answer, so that the connection
+	// is not used while the replica closes it.
 	idleMargin = 1200 * time.Millisecond
-	// maximumIdle bounds the kept connections to one replica.
-	maximumIdle  = 16
-	readBuffer   = 4096
-	keepAliveKey = "timeout="
+	// maxIdlePerReplica bounds the idle connections to one replica.
+	maxIdlePerReplica   = 16
+	readBufferBytes     = 4096
+	keepAliveTimeoutKey = "timeout="
 )
 
-// Pool keeps connections to replicas.
+// Pool keeps idle connections to replicas. It is safe for concurrent use.
 type Pool struct {
 	network network.Network
 	mutex   sync.Mutex
@@ -36,44 +37,45 @@
 	reused  uint64
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. Callers must call Sweep regularly to close expired connections.
 func NewPool(network network.Network) *Pool {
 	return &Pool{network: network, idle: map[string][]*Conn{}}
 }
 
-// Conn is one connection to a replica. It serves one exchange at a time.
+// Conn is a connection to a replica, for one exchange at a time.
 type Conn struct {
 	net.Conn
 	reader *bufio.Reader
 	key    string
-	// Reused is true if an earlier exchange used the connection.
-	Reused  bool
-	idleAt  time.Time
-	idleFor time.Duration
+	// Reused is true if the connection was used by an earlier exchange.
+	Reused      bool
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// Connect returns a kept connection that rested no longer than maximumRest, or
-// a new one. Its error proves that nothing was sent. The key names the replica
-// and its incarnation, so that a reused address gets no old connection.
-func (p *Pool) Connect(ctx context.Context, key, address string, maximumRest time.Duration) (*Conn, error) {
+// Connect returns a connection that has been idle for less than maxIdle and is still open, or a new
+// one. An error, of kind NoReplica, proves that nothing was sent. The key identifies the replica
+// and its incarnation, so that a new replica at a reused address gets no connection of the previous
+// one.
+func (p *Pool) Connect(ctx context.Context, key, address string, maxIdle time.Duration) (*Conn, error) {
 	for {
-		kept := p.take(key)
-		if kept == nil {
+		idle := p.takeIdle(key)
+		if idle == nil {
 			break
 		}
-		if time.Since(kept.idleAt) < min(kept.idleFor, maximumRest) && kept.quiet() {
-			kept.Reused = true
+		if time.Since(idle.idleSince) < min(idle.idleTimeout, maxIdle) && idle.isReusable() {
+			idle.Reused = true
 			p.count(&p.reused)
-			return kept, nil
+			return idle, nil
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
 	p.count(&p.opened)
 	opened, err := p.network.Dial(ctx, address)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.NoReplica, fmt.Errorf("connect to %s: %w", address, err))
 	}
-	return &Conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer), key: key}, nil
+	return &Conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferBytes), key: key}, nil
 }
 
 func (p *Pool) count(counter *uint64) {
@@ -82,92 +84,95 @@
 	p.mutex.Unlock()
 }
 
-// Counts returns how many connections were opened and how often one was reused.
+// Counts returns the numbers of dials and of reuses of idle connections.
 func (p *Pool) Counts() (opened, reused uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened, p.reused
 }
 
-func (p *Pool) take(key string) *Conn {
+// takeIdle removes and returns the most recently used idle connection of the key, or nil.
+func (p *Pool) takeIdle(key string) *Conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[key]
-	if len(kept) == 0 {
+	idle := p.idle[key]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[key] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	p.idle[key] = idle[:len(idle)-1]
 	return last
 }
 
-// keep takes a connection back after a whole answer.
-func (p *Pool) keep(conn *Conn, keepAlive string) {
-	conn.idleFor = idleTime(keepAlive)
-	conn.idleAt = time.Now()
+// putIdle returns a connection to the pool after a complete answer, or closes it if the pool is
+// full for its key or its idle timeout is not positive. keepAlive is the answer's Keep-Alive
+// header.
+func (p *Pool) putIdle(conn *Conn, keepAlive string) {
+	conn.idleTimeout = parseIdleTimeout(keepAlive)
+	conn.idleSince = time.Now()
 	p.mutex.Lock()
-	full := len(p.idle[conn.key]) >= maximumIdle
-	if !full && conn.idleFor > 0 {
+	isFull := len(p.idle[conn.key]) >= maxIdlePerReplica
+	if !isFull && conn.idleTimeout > 0 {
 		p.idle[conn.key] = append(p.idle[conn.key], conn)
 	}
 	p.mutex.Unlock()
-	if full || conn.idleFor <= 0 {
+	if isFull || conn.idleTimeout <= 0 {
 		_ = conn.Close()
 	}
 }
 
-// Sweep closes connections that rested too long.
+// Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep() {
-	p.closeKept(func(conn *Conn) bool { return time.Since(conn.idleAt) >= conn.idleFor })
+	p.closeIdleIf(func(conn *Conn) bool { return time.Since(conn.idleSince) >= conn.idleTimeout })
 }
 
-// Forget closes the kept connections of a replica.
+// Forget closes the idle connections with the key.
 func (p *Pool) Forget(key string) {
 	p.mutex.Lock()
-	kept := p.idle[key]
+	idle := p.idle[key]
 	delete(p.idle, key)
 	p.mutex.Unlock()
-	for _, conn := range kept {
+	for _, conn := range idle {
 		_ = conn.Close()
 	}
 }
 
-// CloseRested closes the kept connections that rested for so long or longer, and returns
-// how many these were.
-func (p *Pool) CloseRested(rested time.Duration) int {
-	return p.closeKept(func(conn *Conn) bool { return time.Since(conn.idleAt) >= rested })
+// CloseRested closes the connections that have been idle for minIdle or longer, and returns how
+// many.
+func (p *Pool) CloseRested(minIdle time.Duration) int {
+	return p.closeIdleIf(func(conn *Conn) bool { return time.Since(conn.idleSince) >= minIdle })
 }
 
-// closeKept closes the kept connections that the function picks.
-func (p *Pool) closeKept(picks func(*Conn) bool) int {
-	var picked []*Conn
+// closeIdleIf closes the idle connections for which the condition is true, and returns how many.
+func (p *Pool) closeIdleIf(condition func(*Conn) bool) int {
+	var closing []*Conn
 	p.mutex.Lock()
-	for key, kept := range p.idle {
-		left := kept[:0]
-		for _, conn := range kept {
-			if picks(conn) {
-				picked = append(picked, conn)
+	for key, idle := range p.idle {
+		remaining := idle[:0]
+		for _, conn := range idle {
+			if condition(conn) {
+				closing = append(closing, conn)
 			} else {
-				left = append(left, conn)
+				remaining = append(remaining, conn)
 			}
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, key)
 		} else {
-			p.idle[key] = left
+			p.idle[key] = remaining
 		}
 	}
 	p.mutex.Unlock()
-	for _, conn := range picked {
+	for _, conn := range closing {
 		_ = conn.Close()
 	}
-	return len(picked)
+	return len(closing)
 }
 
-// idleTime reads the time of a Keep-Alive header and takes the margin off.
-func idleTime(header string) time.Duration {
+// parseIdleTimeout returns the timeout of a Keep-Alive header less the margin, or the default.
+func parseIdleTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
-		text, found := strings.CutPrefix(strings.TrimSpace(strings.ToLower(part)), keepAliveKey)
+		text, found := strings.CutPrefix(strings.TrimSpace(strings.ToLower(part)), keepAliveTimeoutKey)
 		if !found {
 			continue
 		}
@@ -175,29 +180,29 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// quiet returns whether the connection is open and has nothing to read: a
-// close or a stray byte makes it unusable.
-func (c *Conn) quiet() bool {
+// isReusable reports whether the connection is open and has no bytes to read, without blocking. For
+// a connection without a file descriptor it only checks the buffered bytes.
+func (c *Conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	holder, ok := c.Conn.(syscall.Conn)
+	withRaw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := withRaw.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isIdle := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		count, readErr := syscall.Read(int(descriptor), one[:])
-		quiet = count < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
+		var buffer [1]byte
+		count, readErr := syscall.Read(int(descriptor), buffer[:])
+		isIdle = count < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && isIdle
 }
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -15,8 +15,9 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// serve runs a replica on loopback that treats each connection by the function.
-func serve(t *testing.T, treat func(number int, conn net.Conn, reader *bufio.Reader)) string {
+// serve runs a replica on loopback that calls the function for each connection, and returns its
+// address.
+func serve(t *testing.T, handle func(number int, conn net.Conn, reader *bufio.Reader)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 			if err != nil {
 				return
 			}
-			go treat(number, conn, bufio.NewReader(conn))
+			go handle(number, conn, bufio.NewReader(conn))
 		}
 	}()
 	return listener.Addr().String()
@@ -36,6 +37,8 @@
 
 func newPool() *Pool { return NewPool(network.TCP{SilenceLimit: 3 * time.Second}) }
 
+// exchange sends one request and returns its answer, the body, and whether the connection was
+// reused.
 func exchange(t *testing.T, pool *Pool, address string, body string) (*Answer, string, bool, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -60,7 +63,7 @@
 
 func reply(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-const good = "HTTP/1.1 200 OK\r\nId: me\r\nContent-Length: 2\r\n\r\nok"
+const completeAnswer = "HTTP/1.1 200 OK\r\nId: me\r\nContent-Length: 2\r\n\r\nok"
 
 // readRequest reads one request with its body.
 func readRequest(reader *bufio.Reader) bool {
@@ -72,11 +75,12 @@
 	return err == nil
 }
 
-func TestConnectionIsReusedAfterAWholeAnswer(t *testing.T) {
+// After a complete answer the next request must use the same connection.
+func TestConnectionIsReusedAfterACompleteAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for readRequest(reader) {
-			reply(conn, good)
+			reply(conn, completeAnswer)
 		}
 	})
 	pool := newPool()
@@ -89,11 +93,13 @@
 	g.Expect(reused).To(gomega.BeTrue())
 }
 
-func TestConnectionIsNotReusedAfterAnythingElse(t *testing.T) {
+// A connection that is about to be closed, or has bytes of another answer, must not carry another
+// request.
+func TestConnectionIsNotReusedAfterOtherAnswers(t *testing.T) {
 	for name, text := range map[string]string{
-		"surplus answer":   good + good,
-		"close announced":  "HTTP/1.1 200 OK\r\nId: me\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-		"keep alive of 1s": "HTTP/1.1 200 OK\r\nId: me\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok",
+		"surplus answer":    completeAnswer + completeAnswer,
+		"connection: close": "HTTP/1.1 200 OK\r\nId: me\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+		"keep-alive of 1 s": "HTTP/1.1 200 OK\r\nId: me\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -113,20 +119,20 @@
 	}
 }
 
-// A kept connection that the replica closed, or wrote to, is seen before use.
-func TestRestingConnectionIsLookedAtBeforeUse(t *testing.T) {
+// An idle connection that the replica closed or wrote to must not be used again.
+func TestIdleConnectionIsCheckedBeforeUse(t *testing.T) {
 	for name, disturb := range map[string]func(net.Conn){
 		"closed": func(conn net.Conn) { _ = conn.Close() },
-		"late":   func(conn net.Conn) { reply(conn, good) },
+		"late":   func(conn net.Conn) { reply(conn, completeAnswer) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			disturbed, again := make(chan bool), make(chan bool)
+			disturbed, proceed := make(chan bool), make(chan bool)
 			address := serve(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 				for readRequest(reader) {
-					reply(conn, good)
+					reply(conn, completeAnswer)
 					if number == 0 {
-						<-again
+						<-proceed
 						disturb(conn)
 						close(disturbed)
 					}
@@ -135,19 +141,20 @@
 			pool := newPool()
 			_, _, _, err := exchange(t, pool, address, "body")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			close(again)
+			close(proceed)
 			<-disturbed
-			kept := pool.take("replica")
-			g.Eventually(kept.quiet).WithTimeout(10 * time.Second).Should(gomega.BeFalse())
+			idle := pool.takeIdle("replica")
+			g.Eventually(idle.isReusable).WithTimeout(10 * time.Second).Should(gomega.BeFalse())
 		})
 	}
 }
 
+// An answer with the ID of another request must not be returned as this one's.
 func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for readRequest(reader) {
-			reply(conn, strings.Replace(good, "me", "other", 1)+good)
+			reply(conn, strings.Replace(completeAnswer, "me", "other", 1)+completeAnswer)
 		}
 	})
 	answer, content, _, err := exchange(t, newPool(), address, "body")
@@ -156,14 +163,15 @@
 	g.Expect(content).To(gomega.Equal("ok"))
 }
 
-func TestAnswerThatIsCutIsAnError(t *testing.T) {
+// An incomplete or invalid answer must not be returned as complete.
+func TestIncompleteAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"in the body":  "HTTP/1.1 200 OK\r\nId: me\r\nContent-Length: 9\r\n\r\nok",
 		"in a chunk":   "HTTP/1.1 200 OK\r\nId: me\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok",
 		"in the head":  "HTTP/1.1 200 OK\r\nId:",
 		"no head":      "",
 		"other bytes":  "%$#\r\n\r\n",
-		"other answer": strings.Replace(good, "me", "other", 1),
+		"other answer": strings.Replace(completeAnswer, "me", "other", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
@@ -177,23 +185,25 @@
 	}
 }
 
-// A rejection may come before the body was read; the connection must then not
-// carry another request, whose bytes would be taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// A replica may answer before it has read the body. The connection must then not carry another
+// request, as the replica would read its bytes as the remainder of the body.
+func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err == nil {
-			reply(conn, good)
+			reply(conn, completeAnswer)
 		}
 	})
 	pool := newPool()
 	_, content, _, err := exchange(t, pool, address, strings.Repeat("x", 32<<20))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(content).To(gomega.Equal("ok"))
-	g.Expect(pool.take("replica")).To(gomega.BeNil())
+	g.Expect(pool.takeIdle("replica")).To(gomega.BeNil())
 }
 
-func TestFailedConnectProvesThatNothingWasSent(t *testing.T) {
+// A connection that can't be established must fail in Connect, whose error proves that nothing was
+// sent.
+func TestConnectFailsIfNothingListens(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
