--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the settings of both users' deployments at today's
-// sizes, for the demo, the load tool and as a start for one's own.
+// Package examples embeds the settings of two example deployments, for the demo and the load tool and
+// as a template for other deployments.
 package examples
 
 import (
@@ -12,8 +12,8 @@
 //go:embed agency/settings.yaml coop/settings.yaml
 var files embed.FS
 
-// Settings returns the settings of a deployment. The error is of kind NotFound
-// for a name that is not "agency" or "coop".
+// Settings returns the settings of a deployment: "agency" or "coop". For other names the error is
+// of kind NotFound.
 func Settings(deployment string) (*settings.Tree, error) {
 	content, err := files.ReadFile(deployment + "/settings.yaml")
 	if err != nil {
--- a/faultpoint/faultpoint.go
+++ b/faultpoint/faultpoint.go
@@ -1,14 +1,13 @@
-// Package faultpoint names the places in the code where tests inject faults:
-// a pause, a kill or an error just there. Outside tests no injector is set and
-// reaching a point costs one comparison.
+// Package faultpoint defines the points in the code at which tests inject delays, crashes and errors.
+// It injects nothing itself: without an injector, reaching a point costs one comparison.
 package faultpoint
 
 import "context"
 
-// Point names a place.
+// Point identifies a step at which a fault can be injected.
 type Point string
 
-// The points of a request, in the order in which it reaches them.
+// Points of a request, in the order in which it reaches them.
 const (
 	Accept    Point = "accept"
 	Register  Point = "register"
@@ -22,7 +21,7 @@
 	Finish    Point = "finish"
 )
 
-// The points of a settings change.
+// Points of a settings change, in this order.
 const (
 	ChangeRead   Point = "change-read"
 	ChangeWrite  Point = "change-write"
@@ -30,7 +29,7 @@
 	ChangeSpread Point = "change-spread"
 )
 
-// The points of a placement order.
+// Points of a placement order, in this order.
 const (
 	OrderLease Point = "order-lease"
 	OrderCheck Point = "order-check"
@@ -38,21 +37,20 @@
 	OrderDone  Point = "order-done"
 )
 
-// RequestPoints, ChangePoints and OrderPoints list the points by path.
+// RequestPoints, ChangePoints and OrderPoints list the points of each operation.
 var (
 	RequestPoints = []Point{Accept, Register, Queue, Reserve, Claim, Gate, Connect, FirstByte, Stream, Finish}
 	ChangePoints  = []Point{ChangeRead, ChangeWrite, ChangeSwap, ChangeSpread}
 	OrderPoints   = []Point{OrderLease, OrderCheck, OrderSend, OrderDone}
 )
 
-// Injector decides what happens at a point. Reach may block, and its error
-// makes the step fail as the real fault would. The subject names what is under
-// way, such as a request id.
+// Injector injects faults. Reach may block, and its error makes the step fail like a real fault.
+// The subject identifies the operation, such as by a request ID.
 type Injector interface {
 	Reach(ctx context.Context, point Point, subject string) error
 }
 
-// Reach tells the injector, if there is one, that the point is reached.
+// Reach calls the injector and returns its error, or returns nil if there is no injector.
 func Reach(ctx context.Context, injector Injector, point Point, subject string) error {
 	if injector == nil {
 		return nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,6 @@
-// Package clock measures time that goes on while the machine is suspended. The steady clock
-// of the operating system, by which timers and time.Since go, stands still then: a node that
-// was suspended for seconds would take what it holds (news, leases, shares of quotas, places)
-// for as fresh as before, while others have decided in its place.
+// Package clock measures elapsed time including suspensions of the machine. The monotonic clock that
+// timers and time.Since use doesn't advance during a suspension, so a node could not detect that its
+// leases, quota shares and received state have expired meanwhile. The package has no timers.
 package clock
 
 import (
@@ -14,96 +13,97 @@
 )
 
 const (
-	// noise is by how much the readings of two clocks may differ for other reasons than a
-	// suspension: each is taken a moment after the other.
-	noise = 5 * time.Millisecond
-	// wallSlack is by how much the time of day may move against the steady clock until the
-	// boot-time clock is read. Such a look is a system call, and Now is called some twenty
-	// times a request; the other two clocks are read without one. A time of day that was set
-	// costs one look.
-	wallSlack = 20 * time.Millisecond
-	// looks bounds the attempts to read two clocks at the same moment.
-	looks = 4
+	// readTolerance is the difference between readings of two clocks that isn't a suspension, as
+	// they are read one after the other.
+	readTolerance = 5 * time.Millisecond
+	// maxWallDrift is how far wall time may drift from the monotonic clock before Now reads the
+	// boot-time clock. That is a system call, while the other two clocks are read without one, and
+	// Now is called many times per request.
+	maxWallDrift = 20 * time.Millisecond
+	// maxReadAttempts bounds the attempts to read two clocks within readTolerance.
+	maxReadAttempts = 4
 )
 
-// Clock is safe for concurrent use.
+// Clock measures the time since its start, suspensions included. It is safe for concurrent use.
 type Clock struct {
 	started time.Time
-	// boot returns the time since the machine started, suspensions included; base is what it
-	// returned when the clock started.
-	boot func() (time.Duration, error)
-	base time.Duration
-	// wall returns the time of day and steady the steady time since the start.
-	wall   func() time.Time
-	steady func() time.Duration
-	// drift is how far the time of day was ahead of the steady clock at the last look.
-	drift atomic.Int64
-	// suspended is for how long the machine was suspended since the start.
+	// bootTime returns the time since the machine started, suspensions included. bootBase is its
+	// value when the clock started.
+	bootTime func() (time.Duration, error)
+	bootBase time.Duration
+	// wall returns the wall time and monotonic the monotonic time since the clock started.
+	wall      func() time.Time
+	monotonic func() time.Duration
+	// lastDrift is how far wall time was ahead of the monotonic clock at the last read of the
+	// boot-time clock, in nanoseconds.
+	lastDrift atomic.Int64
+	// suspended is how long the machine was suspended since the clock started, in nanoseconds.
 	suspended atomic.Int64
-	looking   sync.Mutex
+	readMutex sync.Mutex
 }
 
-// New starts a clock at zero. The error says that the machine's boot-time clock can't be
-// read; the clock then goes as the steady one does.
+// New starts a clock at zero. An error means that the machine's boot-time clock can't be read; the
+// returned clock is usable, but doesn't include suspensions.
 func New() (*Clock, error) {
 	started := time.Now()
-	c := &Clock{started: started, boot: bootTime, wall: time.Now, steady: func() time.Duration { return time.Since(started) }}
+	c := &Clock{started: started, bootTime: readBootTime, wall: time.Now, monotonic: func() time.Duration { return time.Since(started) }}
 	return c, c.start()
 }
 
 func (c *Clock) start() error {
 	var err error
-	if c.base, err = c.boot(); err != nil {
-		return fmt.Errorf("boot-time clock: %w", err)
+	if c.bootBase, err = c.bootTime(); err != nil {
+		return fmt.Errorf("read boot-time clock: %w", err)
 	}
-	c.base -= c.steady()
-	c.drift.Store(c.driftNow())
+	c.bootBase -= c.monotonic()
+	c.lastDrift.Store(c.currentDrift())
 	return nil
 }
 
-// bootTime reads CLOCK_BOOTTIME.
-func bootTime() (time.Duration, error) {
+// readBootTime reads CLOCK_BOOTTIME.
+func readBootTime() (time.Duration, error) {
 	var reading unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading)
 	return time.Duration(reading.Nano()), err
 }
 
-// Now returns the time since the start, that of suspensions included.
+// Now returns the time since the clock started, suspensions included.
 func (c *Clock) Now() time.Duration {
-	if moved := c.driftNow() - c.drift.Load(); moved > int64(wallSlack) || moved < -int64(wallSlack) {
+	if moved := c.currentDrift() - c.lastDrift.Load(); moved > int64(maxWallDrift) || moved < -int64(maxWallDrift) {
 		c.Look()
 	}
-	return c.steady() + time.Duration(c.suspended.Load())
+	return c.monotonic() + time.Duration(c.suspended.Load())
 }
 
-// driftNow returns by how much the time of day is ahead of the steady clock, in nanoseconds.
-func (c *Clock) driftNow() int64 {
-	return c.wall().UnixNano() - c.started.UnixNano() - int64(c.steady())
+// currentDrift returns how far wall time is ahead of the monotonic clock, in nanoseconds.
+func (c *Clock) currentDrift() int64 {
+	return c.wall().UnixNano() - c.started.UnixNano() - int64(c.monotonic())
 }
 
-// Look reads the boot-time clock. Now does so by itself when the time of day moves against
-// the steady clock; who waits anyway calls it for the rare case that the time of day was set
-// back by as much as the suspension took.
+// Look reads the boot-time clock. Now calls it when wall time drifted. Callers may call it at
+// regular intervals, which also detects a suspension during which the wall time was set back by the
+// same time.
 func (c *Clock) Look() {
-	c.looking.Lock()
-	defer c.looking.Unlock()
-	c.drift.Store(c.driftNow())
-	for range looks {
-		before := c.steady()
-		reading, err := c.boot()
-		after := c.steady()
+	c.readMutex.Lock()
+	defer c.readMutex.Unlock()
+	c.lastDrift.Store(c.currentDrift())
+	for range maxReadAttempts {
+		before := c.monotonic()
+		reading, err := c.bootTime()
+		after := c.monotonic()
 		if err != nil {
-			return // New has told that it can't be read
+			return // New returned this error
 		}
-		if after-before > noise {
-			continue // this thread stood still between the readings
+		if after-before > readTolerance {
+			continue // the thread was not scheduled between the readings
 		}
-		if suspended := reading - c.base - before; suspended > time.Duration(c.suspended.Load())+noise {
+		if suspended := reading - c.bootBase - before; suspended > time.Duration(c.suspended.Load())+readTolerance {
 			c.suspended.Store(int64(suspended))
 		}
 		return
 	}
 }
 
-// Suspended returns for how long the machine was suspended since the start.
+// Suspended returns how long the machine was suspended since the clock started, as of the last read
+// of the boot-time clock.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,32 +7,35 @@
 	"github.com/onsi/gomega"
 )
 
-// machine has the three clocks of a machine.
+// machine simulates the three clocks of a machine.
 type machine struct {
-	wall                 time.Time
-	steady, boot         time.Duration
-	looks                int
-	stallBeforeBootRead  time.Duration
-	stalledReadsThatLeft int
+	wall               time.Time
+	monotonic, boot    time.Duration
+	bootReads          int
+	stallAfterBootRead time.Duration
+	stalledReadsLeft   int
 }
 
-func (m *machine) pass(duration time.Duration) {
-	m.wall, m.steady, m.boot = m.wall.Add(duration), m.steady+duration, m.boot+duration
+// advance moves all clocks.
+func (m *machine) advance(duration time.Duration) {
+	m.wall, m.monotonic, m.boot = m.wall.Add(duration), m.monotonic+duration, m.boot+duration
 }
 
+// suspend moves all clocks except the monotonic one.
 func (m *machine) suspend(duration time.Duration) {
 	m.wall, m.boot = m.wall.Add(duration), m.boot+duration
 }
 
-func (m *machine) clock(g *gomega.WithT) *Clock {
+// newClock starts a clock on the simulated machine.
+func (m *machine) newClock(g *gomega.WithT) *Clock {
 	started := m.wall
-	c := &Clock{started: started, wall: func() time.Time { return m.wall }, steady: func() time.Duration { return m.steady }}
-	c.boot = func() (time.Duration, error) {
-		m.looks++
-		if m.stalledReadsThatLeft > 0 {
-			m.stalledReadsThatLeft--
+	c := &Clock{started: started, wall: func() time.Time { return m.wall }, monotonic: func() time.Duration { return m.monotonic }}
+	c.bootTime = func() (time.Duration, error) {
+		m.bootReads++
+		if m.stalledReadsLeft > 0 {
+			m.stalledReadsLeft--
 			reading := m.boot
-			m.pass(m.stallBeforeBootRead)
+			m.advance(m.stallAfterBootRead)
 			return reading, nil
 		}
 		return m.boot, nil
@@ -41,35 +44,38 @@
 	return c
 }
 
-func TestTheClockGoesOnWhileTheMachineIsSuspended(t *testing.T) {
+// The time of suspensions must be included.
+func TestClockIncludesSuspensions(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0), boot: time.Hour}
-	c := m.clock(g)
-	m.pass(time.Second)
+	c := m.newClock(g)
+	m.advance(time.Second)
 	g.Expect(c.Now()).To(gomega.Equal(time.Second))
 	m.suspend(3 * time.Second)
 	g.Expect(c.Now()).To(gomega.Equal(4 * time.Second))
-	m.pass(time.Second)
+	m.advance(time.Second)
 	m.suspend(2 * time.Second)
 	g.Expect(c.Now()).To(gomega.Equal(7 * time.Second))
 	g.Expect(c.Suspended()).To(gomega.Equal(5 * time.Second))
 }
 
-func TestATimeOfDayThatIsSetDoesNotMoveTheClock(t *testing.T) {
+// A change of the wall time must not be counted as a suspension.
+func TestSettingTheWallTimeDoesNotMoveTheClock(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
-	c := m.clock(g)
+	c := m.newClock(g)
 	for _, step := range []time.Duration{2 * time.Second, -5 * time.Second} {
 		m.wall = m.wall.Add(step)
-		m.pass(time.Second)
+		m.advance(time.Second)
 	}
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
-func TestASuspensionThatATimeOfDayHidesIsFoundByALook(t *testing.T) {
+// Now can't detect a suspension if the wall time is set back by the same time; Look must.
+func TestLookFindsASuspensionHiddenByTheWallTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
-	c := m.clock(g)
+	c := m.newClock(g)
 	m.suspend(2 * time.Second)
 	m.wall = m.wall.Add(-2 * time.Second)
 	g.Expect(c.Now()).To(gomega.BeZero())
@@ -77,44 +83,45 @@
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
-// The boot-time clock is not asked for while nothing happens: that is a system call.
-func TestTheBootTimeClockIsReadOnlyWhenTheTimeOfDayMoved(t *testing.T) {
+// Now must not read the boot-time clock without need, since that is a system call.
+func TestBootTimeClockIsReadOnlyIfTheWallTimeDrifted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
-	c := m.clock(g)
-	before := m.looks
+	c := m.newClock(g)
+	before := m.bootReads
 	for range 1000 {
-		m.pass(time.Millisecond)
+		m.advance(time.Millisecond)
 		c.Now()
 	}
-	g.Expect(m.looks).To(gomega.Equal(before))
+	g.Expect(m.bootReads).To(gomega.Equal(before))
 }
 
-// A thread that stands still between two readings must not be taken for a suspension, which
-// would stay in the clock for ever.
-func TestAThreadThatStoodStillIsNoSuspension(t *testing.T) {
+// A thread that is not scheduled between two readings must not be counted as a suspension, which
+// would remain in the clock for good.
+func TestUnscheduledThreadIsNoSuspension(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
-	c := m.clock(g)
-	m.stalledReadsThatLeft, m.stallBeforeBootRead = 2, time.Second
+	c := m.newClock(g)
+	m.stalledReadsLeft, m.stallAfterBootRead = 2, time.Second
 	c.Look()
 	g.Expect(c.Suspended()).To(gomega.BeZero())
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
-func TestTheRealClockGoesAsTheSteadyOne(t *testing.T) {
+// Without a suspension, the clock of the operating system must advance as the monotonic one.
+func TestSystemClockAdvancesAsTheMonotonicClock(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c, err := New()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	// Each reading of the clock lies between two of the steady one, however long this thread
-	// stands still between them.
-	before := time.Now()
-	begun := c.Now()
-	after := time.Now()
+	// Each reading of the clock lies between two of the monotonic one, so delays of this thread don't
+	// matter.
+	beforeFirst := time.Now()
+	start := c.Now()
+	afterFirst := time.Now()
 	time.Sleep(20 * time.Millisecond)
 	c.Look()
-	beforeEnd := time.Now()
-	passed := c.Now() - begun
-	g.Expect(passed).To(gomega.BeNumerically(">=", beforeEnd.Sub(after)-noise))
-	g.Expect(passed).To(gomega.BeNumerically("<=", time.Since(before)+noise))
+	beforeSecond := time.Now()
+	passed := c.Now() - start
+	g.Expect(passed).To(gomega.BeNumerically(">=", beforeSecond.Sub(afterFirst)-readTolerance))
+	g.Expect(passed).To(gomega.BeNumerically("<=", time.Since(beforeFirst)+readTolerance))
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command runs a command line to its exit code.
+// Package command runs the command line of a program.
 package command
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Run parses the program's arguments and runs the command that they name, until
-// it ends or a signal ends its context. It does not return on failure.
+// Run parses the program's arguments and runs the selected command. An interrupt or SIGTERM cancels
+// the command's context. On failure it prints the error to standard error and exits with code 1.
 func Run(root *ffcli.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -11,31 +11,33 @@
 	"github.com/onsi/gomega"
 )
 
-// stalled is a writer that never returns until it is released.
-type stalled struct{ release chan struct{} }
+// stalledWriter blocks until it is released.
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(content []byte) (int, error) {
+func (s stalledWriter) Write(content []byte) (int, error) {
 	<-s.release
 	return len(content), nil
 }
 
-func TestReaderThatStallsNeverBlocksAndIsCounted(t *testing.T) {
+// A blocked writer must not block Write, and the lost events must be counted.
+func TestBlockedWriterDropsEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		writer := stalled{release: make(chan struct{})}
+		writer := stalledWriter{release: make(chan struct{})}
 		log := New("n", writer)
-		const lines = 3 * capacity
+		const lines = 3 * queueCapacity
 		for range lines {
 			log.Write(Event{Kind: "x", Detail: strings.Repeat("y", 100)})
 		}
 		synctest.Wait()
-		g.Expect(log.Lost()).To(gomega.BeNumerically(">", lines-2*capacity))
+		g.Expect(log.Lost()).To(gomega.BeNumerically(">", lines-2*queueCapacity))
 		close(writer.release)
 		log.Close()
 	})
 }
 
-func TestLinesAreJSONAndWrittenAtTheEnd(t *testing.T) {
+// Close must write the queued events.
+func TestCloseWritesQueuedEventsAsJSON(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var buffer bytes.Buffer
 	log := New("n", &buffer)
@@ -50,15 +52,15 @@
 	g.Expect(event.Node).To(gomega.Equal("n"))
 }
 
-// A burst of ten times the usual must not cost ten times the lines, and the lines
-// of one request are kept or left out together.
-func TestRequestsThatWentWellAreSampledUnderLoad(t *testing.T) {
+// At ten times the maximum rate a tenth of the successful requests must be kept, always the same
+// ones, and all of them once the load is back to normal.
+func TestSuccessfulRequestsAreSampledUnderLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := New("n", nil)
 	defer log.Close()
 	g.Expect(log.Keep("any")).To(gomega.BeTrue())
-	log.LeftOut(10 * linesASecond)
-	g.Expect(log.sampler.adjust()).To(gomega.BeEquivalentTo(10 * linesASecond))
+	log.LeftOut(10 * maxLinesPerSecond)
+	g.Expect(log.sampler.adjust()).To(gomega.BeEquivalentTo(10 * maxLinesPerSecond))
 	kept := 0
 	for i := range 2000 {
 		id := fmt.Sprint("request", i)
@@ -69,5 +71,5 @@
 	}
 	g.Expect(kept).To(gomega.BeNumerically("~", 200, 60))
 	log.sampler.adjust()
-	g.Expect(log.Keep("any")).To(gomega.BeTrue(), "quiet again")
+	g.Expect(log.Keep("any")).To(gomega.BeTrue(), "load is back to normal")
 }
--- a/internal/eventlog/sampler.go
+++ b/internal/eventlog/sampler.go
@@ -6,44 +6,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the lines of requests that went well.
+// Parameters of the sampling of requests that succeeded.
 const (
-	// linesASecond is the rate of lines above which such requests are sampled.
-	linesASecond = 400
-	// wholeShare is the share, in thousandths, at which every request is kept.
-	wholeShare = 1000
-	// leastShare is the least share that is kept however many lines there are.
-	leastShare = 5
+	// maxLinesPerSecond is the rate of lines above which such requests are sampled.
+	maxLinesPerSecond = 400
+	// fullShare is the share at which every request is kept; shares are in thousandths.
+	fullShare = 1000
+	// minShare is the share that is always kept.
+	minShare = 5
 )
 
-// sampler decides which requests that went well are told. It goes by the
-// request's id, so that all lines of a request are kept or none, on every node
-// that keeps as many.
+// sampler selects the successful requests whose lines are written. The selection depends on the
+// request's ID only, so that nodes with the same share select the same requests and all lines of a
+// request are kept or none.
 type sampler struct {
 	offered atomic.Int64
-	left    atomic.Int64
+	leftOut atomic.Int64
 	share   atomic.Int64
 }
 
-// Keep returns whether the lines of a request that went well are to be written.
-// Those of all others always are.
+// Keep reports whether the lines of a successful request are to be written. Lines of other requests
+// are always written.
 func (l *Log) Keep(request string) bool {
-	return int64(xxhash.Sum64String(request)%wholeShare) < l.sampler.share.Load()
+	return int64(xxhash.Sum64String(request)%fullShare) < l.sampler.share.Load()
 }
 
-// LeftOut counts lines that were not written as their request was not kept.
+// LeftOut counts lines that were not written because their request was not selected.
 func (l *Log) LeftOut(lines int) {
 	l.sampler.offered.Add(int64(lines))
-	l.sampler.left.Add(int64(lines))
+	l.sampler.leftOut.Add(int64(lines))
 }
 
-// adjust sets the share for the next second by the lines of the last one, and
-// returns how many lines were left out.
+// adjust sets the share by the number of lines since the last call, one second ago, and returns how
+// many of them were left out.
 func (s *sampler) adjust() int64 {
-	share := int64(wholeShare)
-	if offered := s.offered.Swap(0); offered > linesASecond {
-		share = max(leastShare, wholeShare*linesASecond/offered)
+	share := int64(fullShare)
+	if offered := s.offered.Swap(0); offered > maxLinesPerSecond {
+		share = max(minShare, fullShare*maxLinesPerSecond/offered)
 	}
 	s.share.Store(share)
-	return s.left.Swap(0)
+	return s.leftOut.Swap(0)
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes klog write JSON lines.
+// Package logging configures the output of klog. Both functions replace the process-wide logger.
 package logging
 
 import (
@@ -8,9 +8,8 @@
 	"k8s.io/klog/v2"
 )
 
-// ToJSON sends everything that is logged to the writer as JSON, one line each.
-// Verbosity 0 logs decisions and changes, 1 also passing faults, 2 every failed
-// call of a peer.
+// ToJSON makes klog write JSON to the writer, one line per message. Verbosity 0 logs decisions and
+// changes, 1 also transient faults, 2 also every failed call of a peer.
 func ToJSON(writer io.Writer, verbosity int) error {
 	level := slog.Level(-verbosity)
 	klog.SetSlogLogger(slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: level})))
@@ -18,9 +17,10 @@
 	return flags.Set(levelText(verbosity))
 }
 
-// Discard drops everything that is logged.
+// Discard drops all klog output.
 func Discard() { klog.SetSlogLogger(slog.New(slog.DiscardHandler)) }
 
+// levelText returns the verbosity as a digit, clamped to 0 and 9.
 func levelText(verbosity int) string {
 	const digits = "0123456789"
 	return string(digits[max(0, min(verbosity, len(digits)-1))])
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has a pause that ends with its context.
+// Package wait sleeps with cancellation by a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for the duration and returns false if the context ended first.
+// For sleeps for the duration and returns true, or returns false as soon as the context ends.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is the client of the operators' interface of a node, for the
-// command line and for programs.
+// Package operator is the client of a node's operator API, for the command line and for programs. It
+// doesn't retry.
 package operator
 
 import (
@@ -19,19 +19,20 @@
 	"github.com/thornwalk/thornwalk/state/settings"
 )
 
-// timeout bounds a call; a change of the settings may take most of it.
-const timeout = 15 * time.Second
+// callTimeout bounds a call; a change of the settings may take most of it.
+const callTimeout = 15 * time.Second
 
-// Client talks to one node.
+// Client calls one node. It is safe for concurrent use. Errors of the node are of type *Error if
+// their kind is known; PeerUnavailable means that the node can't be reached.
 type Client struct {
 	address string
 	token   string
 	http    *http.Client
 }
 
-// New returns a client of the node whose operators' interface is at the address.
+// New returns a client of the node whose operator API is at the address.
 func New(address, token string) *Client {
-	return &Client{address: address, token: token, http: &http.Client{Timeout: timeout}}
+	return &Client{address: address, token: token, http: &http.Client{Timeout: callTimeout}}
 }
 
 // Status returns the node's state.
@@ -39,18 +40,17 @@
 	return get[node.Status](ctx, c, node.PathOperatorStatus)
 }
 
-// EntryStatus returns the state of an entry daemon, which serves it to anybody who reaches
-// its operators' address.
+// EntryStatus returns the state of an entry daemon. Its status needs no token.
 func (c *Client) EntryStatus(ctx context.Context) (*entry.Status, error) {
 	return get[*entry.Status](ctx, c, entry.PathStatus)
 }
 
-// Lift lets a request be sent again that an entry daemon bars.
-func (c *Client) Lift(ctx context.Context, content string) error {
-	return c.do(ctx, http.MethodPost, entry.PathUnblock+url.PathEscape(content), nil, nil)
+// Lift unblocks a poison request at an entry daemon, by its fingerprint.
+func (c *Client) Lift(ctx context.Context, fingerprint string) error {
+	return c.do(ctx, http.MethodPost, entry.PathUnblock+url.PathEscape(fingerprint), nil, nil)
 }
 
-// Peers returns the members of the zone as the node sees them.
+// Peers returns the nodes of the zone as the node sees them.
 func (c *Client) Peers(ctx context.Context) ([]node.Peer, error) {
 	return get[[]node.Peer](ctx, c, node.PathOperatorPeers)
 }
@@ -60,12 +60,12 @@
 	return get[[]node.Backend](ctx, c, node.PathOperatorBackends)
 }
 
-// Explain returns the node's decisions on a request.
+// Explain returns the node's decisions on the request.
 func (c *Client) Explain(ctx context.Context, requestID string) ([]node.Decision, error) {
 	return get[[]node.Decision](ctx, c, node.PathOperatorExplain+url.PathEscape(requestID))
 }
 
-// Settings returns the tree in force at the node, its generation and the last
+// Settings returns the node's active settings, and the reply with their generation and the latest
 // changes.
 func (c *Client) Settings(ctx context.Context) (*settings.Tree, node.SettingsReply, error) {
 	reply, err := get[node.SettingsReply](ctx, c, node.PathOperatorSettings)
@@ -75,7 +75,7 @@
 	return settings.NewTree(reply.Branches...), reply, nil
 }
 
-// Change asks for a change and returns its record once it is accepted.
+// Change submits a change of the settings and returns its record once it is accepted.
 func (c *Client) Change(ctx context.Context, change settingsync.Change) (settingsync.ChangeRecord, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -86,12 +86,13 @@
 	return reply.Record, err
 }
 
-// Spread returns how far a generation has spread, as the node has heard.
+// Spread returns, by zone, how far a generation of the settings has been disseminated, as known to
+// the node.
 func (c *Client) Spread(ctx context.Context, generation uint64) ([]node.ZoneSpread, error) {
 	return get[[]node.ZoneSpread](ctx, c, fmt.Sprintf("%s?generation=%d", node.PathOperatorSpread, generation))
 }
 
-// Drain begins a planned stop of the node.
+// Drain starts a planned stop of the node.
 func (c *Client) Drain(ctx context.Context) error {
 	return c.do(ctx, http.MethodPost, node.PathOperatorDrain, nil, nil)
 }
@@ -107,11 +108,11 @@
 	if err != nil {
 		return err
 	}
-	request.GetBody = nil // never sent twice by itself
+	request.GetBody = nil // prevents net/http from resending
 	request.Header.Set("Authorization", "Bearer "+c.token)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errkind.New(errkind.PeerUnavailable, "node at %s: %v", c.address, err)
+		return errkind.New(errkind.PeerUnavailable, "call node at %s: %v", c.address, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
@@ -126,7 +127,7 @@
 func remoteError(response *http.Response) error {
 	var body openai.ErrorBody
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
-		return fmt.Errorf("status %s", response.Status)
+		return fmt.Errorf("call node: status %s", response.Status)
 	}
 	kind, known := errkind.ByCode(body.Error.Code)
 	if !known {
@@ -135,7 +136,7 @@
 	return &Error{Kind: kind, Message: body.Error.Message}
 }
 
-// Error is an error of the node; its message names the remedy.
+// Error is an error that the node returned. Its message names the remedy.
 type Error struct {
 	Kind    *errkind.Kind
 	Message string
@@ -144,5 +145,5 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// Unwrap lets errors.Is match the kind.
+// Unwrap returns the kind, for errors.Is.
 func (e *Error) Unwrap() error { return e.Kind }
--- a/operator/story/story.go
+++ b/operator/story/story.go
@@ -1,6 +1,5 @@
-// Package story joins the log lines of several nodes into what happened to one
-// request: every decision that touched it, and what the nodes believed about
-// the replicas and the scheduling node that the decisions name.
+// Package story combines the event logs of several nodes into the history of one request: the
+// decisions on it, and the state changes of the replicas and nodes involved.
 package story
 
 import (
@@ -15,22 +14,24 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// maximumLine bounds one log line in bytes.
-const maximumLine = 1 << 20
+// maxLineBytes bounds one log line.
+const maxLineBytes = 1 << 20
 
-// beliefs are the kinds of lines that are told beside the request's own if they
-// name a replica or node of its lines.
-var beliefs = map[string]bool{"replica": true, "peer": true, "scheduler": true, "process.start": true, "process.stop": true, "process.paused": true, "store": true}
+// relatedKinds are the kinds of events that belong to a story if they are about a replica or node
+// that takes part in the request.
+var relatedKinds = map[string]bool{"replica": true, "peer": true, "scheduler": true, "process.start": true, "process.stop": true, "process.paused": true, "store": true}
 
-// Story is one request's lines, in the order of time.
+// Story is the history of one request.
 type Story struct {
-	// Request holds the request's own lines and Beliefs those about what they name.
+	// Request has the events of the request itself, Related those about the replicas, the nodes and
+	// the fingerprint that they name. Both are sorted by time.
 	Request []eventlog.Event
-	Beliefs []eventlog.Event
+	Related []eventlog.Event
 }
 
-// Read collects the lines of the request. Text before the first brace of a line
-// is passed over, as log collectors put names there.
+// Read collects the events of the request with the ID from the logs. Text before the first brace of
+// a line is ignored, since log collectors add prefixes, and so are lines that are not events. It
+// returns an error if a log can't be read or no line has the ID.
 func Read(id string, readers ...io.Reader) (*Story, error) {
 	var all []eventlog.Event
 	for _, reader := range readers {
@@ -42,26 +43,26 @@
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Time < all[j].Time })
 	story := &Story{}
-	named := map[string]bool{}
-	contents := map[string]bool{}
+	participants := map[string]bool{}
+	fingerprints := map[string]bool{}
 	for _, event := range all {
 		if event.Request == id {
-			contents[event.Content] = true
+			fingerprints[event.Content] = true
 			story.Request = append(story.Request, event)
-			named[event.Replica], named[event.Peer], named[event.Node] = true, true, true
+			participants[event.Replica], participants[event.Peer], participants[event.Node] = true, true, true
 		}
 	}
-	delete(named, "")
-	delete(contents, "")
+	delete(participants, "")
+	delete(fingerprints, "")
 	if len(story.Request) == 0 {
 		return nil, fmt.Errorf("no line names the request %q: give the logs of every node, and the id of the try", id)
 	}
 	for _, event := range all {
-		if event.Kind == "content" && contents[event.Content] {
-			story.Beliefs = append(story.Beliefs, event) // whichever node saw it
+		if event.Kind == "content" && fingerprints[event.Content] {
+			story.Related = append(story.Related, event) // from every node
 		}
-		if beliefs[event.Kind] && named[event.Node] && (named[event.Replica] || named[event.Peer] || event.Replica == "" && event.Peer == "") {
-			story.Beliefs = append(story.Beliefs, event)
+		if relatedKinds[event.Kind] && participants[event.Node] && (participants[event.Replica] || participants[event.Peer] || event.Replica == "" && event.Peer == "") {
+			story.Related = append(story.Related, event)
 		}
 	}
 	return story, nil
@@ -70,7 +71,7 @@
 func parse(reader io.Reader) ([]eventlog.Event, error) {
 	var events []eventlog.Event
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(nil, maximumLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		start := bytes.IndexByte(line, '{')
@@ -85,22 +86,22 @@
 	return events, scanner.Err()
 }
 
-// recentBeliefs is how many lines about each named thing are told.
-const recentBeliefs = 12
+// maxRelatedEvents bounds the related events that Write prints; it prints the latest.
+const maxRelatedEvents = 12
 
-// Write tells the story in plain lines, the cause last.
+// Write prints the events up to the request's last one as text, then the cause.
 func (s *Story) Write(writer io.Writer) {
 	last := s.Request[len(s.Request)-1]
-	var before []eventlog.Event
-	for _, event := range s.Beliefs {
+	var related []eventlog.Event
+	for _, event := range s.Related {
 		if event.Time <= last.Time {
-			before = append(before, event)
+			related = append(related, event)
 		}
 	}
-	if len(before) > recentBeliefs {
-		before = before[len(before)-recentBeliefs:]
+	if len(related) > maxRelatedEvents {
+		related = related[len(related)-maxRelatedEvents:]
 	}
-	lines := append(before, s.Request...)
+	lines := append(related, s.Request...)
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time < lines[j].Time })
 	for _, event := range lines {
 		fmt.Fprintln(writer, Line(event))
@@ -108,7 +109,7 @@
 	fmt.Fprintln(writer, s.Cause())
 }
 
-// Line returns one event in words.
+// Line returns one event as text.
 func Line(event eventlog.Event) string {
 	text := fmt.Sprintf("%s %s %s", event.Time, event.Node, event.Kind)
 	for _, part := range []struct{ name, value string }{
@@ -133,7 +134,7 @@
 	return text
 }
 
-// remedies say what a reason of a refusal or failure means for an operator.
+// remedies explains the reasons of rejections and failures to operators.
 var remedies = map[string]string{
 	"quota":                 "the tenant was over its quota over all nodes: raise it or tell the tenant",
 	"backlog":               "the request would have been late; it was told to come back: add replicas",
@@ -157,7 +158,8 @@
 	"body-unreadable":       "the body was malformed or cut by the caller",
 }
 
-// Cause names the outcome and the rule that decided it.
+// Cause returns the outcome of the request, the replicas that it was sent to, and the reason with
+// its remedy.
 func (s *Story) Cause() string {
 	last := s.Request[len(s.Request)-1]
 	var tried []string
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -140,7 +140,8 @@
 	// daemon sets neither it nor the next four headers: it only removes them from callers'
 	// requests.
 	Reservation string
-	// CacheRetention is how long the replica keeps the KV cache of a finished request, in milliseconds.
+	// CacheRetention is how long the replica keeps the KV cache of a finished request, in
+	// milliseconds.
 	CacheRetention string
 	// CacheBackupAddress is the address of a replica that receives a copy of the KV cache while the
 	// request runs.
--- a/transport/etcdstore/etcdstore.go
+++ b/transport/etcdstore/etcdstore.go
@@ -151,12 +151,12 @@
 	if err != nil {
 		return nil, errkind.Wrap(errkind.BadRequest, err)
 	}
-	message, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+path, bytes.NewReader(content))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+path, bytes.NewReader(content))
 	if err != nil {
 		return nil, errkind.Wrap(errkind.BadRequest, err)
 	}
-	message.Header.Set("Content-Type", "application/json")
-	response, err := c.sender.Send(ctx, c.address, message)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	response, err := c.sender.Send(ctx, c.address, httpRequest)
 	if errors.Is(err, oneshot.ErrNotSent) {
 		return nil, errkind.Wrap(errkind.StoreUnavailable, err)
 	}
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -112,7 +112,7 @@
 		s.inbound.recordReceived(lastReceived)
 		if err != nil {
 			if errors.Is(err, errkind.BadFrame) {
-				klog.ErrorS(err, "closed peer connection after an invalid frame", "remote", connection.RemoteAddr().String())
+				klog.ErrorS(err, "closing peer connection after an invalid frame", "remote", connection.RemoteAddr().String())
 			}
 			cancel()
 			return
--- a/transport/replicahttp/doc.go
+++ b/transport/replicahttp/doc.go
@@ -1,6 +1,6 @@
-// Package replicahttp sends requests to replicas over pooled HTTP/1.1 connections, and its errors show
-// whether a request may have run. It doesn't use the transport of net/http, which resends requests when
-// an idle connection turns out to be closed. It doesn't retry.
+// Package replicahttp sends requests to replicas over pooled HTTP/1.1 connections, and its errors
+// show whether a request may have run. It doesn't use the transport of net/http, which resends
+// requests when an idle connection turns out to be closed. It doesn't retry.
 //
 // Guarantees:
 //   - One Exchange writes a request at most once.
--- a/transport/replicahttp/exchange.go
+++ b/transport/replicahttp/exchange.go
@@ -60,7 +60,8 @@
 		_, err := conn.Write(head)
 		answer.writeResult <- err
 	} else {
-		// The answer may arrive before the replica has read the body, so write and read run concurrently.
+		// The answer may arrive before the replica has read the body, so write and read run
+		// concurrently.
 		go func() {
 			_, err := conn.Write(append(head, request.Body...))
 			answer.writeResult <- err
