--- a/cmd/thornwalk-lab/capacity.go
+++ b/cmd/thornwalk-lab/capacity.go
@@ -10,6 +10,7 @@
 	"github.com/thornwalk/thornwalk/lab/capacity"
 )
 
+// capacityCommand prints the capacity tables, from recorded results of the fleet command.
 func capacityCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("capacity", flag.ExitOnError)
 	folder := flags.String("measurements", "docs/measurements", "folder of recorded runs of fleet")
--- a/cmd/thornwalk-lab/demo.go
+++ b/cmd/thornwalk-lab/demo.go
@@ -18,6 +18,8 @@
 	"github.com/thornwalk/thornwalk/lab/demo"
 )
 
+// demoCommand runs a cluster of package node on embedded stand-ins under mixed traffic and checks
+// the guarantees to callers.
 func demoCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("demo", flag.ExitOnError)
 	duration := flags.Duration("duration", 12*time.Second, "time during which requests are sent")
@@ -30,12 +32,12 @@
 		Name: "demo", ShortUsage: "thornwalk-lab demo [flags]", FlagSet: flags,
 		ShortHelp: "run three zones of three nodes with mixed traffic and judge the promises",
 		Exec: func(ctx context.Context, _ []string) error {
-			return runDemo(ctx, demo.Options{Duration: *duration, Rate: *rate, Seed: *seed, Progress: progress}, *keep, *jsonFile, *verbose)
+			return runDemo(ctx, demo.Options{Duration: *duration, Rate: *rate, Seed: *seed, Progress: printProgress}, *keep, *jsonFile, *verbose)
 		},
 	}
 }
 
-func progress(text string) { fmt.Println("•", text) }
+func printProgress(text string) { fmt.Println("•", text) }
 
 func runDemo(ctx context.Context, options demo.Options, keep bool, jsonFile string, verbose bool) error {
 	logging.Discard()
@@ -44,7 +46,7 @@
 			return err
 		}
 	}
-	progress("starting 3 zones × 3 nodes, engines, services, store and machine list on loopback")
+	printProgress("starting 3 zones × 3 nodes, engines, services, store and machine list on loopback")
 	c, err := demo.StartCluster(ctx, options.Seed, verbose)
 	if err != nil {
 		return err
@@ -58,7 +60,7 @@
 		return err
 	}
 	if keep {
-		serveOn(ctx, c)
+		serveUntilInterrupted(ctx, c)
 	}
 	if len(result.Violations) > 0 {
 		return fmt.Errorf("%d promises were broken", len(result.Violations))
@@ -69,6 +71,7 @@
 	return nil
 }
 
+// printResult prints the result and, unless jsonFile is empty, writes it there as JSON.
 func printResult(result *demo.Result, jsonFile string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("tier", "sent", "answered in time", "answered late", "not run", "unknown", "wasted prefill tokens")
@@ -98,7 +101,8 @@
 	return os.WriteFile(jsonFile, append(content, '\n'), 0o644)
 }
 
-func serveOn(ctx context.Context, c *cluster.Cluster) {
+// serveUntilInterrupted prints example commands for the cluster and blocks until ctx is done.
+func serveUntilInterrupted(ctx context.Context, c *cluster.Cluster) {
 	address := c.Node(cluster.NodeName(demo.Zones[0], 0)).CallerAddress()
 	operator := c.Node(cluster.NodeName(demo.Zones[0], 0)).OperatorAddress()
 	fmt.Printf("\nServing until interrupted. Try:\n\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer couriers-key' -H 'Content-Type: application/json' \\\n    -d '{\"model\":\"ruling\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"May I cross zone 4?\"}]}'\n\n", address)
--- a/cmd/thornwalk-lab/entrydemo.go
+++ b/cmd/thornwalk-lab/entrydemo.go
@@ -15,6 +15,8 @@
 	"github.com/thornwalk/thornwalk/lab/entrydemo"
 )
 
+// entryDemoCommand runs nodes of package entry on stand-ins of the platform and checks the
+// guarantees to callers.
 func entryDemoCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("entry-demo", flag.ExitOnError)
 	duration := flags.Duration("duration", 10*time.Second, "time during which requests are sent")
@@ -25,7 +27,7 @@
 		ShortHelp: "run three entry nodes over stand-ins of the platform and judge the promises",
 		Exec: func(ctx context.Context, _ []string) error {
 			logging.Discard()
-			options := entrydemo.Options{Duration: *duration, Rate: *rate, Progress: progress}
+			options := entrydemo.Options{Duration: *duration, Rate: *rate, Progress: printProgress}
 			if *verbose {
 				options.Log = os.Stderr
 			}
--- a/cmd/thornwalk-lab/experiment.go
+++ b/cmd/thornwalk-lab/experiment.go
@@ -19,6 +19,7 @@
 	"github.com/thornwalk/thornwalk/lab/workload"
 )
 
+// experimentCommand compares scheduling policies in an emulation under virtual time.
 func experimentCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("experiment", flag.ExitOnError)
 	deployment := flags.String("deployment", "agency", "agency or coop")
@@ -31,19 +32,19 @@
 		Name: "experiment", ShortUsage: "thornwalk-lab experiment [flags]", FlagSet: flags,
 		ShortHelp: "compare policies under virtual time on the same arrivals",
 		Exec: func(context.Context, []string) error {
-			described, known := workload.ByName(*deployment)
+			selected, known := workload.ByName(*deployment)
 			if !known {
 				return fmt.Errorf("unknown deployment %q: choose agency or coop", *deployment)
 			}
 			experiment := emulator.Experiment{
-				Deployment: described, Load: *load, Seed: *seed, Duration: *duration,
+				Deployment: selected, Load: *load, Seed: *seed, Duration: *duration,
 				Policies: strings.Split(*policies, ","), Conditions: emulator.DefaultConditions,
 			}
 			results, err := experiment.Run()
 			if err != nil {
 				return err
 			}
-			return writeResults(os.Stdout, *format, experiment.String(), &described, results)
+			return writeResults(os.Stdout, *format, experiment.String(), &selected, results)
 		},
 	}
 }
@@ -57,12 +58,12 @@
 	case "html":
 		return report.Experiment(writer, title, deployment, results)
 	case "table":
-		return resultTable(writer, deployment, results)
+		return printResultTable(writer, deployment, results)
 	}
 	return fmt.Errorf("unknown format %q: choose table, json or html", format)
 }
 
-func resultTable(writer io.Writer, deployment *workload.Deployment, results []emulator.Result) error {
+func printResultTable(writer io.Writer, deployment *workload.Deployment, results []emulator.Result) error {
 	kinds := append([]workload.Kind(nil), deployment.Kinds...)
 	sort.SliceStable(kinds, func(i, j int) bool { return kinds[i].Rank < kinds[j].Rank })
 	header := []string{"policy", "goodput"}
--- a/cmd/thornwalk-lab/fleet.go
+++ b/cmd/thornwalk-lab/fleet.go
@@ -13,6 +13,8 @@
 	"github.com/thornwalk/thornwalk/lab/fleet"
 )
 
+// fleetCommand measures the cost of coordination between many nodes in one process and prints it
+// as JSON.
 func fleetCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("fleet", flag.ExitOnError)
 	options := fleet.Options{Progress: func(text string) { _, _ = os.Stderr.WriteString("• " + text + "\n") }}
--- a/cmd/thornwalk-lab/load.go
+++ b/cmd/thornwalk-lab/load.go
@@ -16,13 +16,14 @@
 	"github.com/thornwalk/thornwalk/lab/workload"
 )
 
-// exampleTenants are the tenants of the example settings, the largest first;
-// their keys are their names followed by "-key".
+// exampleTenants are the tenants of the example settings by deployment, the largest first. The
+// API key of a tenant is its name followed by "-key".
 var exampleTenants = map[string][]string{
 	"agency": {"couriers", "restaurants", "officers", "inspectors", "public"},
 	"coop":   {"installers", "north-district", "south-district", "commissioning", "members"},
 }
 
+// loadCommand sends open-loop traffic to running daemons and prints the outcomes by tier.
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ExitOnError)
 	deployment := flags.String("deployment", "agency", "agency or coop, whose example settings the nodes must have")
@@ -35,11 +36,11 @@
 		Name: "load", ShortUsage: "thornwalk-lab load [flags]", FlagSet: flags,
 		ShortHelp: "send open-loop arrivals at running daemons on loopback",
 		Exec: func(ctx context.Context, _ []string) error {
-			described, known := workload.ByName(*deployment)
+			selected, known := workload.ByName(*deployment)
 			if !known {
 				return fmt.Errorf("unknown deployment %q: choose agency or coop", *deployment)
 			}
-			options := loadgen.Options{Deployment: described, Addresses: strings.Split(*addresses, ","), Load: *load, Duration: *duration, Seed: *seed}
+			options := loadgen.Options{Deployment: selected, Addresses: strings.Split(*addresses, ","), Load: *load, Duration: *duration, Seed: *seed}
 			for _, tenant := range exampleTenants[*deployment] {
 				options.TenantKeys = append(options.TenantKeys, tenant+"-key")
 			}
@@ -47,12 +48,12 @@
 			if err != nil {
 				return err
 			}
-			return printLoad(rows, *format)
+			return printLoadRows(rows, *format)
 		},
 	}
 }
 
-func printLoad(rows []loadgen.Row, format string) error {
+func printLoadRows(rows []loadgen.Row, format string) error {
 	if format == "json" {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
--- a/cmd/thornwalk-lab/losses.go
+++ b/cmd/thornwalk-lab/losses.go
@@ -10,6 +10,8 @@
 	"github.com/thornwalk/thornwalk/lab/losses"
 )
 
+// lossesCommand analyses the event log lines of a recorded run: where answers were lost or late,
+// or how long configurations took to reach all nodes.
 func lossesCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("losses", flag.ExitOnError)
 	kinds := flags.String("kinds", "", "YAML file with the kinds of requests")
@@ -20,14 +22,14 @@
 		Name: "losses", ShortUsage: "thornwalk-lab losses -lines FILE (-versions | -kinds FILE [-report FILE])", FlagSet: flags,
 		ShortHelp: "tell where the worth of a played day was lost, by window, kind and reason",
 		Exec: func(context.Context, []string) error {
-			read, err := readLines(*lines)
+			parsed, err := readLines(*lines)
 			if err != nil {
 				return err
 			}
 			if *versions {
-				return read.PrintVersions(os.Stdout)
+				return parsed.PrintVersions(os.Stdout)
 			}
-			return printLosses(*kinds, read, *report)
+			return printLosses(*kinds, parsed, *report)
 		},
 	}
 }
@@ -58,7 +60,7 @@
 	return losses.Tabulate(lines, kinds).Print(os.Stdout, report)
 }
 
-// openReport reads the report, or returns nil if there is none.
+// openReport reads the report; it returns nil if path is empty.
 func openReport(path string, lines *losses.Lines) (*losses.Report, error) {
 	if path == "" {
 		return nil, nil
--- a/cmd/thornwalk-lab/main.go
+++ b/cmd/thornwalk-lab/main.go
@@ -1,5 +1,5 @@
-// Command thornwalk-lab runs thornwalk against embedded stand-ins: a demo, an
-// emulated comparison of policies, load, and fleets of hollow nodes.
+// Command thornwalk-lab runs demos, experiments, load and fault injection against embedded
+// stand-ins of the platform, and evaluates recorded runs. It is not needed in production.
 package main
 
 import (
--- a/cmd/thornwalk-lab/soak.go
+++ b/cmd/thornwalk-lab/soak.go
@@ -15,9 +15,12 @@
 	"github.com/thornwalk/thornwalk/lab/soak"
 )
 
-// firstBlock is the third number of the loopback addresses of the first worker.
-const firstBlock = 40
+// firstLoopbackOctet is the third octet of the first worker's loopback addresses; each further
+// worker uses the next one.
+const firstLoopbackOctet = 40
 
+// soakCommand injects faults into daemon processes and checks the guarantees to callers, for a
+// range of seeds.
 func soakCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("soak", flag.ExitOnError)
 	daemon := flags.String("daemon", "", "path of thornwalkd; it is built if this is empty")
@@ -34,46 +37,48 @@
 		Name: "soak", ShortUsage: "thornwalk-lab soak [flags]", FlagSet: flags,
 		ShortHelp: "run daemons as processes, inject faults by signals and proxies, and judge the promises",
 		Exec: func(ctx context.Context, _ []string) error {
-			path, clean, err := builtDaemon(*daemon)
+			path, cleanup, err := buildDaemon(*daemon)
 			if err != nil {
 				return err
 			}
-			defer clean()
+			defer cleanup()
 			options := soak.Options{Daemon: path, Traffic: *traffic, Rate: *rate, LogFolder: *logs, Previous: *previous, Bounds: *bounds, Pushback: *pushback}
 			return runSoak(ctx, options, *first, *seeds, *workers)
 		},
 	}
 }
 
-// builtDaemon returns the path of the daemon and what removes it.
-func builtDaemon(given string) (path string, clean func(), err error) {
-	if given != "" {
-		return given, func() {}, nil
+// buildDaemon returns builtPath, or builds the daemon into a temporary folder if that is empty.
+// The caller must call cleanup, which removes the folder, unless it is nil.
+func buildDaemon(builtPath string) (path string, cleanup func(), err error) {
+	if builtPath != "" {
+		return builtPath, func() {}, nil
 	}
 	folder, err := os.MkdirTemp("", "thornwalkd")
 	if err != nil {
 		return "", nil, err
 	}
-	clean = func() { _ = os.RemoveAll(folder) }
+	cleanup = func() { _ = os.RemoveAll(folder) }
 	path = filepath.Join(folder, "thornwalkd")
 	build := exec.Command("go", "build", "-o", path, "github.com/thornwalk/thornwalk/cmd/thornwalkd")
 	build.Stderr = os.Stderr
-	return path, clean, build.Run()
+	return path, cleanup, build.Run()
 }
 
-// runSoak plays the seeds, several at a time, and fails if any broke a promise.
+// runSoak runs the seeds, as many at a time as there are workers. It returns an error if a seed
+// failed to run or a guarantee was violated.
 func runSoak(ctx context.Context, options soak.Options, first uint64, seeds, workers int) error {
-	work := make(chan uint64)
+	seedQueue := make(chan uint64)
 	var group sync.WaitGroup
 	var mutex sync.Mutex
-	broken, failed := 0, 0
+	violated, failed := 0, 0
 	for worker := range workers {
 		group.Go(func() {
-			mine := options
-			mine.Block = fmt.Sprintf("127.0.%d", firstBlock+worker)
-			for seed := range work {
-				mine.Seed = seed
-				result, err := soak.Run(ctx, mine)
+			workerOptions := options
+			workerOptions.Block = fmt.Sprintf("127.0.%d", firstLoopbackOctet+worker)
+			for seed := range seedQueue {
+				workerOptions.Seed = seed
+				result, err := soak.Run(ctx, workerOptions)
 				mutex.Lock()
 				switch {
 				case err != nil:
@@ -81,35 +86,35 @@
 					fmt.Printf("seed %d: not played: %v\n", seed, err)
 				default:
 					if len(result.Violations) > 0 {
-						broken++
+						violated++
 					}
-					printSoak(result)
+					printSoakResult(result)
 				}
 				mutex.Unlock()
 			}
 		})
 	}
 	for number := range seeds {
-		work <- first + uint64(number)
+		seedQueue <- first + uint64(number)
 	}
-	close(work)
+	close(seedQueue)
 	group.Wait()
-	fmt.Printf("%d seeds, %d with a broken promise, %d not played\n", seeds, broken, failed)
-	if broken+failed > 0 {
-		return fmt.Errorf("a promise was broken or a seed not played: play the seed again with -log and read its lines with thornwalk explain -logs")
+	fmt.Printf("%d seeds, %d with a broken promise, %d not played\n", seeds, violated, failed)
+	if violated+failed > 0 {
+		return fmt.Errorf("a promise was broken or a seed not played: run the seed again with -log and read its lines with thornwalk explain -logs")
 	}
 	return nil
 }
 
-func printSoak(result *soak.Result) {
+func printSoakResult(result *soak.Result) {
 	fmt.Printf("seed %d: %v; at worst %v\n", result.Seed, result.Counts, result.Worst)
 	if len(result.Violations) == 0 {
 		return
 	}
-	for _, planned := range result.Faults {
-		fmt.Println("   fault", planned)
+	for _, fault := range result.Faults {
+		fmt.Println("   fault", fault)
 	}
-	for _, broken := range result.Violations {
-		fmt.Println("  ", broken)
+	for _, violation := range result.Violations {
+		fmt.Println("  ", violation)
 	}
 }
--- a/cmd/thornwalk-lab/standins.go
+++ b/cmd/thornwalk-lab/standins.go
@@ -15,8 +15,8 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Ports of the example deployments on loopback: the platform's are fixed, each
-// node adds its number to the base of each of its interfaces.
+// Loopback ports of the example deployments. Those of the platform are fixed; each node adds its
+// number to the base port of each interface.
 const (
 	storePort        = 7379
 	machinesPort     = 7380
@@ -25,6 +25,7 @@
 	operatorPortBase = 8300
 )
 
+// standinsCommand serves the store, the machine list and the back ends of an example deployment.
 func standinsCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("standins", flag.ExitOnError)
 	deployment := flags.String("deployment", "agency", "agency or coop")
@@ -33,15 +34,16 @@
 		ShortHelp: "serve the platform and back ends of a deployment for real daemons on loopback",
 		Exec: func(ctx context.Context, _ []string) error {
 			logging.Discard()
-			described, known := workload.ByName(*deployment)
+			selected, known := workload.ByName(*deployment)
 			if !known {
 				return fmt.Errorf("unknown deployment %q: choose agency or coop", *deployment)
 			}
-			return serveStandins(ctx, &described)
+			return serveStandins(ctx, &selected)
 		},
 	}
 }
 
+// serveStandins prints the command that starts each node and blocks until ctx is done.
 func serveStandins(ctx context.Context, deployment *workload.Deployment) error {
 	tree, err := examples.Settings(deployment.Name)
 	if err != nil {
@@ -49,7 +51,7 @@
 	}
 	c, err := cluster.StartStandins(ctx, cluster.Options{
 		Zones: deployment.Zones, EngineService: deployment.Service, Model: deployment.Model, ZoneEngines: deployment.Engines,
-		PlainService: deployment.PlainService, PlainReplicas: 1, CallTime: plainCallTime, Settings: tree, MachineLag: machineLag, ReportLag: reportLag,
+		PlainService: deployment.PlainService, PlainReplicas: 1, CallTime: plainServiceCallTime, Settings: tree, MachineLag: machineListLag, ReportLag: loadReportLag,
 		Host: func(string) network.Network { return network.TCP{} }, ListenAddress: "127.0.0.1:0",
 		StoreAddress: fmt.Sprintf("127.0.0.1:%d", storePort), MachinesAddress: fmt.Sprintf("127.0.0.1:%d", machinesPort),
 	})
--- a/cmd/thornwalk/config.go
+++ b/cmd/thornwalk/config.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// printBranch shows every key of a branch with the value in force.
+// printBranch prints every key of a branch with its effective value and where that is set.
 func (o *options) printBranch(tree *settings.Tree, path string) error {
 	type row struct {
 		Key    string `json:"key"`
@@ -86,17 +86,17 @@
 		Name: "set", ShortUsage: "thornwalk config set PATH KEY=VALUE...", ShortHelp: "set values of a branch", FlagSet: set,
 		Exec: func(ctx context.Context, arguments []string) error {
 			if len(arguments) < 2 {
-				return errors.New("name a path and at least one KEY=VALUE")
+				return errors.New("missing arguments: name a path and at least one KEY=VALUE")
 			}
 			var edits []settingsync.Edit
 			for _, argument := range arguments[1:] {
 				key, text, found := strings.Cut(argument, "=")
 				if !found {
-					return fmt.Errorf("%q is not KEY=VALUE", argument)
+					return fmt.Errorf("argument %q does not have the form KEY=VALUE", argument)
 				}
 				edits = append(edits, settingsync.Edit{Path: arguments[0], Key: key, Text: text})
 			}
-			return o.edit(ctx, *wait, edits...)
+			return o.submitEdits(ctx, *wait, edits...)
 		},
 	}
 }
@@ -108,16 +108,16 @@
 		Name: "unset", ShortUsage: "thornwalk config unset PATH [KEY...]", ShortHelp: "let a branch inherit keys again, or remove it", FlagSet: set,
 		Exec: func(ctx context.Context, arguments []string) error {
 			if len(arguments) == 0 {
-				return errors.New("name a path")
+				return errors.New("missing argument: name a path")
 			}
 			if len(arguments) == 1 {
-				return o.edit(ctx, *wait, settingsync.Edit{Path: arguments[0], Remove: true})
+				return o.submitEdits(ctx, *wait, settingsync.Edit{Path: arguments[0], Remove: true})
 			}
 			var edits []settingsync.Edit
 			for _, key := range arguments[1:] {
 				edits = append(edits, settingsync.Edit{Path: arguments[0], Key: key, Unset: true})
 			}
-			return o.edit(ctx, *wait, edits...)
+			return o.submitEdits(ctx, *wait, edits...)
 		},
 	}
 }
@@ -128,7 +128,7 @@
 	return &ffcli.Command{
 		Name: "apply", ShortUsage: "thornwalk config apply FILE", ShortHelp: "make the tree equal to a YAML file", FlagSet: set,
 		Exec: func(ctx context.Context, arguments []string) error {
-			wanted, err := readTree(arguments)
+			target, err := readTreeFile(arguments)
 			if err != nil {
 				return err
 			}
@@ -136,29 +136,28 @@
 			if err != nil {
 				return err
 			}
-			edits := editsBetween(tree, wanted)
+			edits := editsBetween(tree, target)
 			if len(edits) == 0 {
 				fmt.Println("no difference")
 				return nil
 			}
-			return o.change(ctx, *wait, reply.Generation, edits)
+			return o.submitChange(ctx, *wait, reply.Generation, edits)
 		},
 	}
 }
 
-// editsBetween lists the edits that turn one tree into another.
-func editsBetween(tree, wanted *settings.Tree) []settingsync.Edit {
+// editsBetween returns the edits that make tree equal to target.
+func editsBetween(tree, target *settings.Tree) []settingsync.Edit {
 	var edits []settingsync.Edit
 	for _, branch := range tree.Branches() {
-		if _, kept := wanted.Branch(branch.Path); !kept {
+		if _, kept := target.Branch(branch.Path); !kept {
 			edits = append(edits, settingsync.Edit{Path: branch.Path, Remove: true})
 		}
 	}
-	for _, branch := range wanted.Branches() {
+	for _, branch := range target.Branches() {
 		before, existed := tree.Branch(branch.Path)
 		if !existed && len(branch.Settings) == 0 {
-			// A branch that lives on inherited values is made by setting and
-			// unsetting one.
+			// No edit creates a branch without own values: set a value and unset it again.
 			edits = append(edits, settingsync.Edit{Path: branch.Path, Key: "weight", Text: "1"}, settingsync.Edit{Path: branch.Path, Key: "weight", Unset: true})
 		}
 		for _, setting := range branch.Settings {
@@ -179,7 +178,7 @@
 	return &ffcli.Command{
 		Name: "diff", ShortUsage: "thornwalk config diff FILE", ShortHelp: "show what apply would change", FlagSet: o.flagSet("diff"),
 		Exec: func(ctx context.Context, arguments []string) error {
-			wanted, err := readTree(arguments)
+			target, err := readTreeFile(arguments)
 			if err != nil {
 				return err
 			}
@@ -187,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			changes := settings.Diff(tree, wanted)
+			changes := settings.Diff(tree, target)
 			var rows [][]string
 			for _, change := range changes {
 				rows = append(rows, []string{"/" + change.Path, change.Key, change.Before, change.After})
@@ -220,7 +219,7 @@
 	return &ffcli.Command{
 		Name: "validate", ShortUsage: "thornwalk config validate FILE", ShortHelp: "check a YAML file without a node",
 		Exec: func(_ context.Context, arguments []string) error {
-			tree, err := readTree(arguments)
+			tree, err := readTreeFile(arguments)
 			if err != nil {
 				return err
 			}
@@ -247,7 +246,8 @@
 	}
 }
 
-func readTree(arguments []string) (*settings.Tree, error) {
+// readTreeFile parses the YAML file that the only argument names; - means standard input.
+func readTreeFile(arguments []string) (*settings.Tree, error) {
 	if len(arguments) != 1 {
 		return nil, errors.New("name one YAML file, or - for standard input")
 	}
@@ -264,45 +264,47 @@
 	return settings.ParseYAML(content)
 }
 
-func author() string {
+// currentUser returns the user name that is recorded as the author of changes.
+func currentUser() string {
 	if current, err := user.Current(); err == nil {
 		return current.Username
 	}
 	return "unknown"
 }
 
-// spreadLimit is how long a change is waited for, and spreadPoll the time
-// between questions.
+// Polling for the activation of a change.
 const (
-	spreadLimit = 10 * time.Second
-	spreadPoll  = 100 * time.Millisecond
+	activationTimeout      = 10 * time.Second
+	activationPollInterval = 100 * time.Millisecond
 )
 
-// awaitSpread waits until the generation is in force wherever it can be, and
-// says where it is not.
-func (o *options) awaitSpread(ctx context.Context, generation uint64) error {
-	begun := time.Now()
+// awaitActivation polls until the generation is active in every reachable zone, for at most
+// activationTimeout, and prints the state of each zone.
+func (o *options) awaitActivation(ctx context.Context, generation uint64) error {
+	start := time.Now()
 	var zones []node.ZoneSpread
-	for time.Since(begun) < spreadLimit && ctx.Err() == nil {
+	for time.Since(start) < activationTimeout && ctx.Err() == nil {
 		var err error
 		if zones, err = o.client().Spread(ctx, generation); err != nil {
 			return err
 		}
-		if spreadDone(zones) {
+		if isActiveEverywhere(zones) {
 			break
 		}
-		time.Sleep(spreadPoll)
+		time.Sleep(activationPollInterval)
 	}
 	sort.Slice(zones, func(i, j int) bool { return zones[i].Zone < zones[j].Zone })
 	var rows [][]string
 	for _, zone := range zones {
 		rows = append(rows, []string{zone.Zone, strings.Join(zone.InForce, " "), strings.Join(zone.Behind, " "), strings.Join(zone.Unheard, " "), fmt.Sprint(zone.CutOff)})
 	}
-	fmt.Printf("after %s:\n", time.Since(begun).Round(time.Millisecond))
+	fmt.Printf("after %s:\n", time.Since(start).Round(time.Millisecond))
 	return o.print(zones, []string{"zone", "in force", "behind", "not heard of", "cut off"}, rows)
 }
 
-func spreadDone(zones []node.ZoneSpread) bool {
+// isActiveEverywhere reports whether every reachable zone has nodes with the generation and
+// none that are behind.
+func isActiveEverywhere(zones []node.ZoneSpread) bool {
 	for _, zone := range zones {
 		if !zone.CutOff && (len(zone.Behind) > 0 || len(zone.InForce) == 0) {
 			return false
@@ -311,7 +313,7 @@
 	return true
 }
 
-// referenceCommand writes docs/SETTINGS.md.
+// referenceCommand prints the text of docs/SETTINGS.md.
 func referenceCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "reference", ShortUsage: "thornwalk config reference", ShortHelp: "write the settings reference as Markdown",
--- a/cmd/thornwalk/evacuations.go
+++ b/cmd/thornwalk/evacuations.go
@@ -7,8 +7,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// evacuationsCommand shows which zones get nothing by the operators' order. The order itself is
-// written to the platform's store, where the system may not write.
+// evacuationsCommand lists the evacuated zones and those whose evacuation was lifted. It can't
+// order either: operators write the orders to the platform's store, which thornwalk only reads.
 func evacuationsCommand(o *options) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "evacuations", ShortUsage: "thornwalk evacuations", FlagSet: o.flagSet("evacuations"),
@@ -19,12 +19,12 @@
 				return err
 			}
 			var rows [][]string
-			for _, told := range status.Evacuations {
+			for _, evacuation := range status.Evacuations {
 				state := "taken back"
-				if told.Evacuated {
+				if evacuation.Evacuated {
 					state = "emptied"
 				}
-				rows = append(rows, []string{told.Zone, state, told.Position.String(), fmt.Sprint(told.InProgress)})
+				rows = append(rows, []string{evacuation.Zone, state, evacuation.Position.String(), fmt.Sprint(evacuation.InProgress)})
 			}
 			return o.print(status.Evacuations, []string{"zone", "state", "since", "requests of this node there"}, rows)
 		},
--- a/cmd/thornwalk/inspect.go
+++ b/cmd/thornwalk/inspect.go
@@ -98,11 +98,11 @@
 	return "open"
 }
 
-// explainLogs tells the story of a request from log files, or from standard
-// input for the name "-".
-func explainLogs(id, names string) error {
+// explainLogs prints the events of a request from log files, whose names are separated by
+// commas; - means standard input.
+func explainLogs(id, fileNames string) error {
 	var readers []io.Reader
-	for _, name := range strings.Split(names, ",") {
+	for _, name := range strings.Split(fileNames, ",") {
 		if name == "-" {
 			readers = append(readers, os.Stdin)
 			continue
@@ -114,11 +114,11 @@
 		defer file.Close()
 		readers = append(readers, file)
 	}
-	told, err := story.Read(id, readers...)
+	requestStory, err := story.Read(id, readers...)
 	if err != nil {
 		return err
 	}
-	told.Write(os.Stdout)
+	requestStory.Write(os.Stdout)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 		Name: "explain", ShortUsage: "thornwalk explain [-logs FILE,...] REQUEST-ID", ShortHelp: "show why the nodes decided as they did", FlagSet: flags,
 		Exec: func(ctx context.Context, arguments []string) error {
 			if len(arguments) != 1 {
-				return errors.New("name one request id, from the header Thornwalk-Request-Id")
+				return errors.New("name exactly one request id, from the header Thornwalk-Request-Id")
 			}
 			if *logs != "" {
 				return explainLogs(arguments[0], *logs)
@@ -164,35 +164,37 @@
 	}
 }
 
-// placeCommand changes the setting that placement follows, so that the wish
-// lasts and every coordinator sees it.
+// placeCommand sets how many engines of each zone serve a model. It writes a setting, so the
+// number is stored and reaches every placement coordinator.
 func placeCommand(o *options) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "place", ShortUsage: "thornwalk place SERVICE MODEL REPLICAS", ShortHelp: "have a number of engines of each zone hold a model",
 		Exec: func(ctx context.Context, arguments []string) error {
 			if len(arguments) != 3 {
-				return errors.New("name a service, a model and a number of engines")
+				return errors.New("got the wrong number of arguments: name a service, a model and a number of engines")
 			}
 			if _, err := strconv.Atoi(arguments[2]); err != nil {
 				return fmt.Errorf("%q is not a number of engines", arguments[2])
 			}
 			path := strings.Join([]string{settings.SectionServices, arguments[0], "models", arguments[1]}, "/")
-			return o.edit(ctx, true, settingsync.Edit{Path: path, Key: "replicas", Text: arguments[2]})
+			return o.submitEdits(ctx, true, settingsync.Edit{Path: path, Key: "replicas", Text: arguments[2]})
 		},
 	}
 }
 
-// edit makes a change on top of what is in force.
-func (o *options) edit(ctx context.Context, wait bool, edits ...settingsync.Edit) error {
+// submitEdits submits the edits as a change of the current generation.
+func (o *options) submitEdits(ctx context.Context, wait bool, edits ...settingsync.Edit) error {
 	_, reply, err := o.client().Settings(ctx)
 	if err != nil {
 		return err
 	}
-	return o.change(ctx, wait, reply.Generation, edits)
+	return o.submitChange(ctx, wait, reply.Generation, edits)
 }
 
-func (o *options) change(ctx context.Context, wait bool, base uint64, edits []settingsync.Edit) error {
-	record, err := o.client().Change(ctx, settingsync.Change{ID: uuid.NewString(), Author: author(), Base: base, Edits: edits})
+// submitChange submits a change based on generation base and, if wait is true, waits for its
+// activation.
+func (o *options) submitChange(ctx context.Context, wait bool, base uint64, edits []settingsync.Edit) error {
+	record, err := o.client().Change(ctx, settingsync.Change{ID: uuid.NewString(), Author: currentUser(), Base: base, Edits: edits})
 	if err != nil {
 		return err
 	}
@@ -200,5 +202,5 @@
 	if !wait {
 		return nil
 	}
-	return o.awaitSpread(ctx, record.Generation)
+	return o.awaitActivation(ctx, record.Generation)
 }
--- a/cmd/thornwalk/main.go
+++ b/cmd/thornwalk/main.go
@@ -1,4 +1,5 @@
-// Command thornwalk is the operators' command line.
+// Command thornwalk is the operators' command line. It calls the operators' interface of a
+// node; only validate, schema, reference and explain -logs work without one.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/thornwalk/thornwalk/operator"
 )
 
-// options are the flags that all commands share.
+// options are the flags that all subcommands share.
 type options struct {
 	address string
 	token   string
@@ -21,15 +22,15 @@
 
 func (o *options) client() *operator.Client { return operator.New(o.address, o.token) }
 
-// addOutput adds the flag that is understood before and after a subcommand.
-func (o *options) addOutput(set *flag.FlagSet) {
+// addOutputFlag adds the flag -o, which is accepted before and after a subcommand.
+func (o *options) addOutputFlag(set *flag.FlagSet) {
 	set.StringVar(&o.output, "o", "table", "output: table, json or yaml")
 }
 
-// flagSet returns the flags of a subcommand that has no others.
+// flagSet returns the flags of a subcommand, with only -o defined.
 func (o *options) flagSet(name string) *flag.FlagSet {
 	set := flag.NewFlagSet(name, flag.ExitOnError)
-	o.addOutput(set)
+	o.addOutputFlag(set)
 	return set
 }
 
@@ -38,7 +39,7 @@
 	set := flag.NewFlagSet("thornwalk", flag.ExitOnError)
 	set.StringVar(&o.address, "operator", "127.0.0.1:8081", "operators' address of any node (THORNWALK_OPERATOR)")
 	set.StringVar(&o.token, "token", "", "operators' bearer token (THORNWALK_TOKEN)")
-	o.addOutput(set)
+	o.addOutputFlag(set)
 	root := &ffcli.Command{
 		ShortUsage: "thornwalk [flags] <subcommand>", ShortHelp: "operate thornwalk", FlagSet: set,
 		Options: []ff.Option{ff.WithEnvVarPrefix("THORNWALK")},
--- a/cmd/thornwalk/output.go
+++ b/cmd/thornwalk/output.go
@@ -9,7 +9,7 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// print writes the value as JSON or YAML, or the rows as a table.
+// print writes the value as JSON or YAML, or the header and rows as a table, as -o says.
 func (o *options) print(value any, header []string, rows [][]string) error {
 	switch o.output {
 	case "json":
@@ -33,5 +33,5 @@
 		}
 		return table.Render()
 	}
-	return fmt.Errorf("unknown output %q: choose table, json or yaml", o.output)
+	return fmt.Errorf("unknown output format %q: choose table, json or yaml", o.output)
 }
--- a/cmd/thornwalk/store.go
+++ b/cmd/thornwalk/store.go
@@ -9,7 +9,8 @@
 	"github.com/thornwalk/thornwalk/entry"
 )
 
-// storeCommand shows what an entry node makes of the platform's store.
+// storeCommand prints what an entry node knows of the platform's store: its position, whether
+// it was restored from a backup and whether it is down.
 func storeCommand(o *options) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "store", ShortUsage: "thornwalk store", FlagSet: o.flagSet("store"),
--- a/cmd/thornwalk/store_test.go
+++ b/cmd/thornwalk/store_test.go
@@ -8,7 +8,8 @@
 	"github.com/thornwalk/thornwalk/entry"
 )
 
-func TestTheStoresEraAndACopyAreShown(t *testing.T) {
+// Guards against operators not seeing that the store was restored from a backup.
+func TestStoreRowsShowEraAndRestore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rows := storeRows(&entry.Status{Name: "n1", Era: 3, Revision: 70, Restored: 1200})
 	g.Expect(rows).To(gomega.ContainElements([]string{"era", "3"}, []string{"revision", "70"}))
--- a/cmd/thornwalkd/entry.go
+++ b/cmd/thornwalkd/entry.go
@@ -15,43 +15,45 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// settingsVariable names the environment variable with the settings file's path.
-const settingsVariable = "THORNWALK_CONFIG"
+// settingsPathVariable is the environment variable that holds the settings file's path.
+const settingsPathVariable = "THORNWALK_CONFIG"
 
-// silenceLimit is how long an opened connection may hear nothing at all.
+// silenceLimit bounds dialling, and the time without any packet from the other end after which
+// a connection is broken.
 const silenceLimit = 3 * time.Second
 
-// settingsPoll is the time between looks at the settings file, which may change
+// settingsPollInterval is the time between reads of the settings file, which may change
 // without a signal.
-const settingsPoll = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-// runEntry serves callers behind a balancer, with the directory in the
-// platform's store.
+// runEntry serves callers behind a load balancer, with the replica directory in the platform's
+// store. It returns after a planned stop, which SIGINT and SIGTERM start; SIGHUP reloads the
+// settings.
 func runEntry() error {
-	// First of all, since a signal that nobody waits for ends the process.
+	// Before anything else: an unhandled signal ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
-	path := os.Getenv(settingsVariable)
+	path := os.Getenv(settingsPathVariable)
 	settings, err := entry.LoadSettings(path)
 	if err != nil {
 		return err
 	}
 	log := eventlog.New(settings.Name, os.Stdout)
 	defer log.Close()
-	steady, err := clock.New()
+	bootClock, err := clock.New()
 	if err != nil {
 		log.Write(eventlog.Event{Kind: "clock", Outcome: "suspensions are not noticed", Detail: err.Error()})
 	}
-	outsideNetwork := network.TCP{SilenceLimit: silenceLimit}
-	directory := platform.NewDirectory(network.Bounded{Network: outsideNetwork, Limit: silenceLimit}, settings.Store)
+	tcp := network.TCP{SilenceLimit: silenceLimit}
+	directory := platform.NewDirectory(network.Bounded{Network: tcp, Limit: silenceLimit}, settings.Store)
 	node := entry.New(settings, entry.Dependencies{
-		Network: outsideNetwork, Datagrams: outsideNetwork, Directory: directory, Revisions: directory, Rollouts: directory, PoisonRecords: directory,
-		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Now: steady.Now, Log: log, Incarnation: rand.Uint64(),
+		Network: tcp, Datagrams: tcp, Directory: directory, Revisions: directory, Rollouts: directory, PoisonRecords: directory,
+		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Now: bootClock.Now, Log: log, Incarnation: rand.Uint64(),
 	})
 	if err := node.Start(); err != nil {
 		return err
 	}
-	poll := time.NewTicker(settingsPoll)
+	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -60,31 +62,33 @@
 				node.Stop()
 				return nil
 			}
-			reloadEntry(node, path, log, true)
+			reloadEntrySettings(node, path, log, true)
 		case <-poll.C:
-			steady.Look()
-			reloadEntry(node, path, log, false)
+			bootClock.Look()
+			reloadEntrySettings(node, path, log, false)
 		}
 	}
 }
 
-// lastContent is the settings file as it was last read.
-var lastContent string
+// lastSettingsContent is the content of the settings file when it was last read.
+var lastSettingsContent string
 
-// reloadEntry reads the settings file again; a bad one leaves the last in force.
-func reloadEntry(node *entry.Node, path string, log *eventlog.Log, asked bool) {
+// reloadEntrySettings applies the settings file if its content changed or if forced is true. Unless
+// forced, the first call only remembers the content. A file that can't be read or is invalid is
+// logged and leaves the active settings in place.
+func reloadEntrySettings(node *entry.Node, path string, log *eventlog.Log, forced bool) {
 	content, err := os.ReadFile(path)
-	if err == nil && string(content) == lastContent && !asked {
+	if err == nil && string(content) == lastSettingsContent && !forced {
 		return
 	}
-	first := lastContent == ""
-	lastContent = string(content)
+	isFirstRead := lastSettingsContent == ""
+	lastSettingsContent = string(content)
 	settings, err := entry.LoadSettings(path)
 	if err != nil {
 		log.Write(eventlog.Event{Kind: "process.reload", Outcome: "kept-out", Detail: fmt.Sprint(err)})
 		return
 	}
-	if !first || asked {
+	if !isFirstRead || forced {
 		node.Reload(settings)
 	}
 }
--- a/cmd/thornwalkd/entrycommand.go
+++ b/cmd/thornwalkd/entrycommand.go
@@ -13,20 +13,21 @@
 	"github.com/thornwalk/thornwalk/entry"
 )
 
-// runEntryCommand runs 'thornwalkd entry' and what stands below it.
+// runEntryCommand runs 'thornwalkd entry' or one of its subcommands with the arguments after
+// the word entry.
 func runEntryCommand(arguments []string, output io.Writer) error {
 	check := &ffcli.Command{
 		Name: "check-settings", ShortUsage: "thornwalkd entry check-settings [FILE]",
-		ShortHelp: "check a settings file, by default the one that " + settingsVariable + " names",
+		ShortHelp: "check a settings file, by default the one that " + settingsPathVariable + " names",
 		Exec:      func(_ context.Context, files []string) error { return checkSettings(files, output) },
 	}
 	root := &ffcli.Command{
 		Name: "entry", ShortUsage: "thornwalkd entry [check-settings]",
-		ShortHelp: "serve callers behind a balancer, by the settings file that " + settingsVariable + " names",
+		ShortHelp: "serve callers behind a balancer, by the settings file that " + settingsPathVariable + " names",
 		FlagSet:   flag.NewFlagSet("entry", flag.ContinueOnError), Subcommands: []*ffcli.Command{check},
 		Exec: func(_ context.Context, rest []string) error {
 			if len(rest) > 0 {
-				return fmt.Errorf("%q is no command of thornwalkd entry: see thornwalkd entry -h", rest[0])
+				return fmt.Errorf("unknown subcommand %q of thornwalkd entry: see thornwalkd entry -h", rest[0])
 			}
 			return runEntry()
 		},
@@ -34,9 +35,10 @@
 	return root.ParseAndRun(context.Background(), arguments)
 }
 
-// checkSettings tells whether the file could be taken into force.
+// checkSettings validates the named settings file, or the one that settingsPathVariable names if
+// files is empty.
 func checkSettings(files []string, output io.Writer) error {
-	path := os.Getenv(settingsVariable)
+	path := os.Getenv(settingsPathVariable)
 	if len(files) > 0 {
 		path = files[0]
 	}
@@ -48,11 +50,11 @@
 	return err
 }
 
-// printVersion tells which sources the program was built from.
+// printVersion prints the module version, the source revision and the Go version of the build.
 func printVersion(output io.Writer) error {
 	info, found := debug.ReadBuildInfo()
 	if !found {
-		return fmt.Errorf("the program holds no build information: build it with the go command")
+		return fmt.Errorf("this binary has no build information: build it with the go command")
 	}
 	revision := "unknown"
 	for _, setting := range info.Settings {
--- a/cmd/thornwalkd/entrycommand_test.go
+++ b/cmd/thornwalkd/entrycommand_test.go
@@ -9,7 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-func TestCheckSettingsNamesPathValueAndRemedy(t *testing.T) {
+// Guards against errors that don't name the setting, its value and the allowed range.
+func TestCheckSettingsReportsInvalidValues(t *testing.T) {
 	g := gomega.NewWithT(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	valid := "name: n1\nzone: east\ncallers: a:1\nreadiness: a:2\noperators: a:3\nhost: a\npeer_port: 7600\nstore: s:1\n"
@@ -22,7 +23,8 @@
 	g.Expect(runEntryCommand([]string{"nothing"}, &output)).To(gomega.MatchError(gomega.ContainSubstring("see thornwalkd entry -h")))
 }
 
-func TestVersionNamesTheToolchain(t *testing.T) {
+// Guards against a version line that doesn't identify the build.
+func TestPrintVersionIncludesToolchain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var output bytes.Buffer
 	g.Expect(printVersion(&output)).To(gomega.Succeed())
--- a/cmd/thornwalkd/main.go
+++ b/cmd/thornwalkd/main.go
@@ -1,6 +1,6 @@
-// Command thornwalkd is the entry daemon, the one process that an entry machine
-// runs. All of it is the library in package node; this program reads where and
-// who it is from flags, environment or a YAML file.
+// Command thornwalkd is the daemon that an entry machine runs. 'thornwalkd entry' runs package
+// entry with a settings file. Without a subcommand it runs package node, whose addresses and keys
+// come from flags, environment variables or a YAML file and all other settings from the store.
 package main
 
 import (
@@ -25,18 +25,18 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// flags are the daemon's own settings; everything else is in the settings tree.
+// flags are the settings of one process; all others are in the settings tree.
 type flags struct {
-	name, zone                         string
-	callers, operators, peers          string
-	advertiseCallers, advertisePeers   string
-	store, machines                    string
-	storeTimeout, drainGrace           time.Duration
-	receiptKeys, operatorToken         string
-	callerCertificate, callerKey       string
-	peerCertificate, peerKey, peerRoot string
-	verbosity                          int
-	logDecisions                       bool
+	name, zone                                string
+	callers, operators, peers                 string
+	advertiseCallers, advertisePeers          string
+	store, machines                           string
+	storeTimeout, drainGrace                  time.Duration
+	receiptKeys, operatorToken                string
+	callerCertificate, callerKey              string
+	peerCertificate, peerKey, peerAuthorities string
+	verbosity                                 int
+	logDecisions                              bool
 }
 
 func main() {
@@ -46,11 +46,11 @@
 	}
 }
 
-// dispatch runs what the first argument names; without one it is the daemon whose
-// settings are a tree in the platform's service.
+// dispatch runs the subcommand that the first argument names, or else the daemon of package
+// node.
 func dispatch(arguments []string) error {
 	if len(arguments) == 0 {
-		return run(arguments)
+		return runNode(arguments)
 	}
 	switch arguments[0] {
 	case "entry":
@@ -58,11 +58,11 @@
 	case "version":
 		return printVersion(os.Stdout)
 	default:
-		return run(arguments)
+		return runNode(arguments)
 	}
 }
 
-func parse(arguments []string) (*flags, error) {
+func parseFlags(arguments []string) (*flags, error) {
 	f := &flags{}
 	set := flag.NewFlagSet("thornwalkd", flag.ContinueOnError)
 	set.StringVar(&f.name, "name", "", "name of the node, unique over all zones")
@@ -82,7 +82,7 @@
 	set.StringVar(&f.callerKey, "caller-key", "", "PEM file of its key")
 	set.StringVar(&f.peerCertificate, "peer-certificate", "", "PEM file of the certificate for other nodes; none: plain TCP")
 	set.StringVar(&f.peerKey, "peer-key", "", "PEM file of its key")
-	set.StringVar(&f.peerRoot, "peer-authorities", "", "PEM file of the authorities of the nodes' certificates")
+	set.StringVar(&f.peerAuthorities, "peer-authorities", "", "PEM file of the authorities of the nodes' certificates")
 	set.IntVar(&f.verbosity, "v", 0, "verbosity of the log, 0 to 2")
 	set.BoolVar(&f.logDecisions, "log-decisions", true, "log a JSON line for each routing and placement decision")
 	set.String("config", "", "YAML file with any of these")
@@ -90,22 +90,23 @@
 	return f, err
 }
 
-func run(arguments []string) error {
-	f, err := parse(arguments)
+// runNode runs the daemon of package node, whose settings tree is in the store.
+func runNode(arguments []string) error {
+	f, err := parseFlags(arguments)
 	if err != nil {
 		return err
 	}
 	if err := logging.ToJSON(os.Stderr, f.verbosity); err != nil {
 		return err
 	}
-	config, err := f.config()
+	config, err := f.nodeConfig()
 	if err != nil {
 		return err
 	}
-	processNetwork := network.TCP{}
-	calls := metrics.NewRegistry()
+	tcp := network.TCP{}
+	storeMetrics := metrics.NewRegistry()
 	n, err := node.New(config, node.Dependencies{
-		Network: processNetwork, Store: etcdstore.New(processNetwork, f.store, f.storeTimeout, calls), Machines: machinelist.New(processNetwork, f.machines),
+		Network: tcp, Store: etcdstore.New(tcp, f.store, f.storeTimeout, storeMetrics), Machines: machinelist.New(tcp, f.machines),
 		WallTime: time.Now, LogDecisions: f.logDecisions,
 	})
 	if err != nil {
@@ -114,20 +115,21 @@
 	if err := n.Start(context.Background()); err != nil {
 		return err
 	}
-	if err := n.Metrics().Register("store", calls); err != nil {
+	if err := n.Metrics().Register("store", storeMetrics); err != nil {
 		return err
 	}
 	klog.InfoS("serving", "node", f.name, "zone", f.zone, "callers", n.CallerAddress(), "operators", n.OperatorAddress(), "peers", n.PeerAddress())
 	return serve(n, f)
 }
 
-// serve runs until a signal asks for a planned stop; a second one ends it at once.
+// serve blocks until the node has stopped. The first SIGINT or SIGTERM starts a planned stop, a
+// second one ends it at once. It returns an error if requests were still in flight at the end.
 func serve(n *node.Node, f *flags) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go reloadKeys(ctx, n, f.receiptKeys)
+	go reloadReceiptKeys(ctx, n, f.receiptKeys)
 	select {
 	case <-signals:
 	case <-n.Done():
@@ -137,33 +139,34 @@
 		<-signals
 		cancel()
 	}()
-	klog.InfoS("planned stop begins", "node", f.name)
+	klog.InfoS("planned stop started", "node", f.name)
 	if !n.Drain(ctx) {
-		return fmt.Errorf("the planned stop ended before every request did: raise the setting drain_timeout")
+		return fmt.Errorf("planned stop: requests were still in flight at its end; raise the setting drain_timeout")
 	}
 	return nil
 }
 
-// keyInterval is the time between looks at the file of receipt keys.
-const keyInterval = 10 * time.Second
+// receiptKeyReloadInterval is the time between reads of the receipt key file.
+const receiptKeyReloadInterval = 10 * time.Second
 
-func reloadKeys(ctx context.Context, n *node.Node, file string) {
+func reloadReceiptKeys(ctx context.Context, n *node.Node, file string) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(keyInterval):
+		case <-time.After(receiptKeyReloadInterval):
 		}
 		secrets, err := keys.LoadSecrets(file)
 		if err != nil {
-			klog.ErrorS(err, "receipt keys not read again; the last good ones stay")
+			klog.ErrorS(err, "failed to reload the receipt keys; keeping the previous ones")
 			continue
 		}
 		n.SetReceiptKeys(secrets...)
 	}
 }
 
-func (f *flags) config() (node.Config, error) {
+// nodeConfig builds the node's configuration and reads the key files.
+func (f *flags) nodeConfig() (node.Config, error) {
 	config := node.Config{
 		Name: f.name, Zone: f.zone, CallerListen: f.callers, OperatorListen: f.operators, PeerListen: f.peers,
 		CallerAdvertise: f.advertiseCallers, PeerAdvertise: f.advertisePeers, DrainGrace: f.drainGrace,
@@ -179,11 +182,12 @@
 		}
 		config.OperatorToken = string(tokens[0])
 	}
-	return config, f.secure(&config)
+	return config, f.addTLS(&config)
 }
 
-// secure adds TLS for callers and mutual TLS between nodes, where files are given.
-func (f *flags) secure(config *node.Config) error {
+// addTLS configures TLS for callers and mutual TLS between nodes if their certificate flags are
+// set.
+func (f *flags) addTLS(config *node.Config) error {
 	if f.callerCertificate != "" {
 		certificate, err := keys.LoadCertificate(f.callerCertificate, f.callerKey)
 		if err != nil {
@@ -198,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	authorities, err := keys.LoadAuthorities(f.peerRoot)
+	authorities, err := keys.LoadAuthorities(f.peerAuthorities)
 	if err != nil {
 		return err
 	}
--- a/test/caller/bench_test.go
+++ b/test/caller/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/thornwalk/thornwalk/transport/backendhttp"
 )
 
-// BenchmarkAddedLatency calls a plain service directly and through a node, in
-// turn, and reports both medians and their difference.
+// BenchmarkAddedLatency calls a plain service directly and through a node alternately, and
+// reports both median latencies and their difference.
 func BenchmarkAddedLatency(b *testing.B) {
 	logging.Discard()
 	c, err := demo.StartCluster(context.Background(), 1, false)
@@ -24,17 +24,17 @@
 		b.Fatal(err)
 	}
 	defer c.Stop()
-	n := c.Node("trakiya-n0")
-	service := ""
-	for _, backend := range n.Backends() {
+	entryNode := c.Node("trakiya-n0")
+	serviceAddress := ""
+	for _, backend := range entryNode.Backends() {
 		if backend.Replica.Service == "registar-app" {
-			service = backend.Replica.Address
+			serviceAddress = backend.Replica.Address
 		}
 	}
 	client := &http.Client{}
-	var direct, through []time.Duration
+	var direct, throughNode []time.Duration
 	call := func(url string) time.Duration {
-		begun := time.Now()
+		start := time.Now()
 		request, _ := http.NewRequest(http.MethodPost, url, strings.NewReader("x"))
 		request.Header.Set("Authorization", "Bearer restaurants-key")
 		request.Header.Set(backendhttp.HeaderRequestID, fmt.Sprint(len(direct)))
@@ -44,17 +44,17 @@
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		return time.Since(begun)
+		return time.Since(start)
 	}
 	for b.Loop() {
-		direct = append(direct, call("http://"+service+"/permits"))
-		through = append(through, call("http://"+n.CallerAddress()+"/services/registar-app/permits"))
+		direct = append(direct, call("http://"+serviceAddress+"/permits"))
+		throughNode = append(throughNode, call("http://"+entryNode.CallerAddress()+"/services/registar-app/permits"))
 	}
 	median := func(values []time.Duration) float64 {
 		sort.Slice(values, func(i, j int) bool { return values[i] < values[j] })
 		return float64(values[len(values)/2].Microseconds())
 	}
 	b.ReportMetric(median(direct), "µs-direct")
-	b.ReportMetric(median(through), "µs-through")
-	b.ReportMetric(median(through)-median(direct), "µs-added")
+	b.ReportMetric(median(throughNode), "µs-through")
+	b.ReportMetric(median(throughNode)-median(direct), "µs-added")
 }
--- a/test/caller/caller_test.go
+++ b/test/caller/caller_test.go
@@ -1,5 +1,5 @@
-// Package caller drives entry nodes as callers do: with the published OpenAI
-// client and with plain HTTP, with good input and bad.
+// Package caller tests the callers' interface of package node with the published OpenAI client
+// and with plain HTTP, with valid and invalid requests.
 package caller
 
 import (
@@ -27,8 +27,9 @@
 	"github.com/thornwalk/thornwalk/node"
 )
 
-// scene is a small deployment under virtual time.
-type scene struct {
+// deployment is a small cluster under virtual time, of which first and second are nodes of one
+// zone.
+type deployment struct {
 	*gomega.WithT
 	fabric  *memnet.Fabric
 	cluster *cluster.Cluster
@@ -37,11 +38,11 @@
 	second  *node.Node
 }
 
-var engine = enginesim.Spec{Generation: "g", Accelerators: 4, Slots: 8, BaseStep: 5 * time.Millisecond, ChunkTokens: 512, CacheBlocks: 100, KVTokens: 50000}
+var engineSpec = enginesim.Spec{Generation: "g", Accelerators: 4, Slots: 8, BaseStep: 5 * time.Millisecond, ChunkTokens: 512, CacheBlocks: 100, KVTokens: 50000}
 
-// play runs the test on a deployment of two zones with two nodes each. Settings
-// are path, key and value in turn.
-func play(t *testing.T, test func(s *scene), settings ...string) {
+// runWithDeployment runs the test on two zones with two nodes each. The settings are triples of
+// path, key and value, which are added to the example settings.
+func runWithDeployment(t *testing.T, test func(d *deployment), settings ...string) {
 	logging.Discard()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -53,78 +54,83 @@
 		for i := 0; i+2 < len(settings); i += 3 {
 			tree = tree.Set(settings[i], settings[i+1], settings[i+2])
 		}
-		s := &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}
-		s.cluster, err = cluster.Start(ctx, cluster.Options{
-			Zones: []string{"trakiya", "kapana"}, NodesPerZone: 2, EngineService: "ezik-servers", Model: "ezik", Engines: []enginesim.Spec{engine},
-			PlainService: "registar-app", PlainReplicas: 1, CallTime: 10 * time.Millisecond, Settings: tree, Host: s.fabric.Host, ListenAddress: ":0", Seed: 1,
+		d := &deployment{WithT: gomega.NewWithT(t), fabric: memnet.New()}
+		d.cluster, err = cluster.Start(ctx, cluster.Options{
+			Zones: []string{"trakiya", "kapana"}, NodesPerZone: 2, EngineService: "ezik-servers", Model: "ezik", Engines: []enginesim.Spec{engineSpec},
+			PlainService: "registar-app", PlainReplicas: 1, CallTime: 10 * time.Millisecond, Settings: tree, Host: d.fabric.Host, ListenAddress: ":0", Seed: 1,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.first, s.second = s.cluster.Node("trakiya-n0"), s.cluster.Node("trakiya-n1")
+		d.first, d.second = d.cluster.Node("trakiya-n0"), d.cluster.Node("trakiya-n1")
 		dial := func(ctx context.Context, _, address string) (net.Conn, error) {
-			return s.fabric.Host("caller").Dial(ctx, address)
+			return d.fabric.Host("caller").Dial(ctx, address)
 		}
-		s.client = &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}
+		d.client = &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}
 		defer func() {
-			s.cluster.Stop()
+			d.cluster.Stop()
 			cancel()
-			time.Sleep(10 * time.Second) // virtual time stands still afterwards
+			time.Sleep(10 * time.Second) // lets sleeping goroutines end, since virtual time stops afterwards
 		}()
-		test(s)
+		test(d)
 	})
 }
 
-// reply is a response that was read.
+// reply is a response whose body was read completely.
 type reply struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (s *scene) send(method, url, key, body string, header ...string) reply {
+// send sends a request with the API key, unless that is empty; the headers are pairs of name and
+// value.
+func (d *deployment) send(method, url, key, body string, header ...string) reply {
 	request, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
-	s.Expect(err).NotTo(gomega.HaveOccurred())
+	d.Expect(err).NotTo(gomega.HaveOccurred())
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	response, err := s.client.Do(request)
-	s.Expect(err).NotTo(gomega.HaveOccurred())
+	response, err := d.client.Do(request)
+	d.Expect(err).NotTo(gomega.HaveOccurred())
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	s.Expect(err).NotTo(gomega.HaveOccurred())
+	d.Expect(err).NotTo(gomega.HaveOccurred())
 	return reply{response.StatusCode, response.Header, string(content)}
 }
 
-func at(n *node.Node, path string) string { return "http://" + n.CallerAddress() + path }
+func callerURL(n *node.Node, path string) string { return "http://" + n.CallerAddress() + path }
 
-const question = `{"model":"ruling","lab_output_tokens":5,"messages":[{"role":"user","content":"May I cross?"}]}`
+const chatRequest = `{"model":"ruling","lab_output_tokens":5,"messages":[{"role":"user","content":"May I cross?"}]}`
 
-func TestPublishedClient(t *testing.T) {
-	play(t, func(s *scene) {
-		client := openai.NewClient(option.WithBaseURL(at(s.first, "/v1/")), option.WithAPIKey("couriers-key"), option.WithHTTPClient(s.client), option.WithMaxRetries(0))
+// Guards against responses that the published client can't parse, streamed or not.
+func TestOpenAIClient(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		client := openai.NewClient(option.WithBaseURL(callerURL(d.first, "/v1/")), option.WithAPIKey("couriers-key"), option.WithHTTPClient(d.client), option.WithMaxRetries(0))
 		parameters := openai.ChatCompletionNewParams{Model: "ruling", MaxTokens: openai.Int(6), Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("May I cross?")}}
 		completion, err := client.Chat.Completions.New(context.Background(), parameters)
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		s.Expect(strings.Fields(completion.Choices[0].Message.Content)).To(gomega.HaveLen(6))
-		s.Expect(completion.Usage.CompletionTokens).To(gomega.BeEquivalentTo(6))
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		d.Expect(strings.Fields(completion.Choices[0].Message.Content)).To(gomega.HaveLen(6))
+		d.Expect(completion.Usage.CompletionTokens).To(gomega.BeEquivalentTo(6))
 		stream := client.Chat.Completions.NewStreaming(context.Background(), parameters)
 		var joined openai.ChatCompletionAccumulator
 		for stream.Next() {
 			joined.AddChunk(stream.Current())
 		}
-		s.Expect(stream.Err()).NotTo(gomega.HaveOccurred())
-		s.Expect(strings.Fields(joined.Choices[0].Message.Content)).To(gomega.HaveLen(6))
+		d.Expect(stream.Err()).NotTo(gomega.HaveOccurred())
+		d.Expect(strings.Fields(joined.Choices[0].Message.Content)).To(gomega.HaveLen(6))
 		models, err := client.Models.List(context.Background())
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		s.Expect(models.Data).To(gomega.HaveLen(4))
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		d.Expect(models.Data).To(gomega.HaveLen(4))
 	})
 }
 
-func TestBadInputGetsTypedErrors(t *testing.T) {
+// Guards against invalid requests that reach a back end, get no error code or outcome, or break
+// the node.
+func TestInvalidRequestsGetTypedErrors(t *testing.T) {
 	chat := "/v1/chat/completions"
 	cases := map[string]struct {
 		method, path, key, body string
@@ -132,149 +138,156 @@
 		status                  int
 		code, outcome           string
 	}{
-		"no key":          {"POST", chat, "", question, nil, 401, "unauthorized", "not-run"},
-		"a wrong key":     {"POST", chat, "nobody", question, nil, 401, "unauthorized", "not-run"},
+		"no key":          {"POST", chat, "", chatRequest, nil, 401, "unauthorized", "not-run"},
+		"a wrong key":     {"POST", chat, "nobody", chatRequest, nil, 401, "unauthorized", "not-run"},
 		"bad json":        {"POST", chat, "couriers-key", "{", nil, 400, "bad-request", "not-run"},
 		"broken utf-8":    {"POST", chat, "couriers-key", "{\"model\":\"\xff\"}", nil, 400, "bad-request", "not-run"},
-		"unknown model":   {"POST", chat, "couriers-key", strings.Replace(question, "ruling", "x", 1), nil, 404, "unknown-route", "not-run"},
-		"oversize body":   {"POST", chat, "public-key", strings.Replace(question, "May", strings.Repeat("M", 4000), 1), nil, 413, "too-large", "not-run"},
-		"a bad deadline":  {"POST", chat, "couriers-key", question, []string{node.HeaderDeadline, "soon"}, 400, "bad-request", "not-run"},
-		"a long key":      {"POST", chat, "couriers-key", question, []string{node.HeaderIdempotencyKey, strings.Repeat("k", 300)}, 400, "bad-request", "not-run"},
-		"a false ticket":  {"POST", chat, "couriers-key", question, []string{node.HeaderTicket, "x"}, 409, "bad-ticket", "pending"},
+		"unknown model":   {"POST", chat, "couriers-key", strings.Replace(chatRequest, "ruling", "x", 1), nil, 404, "unknown-route", "not-run"},
+		"oversize body":   {"POST", chat, "public-key", strings.Replace(chatRequest, "May", strings.Repeat("M", 4000), 1), nil, 413, "too-large", "not-run"},
+		"a bad deadline":  {"POST", chat, "couriers-key", chatRequest, []string{node.HeaderDeadline, "soon"}, 400, "bad-request", "not-run"},
+		"a long key":      {"POST", chat, "couriers-key", chatRequest, []string{node.HeaderIdempotencyKey, strings.Repeat("k", 300)}, 400, "bad-request", "not-run"},
+		"a false ticket":  {"POST", chat, "couriers-key", chatRequest, []string{node.HeaderTicket, "x"}, 409, "bad-ticket", "pending"},
 		"unknown service": {"GET", "/services/none/x", "couriers-key", "", nil, 404, "unknown-route", "not-run"},
 		"unknown id":      {"GET", "/v1/requests/zzz", "couriers-key", "", nil, 404, "not-found", "pending"},
 		"a false receipt": {"GET", "/v1/requests/tw_gone_1_1", "couriers-key", "", []string{node.HeaderReceipt, "x"}, 400, "bad-receipt", "pending"},
 	}
-	play(t, func(s *scene) {
+	runWithDeployment(t, func(d *deployment) {
 		for name, c := range cases {
-			got := s.send(c.method, at(s.first, c.path), c.key, c.body, c.header...)
-			s.Expect(got.status).To(gomega.Equal(c.status), name)
-			s.Expect(got.header.Get(node.HeaderErrorCode)).To(gomega.Equal(c.code), name)
-			s.Expect(got.header.Get(node.HeaderOutcome)).To(gomega.Equal(c.outcome), name)
-			s.Expect(got.body).To(gomega.ContainSubstring("message"), name)
+			got := d.send(c.method, callerURL(d.first, c.path), c.key, c.body, c.header...)
+			d.Expect(got.status).To(gomega.Equal(c.status), name)
+			d.Expect(got.header.Get(node.HeaderErrorCode)).To(gomega.Equal(c.code), name)
+			d.Expect(got.header.Get(node.HeaderOutcome)).To(gomega.Equal(c.outcome), name)
+			d.Expect(got.body).To(gomega.ContainSubstring("message"), name)
 		}
-		s.Expect(s.cluster.Executions()).To(gomega.BeEmpty())
-		s.Expect(s.send("POST", at(s.first, chat), "couriers-key", question).status).To(gomega.Equal(200), "the node still serves")
+		d.Expect(d.cluster.Executions()).To(gomega.BeEmpty())
+		d.Expect(d.send("POST", callerURL(d.first, chat), "couriers-key", chatRequest).status).To(gomega.Equal(200), "valid request after the invalid ones")
 	})
 }
 
-func TestResubmissionJoinsAndAnotherBodyIsRefused(t *testing.T) {
-	play(t, func(s *scene) {
+// Guards against a second execution of a resubmitted request, at another node too.
+func TestIdempotencyKeyReturnsFirstAnswerAndRejectsOtherBody(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
 		path, key := "/v1/chat/completions", []string{node.HeaderIdempotencyKey, "k"}
-		first := s.send("POST", at(s.first, path), "couriers-key", question, key...)
-		second := s.send("POST", at(s.second, path), "couriers-key", question, key...)
-		s.Expect(second.body).To(gomega.Equal(first.body))
-		s.Expect(second.header.Get(node.HeaderRequestID)).To(gomega.Equal(first.header.Get(node.HeaderRequestID)))
-		other := s.send("POST", at(s.second, path), "couriers-key", strings.Replace(question, "cross", "stay", 1), key...)
-		s.Expect(other.header.Get(node.HeaderErrorCode)).To(gomega.Equal("key-reused"))
-		s.send("POST", at(s.second, path), "restaurants-key", question, key...) // another tenant's key is another request
-		s.Expect(s.cluster.Executions()).To(gomega.HaveLen(2))
+		first := d.send("POST", callerURL(d.first, path), "couriers-key", chatRequest, key...)
+		second := d.send("POST", callerURL(d.second, path), "couriers-key", chatRequest, key...)
+		d.Expect(second.body).To(gomega.Equal(first.body))
+		d.Expect(second.header.Get(node.HeaderRequestID)).To(gomega.Equal(first.header.Get(node.HeaderRequestID)))
+		other := d.send("POST", callerURL(d.second, path), "couriers-key", strings.Replace(chatRequest, "cross", "stay", 1), key...)
+		d.Expect(other.header.Get(node.HeaderErrorCode)).To(gomega.Equal("key-reused"))
+		d.send("POST", callerURL(d.second, path), "restaurants-key", chatRequest, key...) // another tenant's key is another request
+		d.Expect(d.cluster.Executions()).To(gomega.HaveLen(2))
 	})
 }
 
-func TestAnswerIsReadAgainAtAnyNodeAndByReceipt(t *testing.T) {
-	play(t, func(s *scene) {
-		first := s.send("POST", at(s.first, "/v1/chat/completions"), "couriers-key", question)
-		id, sealed := first.header.Get(node.HeaderRequestID), first.header.Get(node.HeaderReceipt)
-		again := s.send("GET", at(s.second, "/v1/requests/"+id+"/answer"), "couriers-key", "")
-		s.Expect(again.body).To(gomega.Equal(first.body))
-		s.Expect(s.send("GET", at(s.second, "/v1/requests/"+id), "restaurants-key", "").body).NotTo(gomega.ContainSubstring("answered"), "not another tenant's")
-		s.first.Kill()
+// Guards against answers that are lost with their node, or readable by another tenant.
+func TestAnswerIsAvailableAtOtherNodesAndByReceipt(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		first := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest)
+		id, receipt := first.header.Get(node.HeaderRequestID), first.header.Get(node.HeaderReceipt)
+		again := d.send("GET", callerURL(d.second, "/v1/requests/"+id+"/answer"), "couriers-key", "")
+		d.Expect(again.body).To(gomega.Equal(first.body))
+		d.Expect(d.send("GET", callerURL(d.second, "/v1/requests/"+id), "restaurants-key", "").body).NotTo(gomega.ContainSubstring("answered"), "request of another tenant")
+		d.first.Kill()
 		time.Sleep(5 * time.Second)
-		after := s.send("GET", at(s.second, "/v1/requests/"+id+"/answer"), "couriers-key", "", node.HeaderReceipt, sealed)
-		s.Expect(after.body).To(gomega.Equal(first.body))
-		s.Expect(s.cluster.Executions()).To(gomega.HaveLen(1))
+		after := d.send("GET", callerURL(d.second, "/v1/requests/"+id+"/answer"), "couriers-key", "", node.HeaderReceipt, receipt)
+		d.Expect(after.body).To(gomega.Equal(first.body))
+		d.Expect(d.cluster.Executions()).To(gomega.HaveLen(1))
 	})
 }
 
-func TestStoreDown(t *testing.T) {
-	play(t, func(s *scene) {
-		s.cluster.Store.SetFault(func(string) standin.StoreFault { return standin.StoreRefuses })
-		appeal := strings.Replace(question, "ruling", "appeal", 1)
-		path := at(s.first, "/v1/chat/completions")
-		keyed := s.send("POST", path, "couriers-key", appeal, node.HeaderIdempotencyKey, "a")
-		s.Expect(keyed.header.Get(node.HeaderErrorCode)).To(gomega.Equal("no-claim"))
-		s.Expect(keyed.header.Get(node.HeaderOutcome)).To(gomega.Equal("not-run"))
-		s.Expect(keyed.body).To(gomega.ContainSubstring("/v1/tickets"))
-		var caller = cluster.NewCaller(s.fabric.Host("caller"))
-		ticket, err := caller.GetTicket(context.Background(), s.second.CallerAddress(), "couriers-key")
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		first := s.send("POST", path, "couriers-key", appeal, node.HeaderTicket, ticket)
-		s.Expect(first.status).To(gomega.Equal(200), "forwarded to the process that gave the ticket")
-		again := s.send("POST", path, "couriers-key", appeal, node.HeaderTicket, ticket)
-		s.Expect(again.body).To(gomega.Equal(first.body))
-		s.Expect(s.cluster.Executions()).To(gomega.HaveLen(1))
+// Guards against requests that can't be submitted safely while the store is down: without a claim
+// they are rejected, with a ticket they run once.
+func TestTicketsReplaceClaimsDuringStoreOutage(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		d.cluster.Store.SetFault(func(string) standin.StoreFault { return standin.StoreRefuses })
+		appeal := strings.Replace(chatRequest, "ruling", "appeal", 1)
+		path := callerURL(d.first, "/v1/chat/completions")
+		keyed := d.send("POST", path, "couriers-key", appeal, node.HeaderIdempotencyKey, "a")
+		d.Expect(keyed.header.Get(node.HeaderErrorCode)).To(gomega.Equal("no-claim"))
+		d.Expect(keyed.header.Get(node.HeaderOutcome)).To(gomega.Equal("not-run"))
+		d.Expect(keyed.body).To(gomega.ContainSubstring("/v1/tickets"))
+		var ticketCaller = cluster.NewCaller(d.fabric.Host("caller"))
+		ticket, err := ticketCaller.GetTicket(context.Background(), d.second.CallerAddress(), "couriers-key")
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		first := d.send("POST", path, "couriers-key", appeal, node.HeaderTicket, ticket)
+		d.Expect(first.status).To(gomega.Equal(200), "forwarded to the process that issued the ticket")
+		again := d.send("POST", path, "couriers-key", appeal, node.HeaderTicket, ticket)
+		d.Expect(again.body).To(gomega.Equal(first.body))
+		d.Expect(d.cluster.Executions()).To(gomega.HaveLen(1))
 	})
 }
 
-func TestBadValueInTheStoreLeavesTheLastGenerationInForce(t *testing.T) {
-	play(t, func(s *scene) {
-		s.cluster.Store.Put(settingsync.Key, []byte("\xc1 rubbish"))
-		broken := &settingsync.Document{Generation: 9, Branches: s.cluster.Document.Tree().Set("tiers/status", "rank", "77").Branches()}
+// Guards against activating settings from the store that can't be decoded or fail validation.
+func TestInvalidStoredSettingsKeepActiveGeneration(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		d.cluster.Store.Put(settingsync.Key, []byte("\xc1 rubbish"))
+		broken := &settingsync.Document{Generation: 9, Branches: d.cluster.Document.Tree().Set("tiers/status", "rank", "77").Branches()}
 		data, err := broken.Encode()
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		s.cluster.Store.Put(settingsync.Key, data)
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		d.cluster.Store.Put(settingsync.Key, data)
 		time.Sleep(5 * time.Second)
-		s.Expect(s.first.Settings().Generation).To(gomega.BeEquivalentTo(1))
-		s.Expect(s.send("POST", at(s.first, "/v1/chat/completions"), "couriers-key", question).status).To(gomega.Equal(200))
+		d.Expect(d.first.Settings().Generation).To(gomega.BeEquivalentTo(1))
+		d.Expect(d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest).status).To(gomega.Equal(200))
 	})
 }
 
-// TestNodeThatPollsNothingIsReady starts a node when the others poll all
-// replicas already.
-func TestNodeThatPollsNothingIsReady(t *testing.T) {
-	play(t, func(s *scene) {
+// Guards against a node that never becomes ready since other nodes already poll all replicas.
+func TestNodeThatPollsNoReplicaBecomesReady(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
 		for number := range 4 {
-			s.Expect(s.cluster.StartNode(cluster.NodeName("trakiya", 2+number), "trakiya")).To(gomega.Succeed())
+			d.Expect(d.cluster.StartNode(cluster.NodeName("trakiya", 2+number), "trakiya")).To(gomega.Succeed())
 		}
 		time.Sleep(5 * time.Second)
-		for _, name := range s.cluster.Names() {
-			s.Expect(s.cluster.Node(name).Ready()).To(gomega.BeTrue(), name)
+		for _, name := range d.cluster.Names() {
+			d.Expect(d.cluster.Node(name).Ready()).To(gomega.BeTrue(), name)
 		}
 	})
 }
 
-func TestTenantLimitSaysWhenToComeBack(t *testing.T) {
-	play(t, func(s *scene) {
+// Guards against rate-limited callers that aren't given a retry time.
+func TestTenantRateLimitSetsRetryAfter(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
 		limited := 0
 		for range 6 {
-			got := s.send("POST", at(s.first, "/v1/chat/completions"), "inspectors-key", question)
+			got := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "inspectors-key", chatRequest)
 			if got.status == http.StatusTooManyRequests {
 				limited++
-				s.Expect(got.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+				d.Expect(got.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 			}
 		}
-		s.Expect(limited).To(gomega.BeNumerically(">", 2))
+		d.Expect(limited).To(gomega.BeNumerically(">", 2))
 	})
 }
 
-func TestSlowCallerIsCutOff(t *testing.T) {
-	play(t, func(s *scene) {
-		connection, err := s.fabric.Host("caller").Dial(context.Background(), s.first.CallerAddress())
-		s.Expect(err).NotTo(gomega.HaveOccurred())
+// Guards against callers that occupy a connection with an unfinished request header.
+func TestConnectionWithIncompleteHeaderIsClosed(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		connection, err := d.fabric.Host("caller").Dial(context.Background(), d.first.CallerAddress())
+		d.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = connection.Write([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthor"))
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		begun := time.Now()
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		start := time.Now()
 		_, err = io.ReadAll(connection)
-		s.Expect(err).NotTo(gomega.HaveOccurred())
-		s.Expect(time.Since(begun)).To(gomega.BeNumerically("<", time.Minute))
+		d.Expect(err).NotTo(gomega.HaveOccurred())
+		d.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Minute))
 	})
 }
 
-func TestCallerWhoHangsUpEndsItsRequest(t *testing.T) {
-	play(t, func(s *scene) {
+// Guards against back ends that go on working for a caller that disconnected.
+func TestDisconnectCancelsRequest(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		long := strings.Replace(question, `"lab_output_tokens":5`, `"lab_output_tokens":150`, 1)
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, at(s.first, "/v1/chat/completions"), strings.NewReader(long))
-		s.Expect(err).NotTo(gomega.HaveOccurred())
+		long := strings.Replace(chatRequest, `"lab_output_tokens":5`, `"lab_output_tokens":150`, 1)
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, callerURL(d.first, "/v1/chat/completions"), strings.NewReader(long))
+		d.Expect(err).NotTo(gomega.HaveOccurred())
 		request.Header.Set("Authorization", "Bearer couriers-key")
-		_, err = s.client.Do(request)
-		s.Expect(err).To(gomega.HaveOccurred())
+		_, err = d.client.Do(request)
+		d.Expect(err).To(gomega.HaveOccurred())
 		time.Sleep(2 * time.Second)
-		executions := s.cluster.Executions()
-		s.Expect(executions).To(gomega.HaveLen(1))
-		s.Expect(executions[0].Cancelled).To(gomega.BeTrue())
-		s.Expect(s.first.Status().InFlight).To(gomega.BeZero())
+		executions := d.cluster.Executions()
+		d.Expect(executions).To(gomega.HaveLen(1))
+		d.Expect(executions[0].Cancelled).To(gomega.BeTrue())
+		d.Expect(d.first.Status().InFlight).To(gomega.BeZero())
 	})
 }
--- a/test/caller/overflow_test.go
+++ b/test/caller/overflow_test.go
@@ -9,26 +9,26 @@
 	"github.com/thornwalk/thornwalk/node"
 )
 
-// TestOverflowGoesToTheOtherZone takes the zone's only engine away.
-func TestOverflowGoesToTheOtherZone(t *testing.T) {
-	play(t, func(s *scene) {
-		s.cluster.LeaveBackend("trakiya-e0")
+// Guards against requests that fail although overflow to another zone is enabled.
+func TestOverflowIsSentToConfiguredZone(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		d.cluster.LeaveBackend("trakiya-e0")
 		time.Sleep(4 * time.Second)
-		got := s.send("POST", at(s.first, "/v1/chat/completions"), "couriers-key", question)
-		s.Expect(got.status).To(gomega.Equal(200))
-		executions := s.cluster.Executions()
-		s.Expect(executions).To(gomega.HaveLen(1))
-		s.Expect(executions[0].Replica).To(gomega.BeEquivalentTo("kapana-e0"))
+		got := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest)
+		d.Expect(got.status).To(gomega.Equal(200))
+		executions := d.cluster.Executions()
+		d.Expect(executions).To(gomega.HaveLen(1))
+		d.Expect(executions[0].Replica).To(gomega.BeEquivalentTo("kapana-e0"))
 	}, "services/ezik-servers", "overflow", "true", "services/ezik-servers", "overflow_zones", "kapana")
 }
 
-// TestNoOverflowUnlessSettingsAllowIt is the same without the settings.
-func TestNoOverflowUnlessSettingsAllowIt(t *testing.T) {
-	play(t, func(s *scene) {
-		s.cluster.LeaveBackend("trakiya-e0")
+// Guards against requests that leave their zone although overflow is not enabled.
+func TestNoOverflowByDefault(t *testing.T) {
+	runWithDeployment(t, func(d *deployment) {
+		d.cluster.LeaveBackend("trakiya-e0")
 		time.Sleep(4 * time.Second)
-		got := s.send("POST", at(s.first, "/v1/chat/completions"), "couriers-key", question)
-		s.Expect(got.header.Get(node.HeaderErrorCode)).To(gomega.Equal("no-replica"))
-		s.Expect(s.cluster.Executions()).To(gomega.BeEmpty())
+		got := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest)
+		d.Expect(got.header.Get(node.HeaderErrorCode)).To(gomega.Equal("no-replica"))
+		d.Expect(d.cluster.Executions()).To(gomega.BeEmpty())
 	})
 }
--- a/test/faultmatrix/faults_test.go
+++ b/test/faultmatrix/faults_test.go
@@ -13,13 +13,13 @@
 	"github.com/thornwalk/thornwalk/transport/etcdstore"
 )
 
-// fault is one fault of the list in docs/FAULTS.md.
+// fault is a kind of fault with the function that injects it. Its name is listed in docs/FAULTS.md.
 type fault struct {
 	name  string
-	apply func(w *world)
+	apply func(run *cellRun)
 }
 
-// path is the path that a cell's points lie on.
+// path is the operation that a cell's fault point belongs to.
 type path string
 
 const (
@@ -28,15 +28,15 @@
 	pathOrder   path = "order"
 )
 
-// cell is one or two faults at one point.
+// cell is one or two faults that are injected at one point.
 type cell struct {
 	path   path
 	point  faultpoint.Point
 	faults []fault
-	// lasts is how long the fault lasts if that is more than faultTime.
-	lasts time.Duration
-	// linger is extra time at the end, for placement leases to pass on.
-	linger time.Duration
+	// faultDuration is the duration of the fault if it is longer than minFaultDuration.
+	faultDuration time.Duration
+	// finalWait is extra time at the end, in which placement leases move to another node.
+	finalWait time.Duration
 }
 
 func (c cell) name() string {
@@ -47,6 +47,7 @@
 	return fmt.Sprintf("%s at %s: %s", c.path, c.point, strings.Join(names, " + "))
 }
 
+// peersOf returns the other nodes of the node's zone.
 func peersOf(name string) []string {
 	var peers []string
 	for index := range 3 {
@@ -57,15 +58,16 @@
 	return peers
 }
 
-func zoneHosts(zone string) []string {
+func zoneNodes(zone string) []string {
 	return []string{zone + "-n0", zone + "-n1", zone + "-n2"}
 }
 
 var platformHosts = []string{cluster.StoreHost, cluster.MachinesHost}
 
-func storeFault(kind standin.StoreFault, paths ...string) func(*world) {
-	return func(w *world) {
-		w.cluster.Store.SetFault(func(path string) standin.StoreFault {
+// storeFault returns a fault that affects the store's calls with the paths, or all without any.
+func storeFault(kind standin.StoreFault, paths ...string) func(*cellRun) {
+	return func(run *cellRun) {
+		run.cluster.Store.SetFault(func(path string) standin.StoreFault {
 			for _, affected := range paths {
 				if path == affected {
 					return kind
@@ -79,99 +81,103 @@
 	}
 }
 
-func misbehave(kind standin.Misbehavior) func(*world) {
-	return func(w *world) {
-		w.mutex.Lock()
-		w.backendsFail = true
-		w.mutex.Unlock()
-		every := func(string) standin.Misbehavior { return kind }
-		for _, engine := range w.cluster.Engines {
-			engine.SetMisbehavior(every)
+// misbehave returns a fault that makes all engines and services misbehave.
+func misbehave(kind standin.Misbehavior) func(*cellRun) {
+	return func(run *cellRun) {
+		run.mutex.Lock()
+		run.backendsMisbehave = true
+		run.mutex.Unlock()
+		always := func(string) standin.Misbehavior { return kind }
+		for _, engine := range run.cluster.Engines {
+			engine.SetMisbehavior(always)
 		}
-		for _, service := range w.cluster.Services {
-			service.SetMisbehavior(every)
+		for _, service := range run.cluster.Services {
+			service.SetMisbehavior(always)
 		}
 	}
 }
 
-func kill(w *world) {
-	w.trigger.halt(w.victim)
-	w.down[w.victim] = true
-	n := w.cluster.Node(w.victim)
-	w.group.Go(n.Kill)
+func killVictim(run *cellRun) {
+	run.trigger.halt(run.victim)
+	run.down[run.victim] = true
+	n := run.cluster.Node(run.victim)
+	run.group.Go(n.Kill)
 }
 
-func pause(w *world) {
-	w.trigger.halt(w.victim)
-	w.fabric.Pause(w.victim)
+func pauseVictim(run *cellRun) {
+	run.trigger.halt(run.victim)
+	run.fabric.Pause(run.victim)
 }
 
-func drain(w *world) {
-	w.mutex.Lock()
-	w.stopping[w.victim] = true
-	w.mutex.Unlock()
-	w.group.Go(func() {
-		if !w.cluster.Node(w.victim).Drain(w.ctx) {
-			w.violate(checker.RulePlannedStop, "the node did not drain")
+func drainVictim(run *cellRun) {
+	run.mutex.Lock()
+	run.stopping[run.victim] = true
+	run.mutex.Unlock()
+	run.group.Go(func() {
+		if !run.cluster.Node(run.victim).Drain(run.ctx) {
+			run.recordViolation(checker.RulePlannedStop, "node did not drain in time")
 		}
 	})
 }
 
-func leave(w *world) {
-	engine := w.cluster.Engines[0]
-	w.mutex.Lock()
-	w.history.Departures = append(w.history.Departures, checker.Departure{Replica: engine.ID, At: time.Now()})
-	w.mutex.Unlock()
-	w.cluster.LeaveBackend(engine.ID)
+// removeEngine makes an engine leave as planned.
+func removeEngine(run *cellRun) {
+	engine := run.cluster.Engines[0]
+	run.mutex.Lock()
+	run.history.Departures = append(run.history.Departures, checker.Departure{Replica: engine.ID, At: time.Now()})
+	run.mutex.Unlock()
+	run.cluster.LeaveBackend(engine.ID)
 }
 
-func burst(w *world) {
+// sendBurst sends 80 requests at once to the victim's neighbour.
+func sendBurst(run *cellRun) {
 	for number := range 80 {
-		s := mix[number%4]
-		s.Marker, s.Service, s.Key = fmt.Sprintf("burst-%d", number), "ezik-servers", ""
-		s.Prompt = strings.Repeat("burst ", 200)
-		s.Address, s.Zone = w.address(w.neighbour), victimZone
-		w.group.Go(func() {
-			ctx, cancel := context.WithTimeout(w.ctx, settleTime)
+		submission := requestMix[number%4]
+		submission.Marker, submission.Service, submission.Key = fmt.Sprintf("burst-%d", number), "ezik-servers", ""
+		submission.Prompt = strings.Repeat("burst ", 200)
+		submission.Address, submission.Zone = run.address(run.neighbour), victimZone
+		run.group.Go(func() {
+			ctx, cancel := context.WithTimeout(run.ctx, requestTimeout)
 			defer cancel()
-			o := w.caller.Send(ctx, &s)
-			w.mutex.Lock()
-			w.history.Observations = append(w.history.Observations, o)
-			w.mutex.Unlock()
+			observation := run.caller.Send(ctx, &submission)
+			run.mutex.Lock()
+			run.history.Observations = append(run.history.Observations, observation)
+			run.mutex.Unlock()
 		})
 	}
 }
 
-func race(w *world) {
-	w.changeSettings(w.neighbour, "racer-a")
-	w.changeSettings(otherZone+"-n1", "racer-bb")
+// changeSettingsConcurrently submits two changes of the same generation at two nodes.
+func changeSettingsConcurrently(run *cellRun) {
+	run.changeSettings(run.neighbour, "racer-a")
+	run.changeSettings(otherZone+"-n1", "racer-bb")
 }
 
-// faults are all faults, in the order of the list.
+// faults are all faults in the order of docs/FAULTS.md.
 var faults = []fault{
-	{"process killed", kill},
-	{"process paused past its leases", pause},
-	{"peer links cut", func(w *world) { w.fabric.CutGroups([]string{w.victim}, peersOf(w.victim)) }},
-	{"peer links cut, victim to peers only", func(w *world) {
-		for _, other := range peersOf(w.victim) {
-			w.fabric.Cut(w.victim, other)
+	{"process killed", killVictim},
+	{"process paused past its leases", pauseVictim},
+	{"peer links cut", func(run *cellRun) { run.fabric.CutGroups([]string{run.victim}, peersOf(run.victim)) }},
+	{"peer links cut, victim to peers only", func(run *cellRun) {
+		for _, other := range peersOf(run.victim) {
+			run.fabric.Cut(run.victim, other)
 		}
 	}},
-	{"peer links cut, peers to victim only", func(w *world) {
-		for _, other := range peersOf(w.victim) {
-			w.fabric.Cut(other, w.victim)
+	{"peer links cut, peers to victim only", func(run *cellRun) {
+		for _, other := range peersOf(run.victim) {
+			run.fabric.Cut(other, run.victim)
 		}
 	}},
-	{"zone cut from zone", func(w *world) { w.fabric.CutGroups(zoneHosts(victimZone), zoneHosts(otherZone)) }},
-	{"zone cut from platform", func(w *world) { w.fabric.CutGroups(zoneHosts(victimZone), platformHosts) }},
+	{"zone cut from zone", func(run *cellRun) { run.fabric.CutGroups(zoneNodes(victimZone), zoneNodes(otherZone)) }},
+	{"zone cut from platform", func(run *cellRun) { run.fabric.CutGroups(zoneNodes(victimZone), platformHosts) }},
 	{"store down", storeFault(standin.StoreRefuses)},
 	{"store hangs", storeFault(standin.StoreHangs)},
 	{"store loses answers", storeFault(standin.StoreLosesAnswer)},
 	{"store acts late", storeFault(standin.StoreDelays)},
 	{"watch dropped", storeFault(standin.StoreHangs, etcdstore.PathWatch)},
-	{"machine list down", func(w *world) { w.cluster.Machines.SetDown(true) }},
-	{"engine slow", func(w *world) { w.cluster.Engines[0].SetSlowdown(10) }},
-	{"engine killed", func(w *world) { w.cluster.KillBackend(w.cluster.Engines[0].ID) }},
+	{"machine list down", func(run *cellRun) { run.cluster.Machines.SetDown(true) }},
+	{"engine slow", func(run *cellRun) { run.cluster.Engines[0].SetSlowdown(10) }},
+	{"engine killed", func(run *cellRun) { run.cluster.KillBackend(run.cluster.Engines[0].ID) }},
 	{"back ends die before the first byte of the answer", misbehave(standin.DiesBeforeAnswer)},
 	{"back ends forget requests", misbehave(standin.ForgetsRequest)},
 	{"back ends die mid-answer", misbehave(standin.DiesMidAnswer)},
@@ -179,19 +185,20 @@
 	{"engines answer out of order", misbehave(standin.AnswersOutOfOrder)},
 	{"engines answer twice", misbehave(standin.AnswersTwice)},
 	{"engines answer for another request", misbehave(standin.AnswersForOther)},
-	{"load reports stale", func(w *world) {
-		for _, engine := range w.cluster.Engines {
+	{"load reports stale", func(run *cellRun) {
+		for _, engine := range run.cluster.Engines {
 			engine.SetReportLag(5 * time.Second)
 		}
 	}},
-	{"operators racing", race},
-	{"burst", burst},
-	{"planned stop", drain},
-	{"configuration change", func(w *world) { w.changeSettings(w.neighbour, "change") }},
-	{"back end leaving", leave},
+	{"operators racing", changeSettingsConcurrently},
+	{"burst", sendBurst},
+	{"planned stop", drainVictim},
+	{"configuration change", func(run *cellRun) { run.changeSettings(run.neighbour, "change") }},
+	{"back end leaving", removeEngine},
 }
 
-func named(names ...string) []fault {
+// faultsNamed returns the faults in the order of the names; it skips unknown names.
+func faultsNamed(names ...string) []fault {
 	var found []fault
 	for _, name := range names {
 		for _, f := range faults {
@@ -203,8 +210,8 @@
 	return found
 }
 
-// pairs are faults that are known to interact.
-var pairs = [][2]string{
+// faultPairs are pairs of faults that are known to interact.
+var faultPairs = [][2]string{
 	{"process killed", "store down"},
 	{"process killed", "store loses answers"},
 	{"process killed", "peer links cut"},
@@ -221,16 +228,16 @@
 	{"back end leaving", "machine list down"},
 }
 
-// pairPoints are the points at which pairs are tried.
+// pairPoints are the points at which faultPairs are injected.
 var pairPoints = []faultpoint.Point{faultpoint.Register, faultpoint.Claim, faultpoint.FirstByte, faultpoint.Stream}
 
-// changeFaults are those that can touch a change or an order.
+// changeFaults are the names of the faults that can affect a settings change or a placement order.
 var changeFaults = []string{
 	"process killed", "process paused past its leases", "peer links cut", "zone cut from zone", "zone cut from platform", "store down",
 	"store hangs", "store loses answers", "store acts late", "watch dropped", "operators racing", "planned stop",
 }
 
-// cells generates the matrix.
+// cells returns all cells of the matrix.
 func cells() []cell {
 	var all []cell
 	for _, point := range faultpoint.RequestPoints {
@@ -239,18 +246,18 @@
 		}
 	}
 	for _, point := range pairPoints {
-		for _, pair := range pairs {
-			all = append(all, cell{path: pathRequest, point: point, faults: named(pair[0], pair[1])})
+		for _, pair := range faultPairs {
+			all = append(all, cell{path: pathRequest, point: point, faults: faultsNamed(pair[0], pair[1])})
 		}
 	}
 	for _, point := range faultpoint.ChangePoints {
-		for _, f := range named(changeFaults...) {
+		for _, f := range faultsNamed(changeFaults...) {
 			all = append(all, cell{path: pathChange, point: point, faults: []fault{f}})
 		}
 	}
 	for _, point := range faultpoint.OrderPoints {
-		for _, f := range named(changeFaults...) {
-			all = append(all, cell{path: pathOrder, point: point, faults: []fault{f}, lasts: 15 * time.Second, linger: 15 * time.Second})
+		for _, f := range faultsNamed(changeFaults...) {
+			all = append(all, cell{path: pathOrder, point: point, faults: []fault{f}, faultDuration: 15 * time.Second, finalWait: 15 * time.Second})
 		}
 	}
 	return all
--- a/test/faultmatrix/harness_test.go
+++ b/test/faultmatrix/harness_test.go
@@ -24,11 +24,11 @@
 	callerHost = "caller"
 	victimZone = "trakiya"
 	otherZone  = "kapana"
-	// faultTime is how long a fault lasts, longer than every lease.
-	faultTime = 6 * time.Second
-	// settleTime is how long requests are given after the fault is healed.
-	settleTime  = 40 * time.Second
-	submitTries = 3
+	// minFaultDuration is longer than every lease.
+	minFaultDuration = 6 * time.Second
+	// requestTimeout is long enough for requests to end after the fault is healed.
+	requestTimeout    = 40 * time.Second
+	maxSubmitAttempts = 3
 )
 
 var engines = []enginesim.Spec{
@@ -36,9 +36,9 @@
 	{Generation: "g1", Accelerators: 3, Slots: 4, BaseStep: 20 * time.Millisecond, PerSequence: 2 * time.Millisecond, PerPrefillToken: 100 * time.Microsecond, ChunkTokens: 256, CacheBlocks: 200, KVTokens: 30000},
 }
 
-// world is one cell under way.
-type world struct {
-	// victim is the node that the fault hits, neighbour another of its zone.
+// cellRun is the state of one running cell.
+type cellRun struct {
+	// victim is the node at which the fault is injected, neighbour another node of its zone.
 	victim, neighbour string
 
 	t       *testing.T
@@ -53,112 +53,116 @@
 	group    sync.WaitGroup
 	down     map[string]bool
 	stopping map[string]bool
-	// backendsFail is true if back ends cut answers, so that a planned stop is
-	// not what cut them.
-	backendsFail bool
+	// backendsMisbehave is true if back ends may break off answers, which then are not attributed
+	// to a planned stop.
+	backendsMisbehave bool
 }
 
-// trigger fires a fault when the victim reaches a point for the first time.
+// trigger injects a fault when a node reaches a point for the first time. It is safe for
+// concurrent use; inject is called without the mutex held.
 type trigger struct {
 	point faultpoint.Point
-	// node is where the point counts; empty means any node.
-	node string
-	fire func()
+	// node is the node that has to reach the point; empty means any node.
+	node   string
+	inject func()
 
-	mutex  sync.Mutex
-	fired  bool
-	halted map[string]chan struct{}
+	mutex       sync.Mutex
+	fired       bool
+	haltedNodes map[string]chan struct{}
 }
 
-// injector is the trigger as one node sees it.
-type injector struct {
+// nodeInjector is the faultpoint.Injector of one node: it fires the trigger, and blocks while the
+// node is halted.
+type nodeInjector struct {
 	trigger *trigger
 	node    string
 }
 
-func (i injector) Reach(ctx context.Context, point faultpoint.Point, _ string) error {
+func (i nodeInjector) Reach(ctx context.Context, point faultpoint.Point, _ string) error {
 	i.trigger.mutex.Lock()
-	fire := point == i.trigger.point && (i.trigger.node == "" || i.trigger.node == i.node) && !i.trigger.fired
-	i.trigger.fired = i.trigger.fired || fire
+	fires := point == i.trigger.point && (i.trigger.node == "" || i.trigger.node == i.node) && !i.trigger.fired
+	i.trigger.fired = i.trigger.fired || fires
 	i.trigger.mutex.Unlock()
-	if fire {
-		i.trigger.fire()
+	if fires {
+		i.trigger.inject()
 	}
 	i.trigger.mutex.Lock()
-	gate := i.trigger.halted[i.node]
+	gate := i.trigger.haltedNodes[i.node]
 	i.trigger.mutex.Unlock()
 	if gate == nil {
 		return ctx.Err()
 	}
-	select { // a paused or dying process goes no further
+	select { // a paused or killed process stops at the point
 	case <-gate:
 	case <-ctx.Done():
 	}
 	return ctx.Err()
 }
 
+// halt makes the node block at every fault point until resume is called.
 func (t *trigger) halt(node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.halted[node] = make(chan struct{})
+	t.haltedNodes[node] = make(chan struct{})
 }
 
-func (t *trigger) release(node string) {
+func (t *trigger) resume(node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if gate, halted := t.halted[node]; halted {
+	if gate, halted := t.haltedNodes[node]; halted {
 		close(gate)
-		delete(t.halted, node)
+		delete(t.haltedNodes, node)
 	}
 }
 
-// alter changes the options of a cell's cluster; for the broken variants.
-type alter func(*cluster.Options)
+// adjustOptions changes the options of a cell's cluster, for variants of the system.
+type adjustOptions func(*cluster.Options)
 
-// runCell runs one cell under virtual time and returns what was violated.
-func runCell(t *testing.T, c cell, change alter) (violations []checker.Violation) {
+// runCell runs one cell under virtual time and returns the violations. A nil change leaves the
+// options as they are.
+func runCell(t *testing.T, c cell, change adjustOptions) (violations []checker.Violation) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := &world{t: t, fabric: memnet.New(), ctx: ctx, down: map[string]bool{}, stopping: map[string]bool{}}
-		w.victim = victimOf(c)
-		w.neighbour = next(w.victim)
-		w.trigger = &trigger{point: c.point, node: w.victim, fire: func() {}, halted: map[string]chan struct{}{}}
+		run := &cellRun{t: t, fabric: memnet.New(), ctx: ctx, down: map[string]bool{}, stopping: map[string]bool{}}
+		run.victim = victimNode(c)
+		run.neighbour = nextNode(run.victim)
+		run.trigger = &trigger{point: c.point, node: run.victim, inject: func() {}, haltedNodes: map[string]chan struct{}{}}
 		if c.point == faultpoint.ChangeSpread {
-			w.trigger.node = ""
+			run.trigger.node = ""
 		}
-		if err := w.start(change); err != nil {
+		if err := run.startCluster(change); err != nil {
 			violations = []checker.Violation{{Rule: "setup", Detail: err.Error()}}
 			return
 		}
-		w.trigger.mutex.Lock()
-		w.trigger.fire = func() {
+		run.trigger.mutex.Lock()
+		run.trigger.inject = func() {
 			for _, f := range c.faults {
-				f.apply(w)
+				f.apply(run)
 			}
 		}
-		w.trigger.mutex.Unlock()
-		w.play(c)
-		violations = w.judge()
-		if !w.trigger.fired {
-			violations = append(violations, checker.Violation{Rule: "setup", Detail: "the fault's point was not reached"})
+		run.trigger.mutex.Unlock()
+		run.runPhases(c)
+		violations = run.check()
+		if !run.trigger.fired {
+			violations = append(violations, checker.Violation{Rule: "setup", Detail: "the fault point was not reached"})
 		}
-		w.cluster.Stop()
+		run.cluster.Stop()
 		cancel()
-		time.Sleep(10 * time.Second) // virtual time stands still afterwards; handlers that sleep end first
+		time.Sleep(10 * time.Second) // lets sleeping goroutines end, since virtual time stops afterwards
 	})
 	return violations
 }
 
-// victimOf is the node that a cell's fault hits: for orders, the coordinator.
-func victimOf(c cell) string {
+// victimNode returns the node at which the cell's fault is injected, for orders the coordinator.
+func victimNode(c cell) string {
 	if c.path != pathOrder {
 		return victimZone + "-n0"
 	}
-	return rendezvous.Top(zoneHosts(victimZone), rendezvous.Key("placement/ezik-servers"), 1)[0]
+	return rendezvous.Top(zoneNodes(victimZone), rendezvous.Key("placement/ezik-servers"), 1)[0]
 }
 
-func (w *world) start(change alter) error {
+func (run *cellRun) startCluster(change adjustOptions) error {
 	tree, err := examples.Settings("agency")
 	if err != nil {
 		return err
@@ -168,72 +172,72 @@
 		Zones: []string{victimZone, otherZone}, NodesPerZone: 3, EngineService: "ezik-servers", Model: "ezik", Engines: engines,
 		PlainService: "registar-app", PlainReplicas: 1, CallTime: 50 * time.Millisecond, Settings: tree,
 		MachineLag: 300 * time.Millisecond, ReportLag: 100 * time.Millisecond, StoreLatency: 2 * time.Millisecond,
-		Host: w.fabric.Host, ListenAddress: ":0", Seed: 1, DrainGrace: 500 * time.Millisecond,
-		Faults: func(node string) faultpoint.Injector { return injector{w.trigger, node} },
+		Host: run.fabric.Host, ListenAddress: ":0", Seed: 1, DrainGrace: 500 * time.Millisecond,
+		Faults: func(node string) faultpoint.Injector { return nodeInjector{run.trigger, node} },
 	}
 	if change != nil {
 		change(&options)
 	}
-	w.cluster, err = cluster.Start(w.ctx, options)
-	w.caller = cluster.NewCaller(w.fabric.Host(callerHost))
-	w.history.MarkerOf = cluster.MarkerOf
+	run.cluster, err = cluster.Start(run.ctx, options)
+	run.caller = cluster.NewCaller(run.fabric.Host(callerHost))
+	run.history.MarkerOf = cluster.MarkerOf
 	return err
 }
 
-// play sends the cell's requests around the fault, heals and lets all end.
-func (w *world) play(c cell) {
+// runPhases sends the cell's requests before, during and after the fault, heals the fault and
+// waits until all requests have ended.
+func (run *cellRun) runPhases(c cell) {
 	stop := make(chan struct{})
-	var sampling sync.WaitGroup
-	sampling.Go(func() { w.sample(stop) })
-	w.sendMix("before")
+	var sampler sync.WaitGroup
+	sampler.Go(func() { run.sampleGenerations(stop) })
+	run.sendRequestMix("before")
 	if c.path == pathChange {
-		time.Sleep(time.Second) // the nodes that are no delegates stop watching
-		w.changeSettings(w.victim, "cell")
+		time.Sleep(time.Second) // until the nodes that are no delegates stop watching the store
+		run.changeSettings(run.victim, "cell")
 	}
 	time.Sleep(time.Second)
-	w.sendMix("during")
-	time.Sleep(max(faultTime, c.lasts))
-	w.heal(c)
-	w.group.Wait()
+	run.sendRequestMix("during")
+	time.Sleep(max(minFaultDuration, c.faultDuration))
+	run.heal(c)
+	run.group.Wait()
 	time.Sleep(3 * time.Second)
-	w.sendMix("after")
-	w.group.Wait()
-	w.expectServing()
-	time.Sleep(c.linger)
+	run.sendRequestMix("after")
+	run.group.Wait()
+	run.checkAllNodesServe()
+	time.Sleep(c.finalWait)
 	close(stop)
-	sampling.Wait()
+	sampler.Wait()
 }
 
-func (w *world) heal(c cell) {
-	w.fabric.Heal()
-	w.fabric.Resume(w.victim)
-	w.trigger.release(w.victim)
-	w.cluster.Store.SetFault(nil)
-	w.cluster.Machines.SetDown(false)
-	for _, engine := range w.cluster.Engines {
+func (run *cellRun) heal(c cell) {
+	run.fabric.Heal()
+	run.fabric.Resume(run.victim)
+	run.trigger.resume(run.victim)
+	run.cluster.Store.SetFault(nil)
+	run.cluster.Machines.SetDown(false)
+	for _, engine := range run.cluster.Engines {
 		engine.SetMisbehavior(nil)
 		engine.SetSlowdown(1)
 	}
-	for _, service := range w.cluster.Services {
+	for _, service := range run.cluster.Services {
 		service.SetMisbehavior(nil)
 	}
-	if w.down[w.victim] {
-		if err := w.cluster.StartNode(w.victim, victimZone); err != nil {
-			w.violate("setup", err.Error())
+	if run.down[run.victim] {
+		if err := run.cluster.StartNode(run.victim, victimZone); err != nil {
+			run.recordViolation("setup", err.Error())
 		}
 	}
 }
 
-// violate records a violation that the checker can't see, as an answer that is
-// not whole.
-func (w *world) violate(rule checker.Rule, detail string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.history.Observations = append(w.history.Observations, checker.Observation{Marker: string(rule) + " " + detail, Outcome: structs.OutcomeAnswered})
+// recordViolation records a violation that the checker can't detect, as an incomplete answer.
+func (run *cellRun) recordViolation(rule checker.Rule, detail string) {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	run.history.Observations = append(run.history.Observations, checker.Observation{Marker: string(rule) + " " + detail, Outcome: structs.OutcomeAnswered})
 }
 
-// kinds of the mix.
-var mix = []cluster.Submission{
+// requestMix has one request of each kind that a cell sends.
+var requestMix = []cluster.Submission{
 	{Route: "ruling", Tier: "rulings", TenantKey: "couriers-key", OutputTokens: 12, Stream: true, Deadline: 6 * time.Second},
 	{Route: "appeal", Tier: "appeals", Rank: 1, TenantKey: "restaurants-key", OutputTokens: 16, Stream: true, Key: "keyed", Deadline: 17 * time.Second},
 	{Route: "summary", Tier: "summaries", Rank: 2, TenantKey: "officers-key", OutputTokens: 20, Key: "keyed", Deadline: 20 * time.Second},
@@ -242,102 +246,102 @@
 	{Route: "appeal", Tier: "appeals", Rank: 1, TenantKey: "restaurants-key", OutputTokens: 10, Ticket: "ticketed", Deadline: 17 * time.Second},
 }
 
-// sendMix submits the mix to the victim, its neighbour and another zone.
-func (w *world) sendMix(phase string) {
-	w.sendAcrossZones(phase)
-	for _, name := range []string{w.victim, w.neighbour, otherZone + "-n0"} {
-		for index, kind := range mix {
-			s := kind
-			s.Marker = fmt.Sprintf("%s-%s-%d", phase, name, index)
-			if s.Service == "" {
-				s.Service = "ezik-servers"
+// sendRequestMix submits requestMix to the victim, its neighbour and a node of the other zone.
+func (run *cellRun) sendRequestMix(phase string) {
+	run.sendSameKeyInTwoZones(phase)
+	for _, name := range []string{run.victim, run.neighbour, otherZone + "-n0"} {
+		for index, template := range requestMix {
+			submission := template
+			submission.Marker = fmt.Sprintf("%s-%s-%d", phase, name, index)
+			if submission.Service == "" {
+				submission.Service = "ezik-servers"
 			}
-			s.Prompt = strings.Repeat("shared rules ", 30) + s.Marker
-			w.group.Go(func() { w.submit(s, name) })
+			submission.Prompt = strings.Repeat("shared rules ", 30) + submission.Marker
+			run.group.Go(func() { run.submit(submission, name) })
 			time.Sleep(15 * time.Millisecond)
 		}
 	}
 }
 
-// sendAcrossZones submits one request that must not run twice in two zones at
-// once, under one key; only the claim in the store keeps them apart.
-func (w *world) sendAcrossZones(phase string) {
-	for _, name := range []string{w.neighbour, otherZone + "-n1"} {
-		s := mix[1]
-		s.Marker, s.Service, s.Prompt = phase+"-across", "ezik-servers", phase+" across zones"
-		w.group.Go(func() { w.submit(s, name) })
+// sendSameKeyInTwoZones submits a request that must not run twice to two zones at once, with the
+// same key. Only the claim in the store prevents a second execution.
+func (run *cellRun) sendSameKeyInTwoZones(phase string) {
+	for _, name := range []string{run.neighbour, otherZone + "-n1"} {
+		submission := requestMix[1]
+		submission.Marker, submission.Service, submission.Prompt = phase+"-across", "ezik-servers", phase+" across zones"
+		run.group.Go(func() { run.submit(submission, name) })
 	}
 }
 
-// submit sends the submission and, if it carries a key or ticket, again to the
-// next node until it is answered.
-func (w *world) submit(s cluster.Submission, name string) {
-	if s.Key != "" {
-		s.Key = "key-" + s.Marker
+// submit sends the submission and records the outcome. With a key or ticket it retries at the next
+// nodes until there is an answer, with at most maxSubmitAttempts attempts.
+func (run *cellRun) submit(submission cluster.Submission, name string) {
+	if submission.Key != "" {
+		submission.Key = "key-" + submission.Marker
 	}
-	if s.Ticket != "" {
-		ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
-		ticket, err := w.caller.GetTicket(ctx, w.address(name), s.TenantKey)
+	if submission.Ticket != "" {
+		ctx, cancel := context.WithTimeout(run.ctx, 2*time.Second)
+		ticket, err := run.caller.GetTicket(ctx, run.address(name), submission.TenantKey)
 		cancel()
 		if err != nil || ticket == "" {
 			return // nothing was submitted
 		}
-		s.Ticket = ticket
+		submission.Ticket = ticket
 	}
-	for try := range submitTries {
-		s.Address, s.Zone = w.address(name), zoneOf(name)
-		ctx, cancel := context.WithTimeout(w.ctx, settleTime)
-		o := w.caller.Send(ctx, &s)
+	for attempt := range maxSubmitAttempts {
+		submission.Address, submission.Zone = run.address(name), zoneOf(name)
+		ctx, cancel := context.WithTimeout(run.ctx, requestTimeout)
+		observation := run.caller.Send(ctx, &submission)
 		cancel()
-		w.mutex.Lock()
-		o.Stopped = w.stopping[name] && !w.backendsFail
-		w.history.Observations = append(w.history.Observations, o)
-		w.mutex.Unlock()
-		if o.Outcome == structs.OutcomeAnswered || (s.Key == "" && s.Ticket == "") {
+		run.mutex.Lock()
+		observation.Stopped = run.stopping[name] && !run.backendsMisbehave
+		run.history.Observations = append(run.history.Observations, observation)
+		run.mutex.Unlock()
+		if observation.Outcome == structs.OutcomeAnswered || (submission.Key == "" && submission.Ticket == "") {
 			return
 		}
-		time.Sleep(time.Duration(try+1) * 700 * time.Millisecond)
-		name = next(name)
+		time.Sleep(time.Duration(attempt+1) * 700 * time.Millisecond)
+		name = nextNode(name)
 	}
 }
 
 func zoneOf(name string) string { return name[:strings.LastIndex(name, "-")] }
 
-// next is another node of the zone.
-func next(name string) string {
+// nextNode returns another node of the node's zone.
+func nextNode(name string) string {
 	index := name[len(name)-1] - '0'
 	return fmt.Sprintf("%s-n%d", zoneOf(name), (index+1)%3)
 }
 
-func (w *world) address(name string) string { return w.cluster.Node(name).CallerAddress() }
+func (run *cellRun) address(name string) string { return run.cluster.Node(name).CallerAddress() }
 
-// expectServing demands that every node answers once all is healed.
-func (w *world) expectServing() {
-	for _, name := range w.cluster.Names() {
-		if w.stopping[name] {
+// checkAllNodesServe records a violation for each running node that doesn't answer a request.
+func (run *cellRun) checkAllNodesServe() {
+	for _, name := range run.cluster.Names() {
+		if run.stopping[name] {
 			continue
 		}
-		s := mix[0]
-		s.Marker, s.Service, s.Prompt = "finally-"+name, "ezik-servers", "final request"
-		s.Address, s.Zone = w.address(name), zoneOf(name)
-		ctx, cancel := context.WithTimeout(w.ctx, settleTime)
-		o := w.caller.Send(ctx, &s)
+		submission := requestMix[0]
+		submission.Marker, submission.Service, submission.Prompt = "finally-"+name, "ezik-servers", "final request"
+		submission.Address, submission.Zone = run.address(name), zoneOf(name)
+		ctx, cancel := context.WithTimeout(run.ctx, requestTimeout)
+		observation := run.caller.Send(ctx, &submission)
 		cancel()
-		if o.Outcome != structs.OutcomeAnswered {
-			o.Marker += fmt.Sprintf(" (%s %s)", o.Outcome, o.Code)
-			o.Outcome = structs.OutcomePending // shows as a request without an end
+		if observation.Outcome != structs.OutcomeAnswered {
+			observation.Marker += fmt.Sprintf(" (%s %s)", observation.Outcome, observation.Code)
+			observation.Outcome = structs.OutcomePending // violates checker.RuleEnded
 		}
-		w.history.Observations = append(w.history.Observations, o)
+		run.history.Observations = append(run.history.Observations, observation)
 	}
 }
 
-// changeSettings makes a change at the node.
-func (w *world) changeSettings(name, id string) {
-	w.group.Go(func() {
-		n := w.cluster.Node(name)
-		ctx, cancel := context.WithTimeout(w.ctx, 8*time.Second)
+// changeSettings starts to submit a settings change at the node and doesn't wait for it.
+func (run *cellRun) changeSettings(name, id string) {
+	run.group.Go(func() {
+		n := run.cluster.Node(name)
+		ctx, cancel := context.WithTimeout(run.ctx, 8*time.Second)
 		defer cancel()
-		// Whether it was accepted is read from the store's own writes.
+		// The result is ignored: accepted changes are read from the writes of the store.
 		_, _ = n.Change(ctx, settingsync.Change{
 			ID: "change-" + id, Author: id, Base: n.Settings().Generation,
 			Edits: []settingsync.Edit{{Path: "tenants/public", Key: "weight", Text: "0.0" + fmt.Sprint(len(id))}},
@@ -345,15 +349,15 @@
 	})
 }
 
-// sample records the generations of all nodes.
-func (w *world) sample(stop <-chan struct{}) {
+// sampleGenerations records the active generations of all nodes until stop is closed.
+func (run *cellRun) sampleGenerations(stop <-chan struct{}) {
 	for {
-		w.mutex.Lock()
-		for _, name := range w.cluster.Names() {
-			n := w.cluster.Node(name)
-			w.history.Generations = append(w.history.Generations, checker.GenerationSample{Node: name, Process: n.Status().Process, Generation: n.Settings().Generation, At: time.Now()})
+		run.mutex.Lock()
+		for _, name := range run.cluster.Names() {
+			n := run.cluster.Node(name)
+			run.history.Generations = append(run.history.Generations, checker.GenerationSample{Node: name, Process: n.Status().Process, Generation: n.Settings().Generation, At: time.Now()})
 		}
-		w.mutex.Unlock()
+		run.mutex.Unlock()
 		select {
 		case <-stop:
 			return
@@ -362,29 +366,29 @@
 	}
 }
 
-// judge checks the history. All nodes must hold the generation that is in the
-// store, since everything was healed longer ago than the limit.
-func (w *world) judge() []checker.Violation {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.history.Executions = w.cluster.Executions()
-	for _, engine := range w.cluster.Engines {
-		w.history.Orders = append(w.history.Orders, checker.OrderLog{Replica: engine.ID, Orders: engine.Orders()})
+// check completes the history and returns its violations. All nodes must have activated the
+// generation in the store, since the fault was healed long enough ago.
+func (run *cellRun) check() []checker.Violation {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	run.history.Executions = run.cluster.Executions()
+	for _, engine := range run.cluster.Engines {
+		run.history.Orders = append(run.history.Orders, checker.OrderLog{Replica: engine.ID, Orders: engine.Orders()})
 	}
-	accepted := w.storedGeneration()
-	for _, name := range w.cluster.Names() {
-		if !w.stopping[name] {
-			n := w.cluster.Node(name)
-			w.history.Generations = append(w.history.Generations, checker.GenerationSample{Node: name, Process: n.Status().Process, Generation: n.Settings().Generation, At: time.Now(), Accepted: accepted})
+	accepted := run.highestStoredGeneration()
+	for _, name := range run.cluster.Names() {
+		if !run.stopping[name] {
+			n := run.cluster.Node(name)
+			run.history.Generations = append(run.history.Generations, checker.GenerationSample{Node: name, Process: n.Status().Process, Generation: n.Settings().Generation, At: time.Now(), Accepted: accepted})
 		}
 	}
-	return w.history.Check()
+	return run.history.Check()
 }
 
-// storedGeneration is the highest generation that the store ever held.
-func (w *world) storedGeneration() uint64 {
+// highestStoredGeneration returns the highest generation that was written to the store.
+func (run *cellRun) highestStoredGeneration() uint64 {
 	highest := uint64(0)
-	for _, write := range w.cluster.Store.Writes(settingsync.Key) {
+	for _, write := range run.cluster.Store.Writes(settingsync.Key) {
 		if document, err := settingsync.Decode(write.Value); err == nil {
 			highest = max(highest, document.Generation)
 		}
--- a/test/faultmatrix/matrix_test.go
+++ b/test/faultmatrix/matrix_test.go
@@ -1,6 +1,6 @@
-// Package faultmatrix proves the users' promises under faults: every fault at
-// every step of a request, of a settings change and of a placement order, and
-// chosen pairs, each under virtual time against the whole daemon code.
+// Package faultmatrix tests the guarantees to callers under faults. Each cell of the matrix injects
+// a fault, or a pair of faults, at one step of a request, a settings change or a placement order
+// into a cluster of complete nodes under virtual time.
 package faultmatrix
 
 import (
@@ -14,9 +14,10 @@
 	"github.com/thornwalk/thornwalk/lab/checker"
 )
 
-// suite is the test that the cells' bubbles belong to.
+// suite is the test that the synctest bubbles of the cells belong to.
 var suite *testing.T
 
+// Guards against guarantees that don't hold under a fault, and against a checker that misses it.
 func TestFaultMatrix(t *testing.T) {
 	logging.Discard()
 	suite = t
@@ -24,19 +25,19 @@
 	ginkgo.RunSpecs(t, "fault matrix")
 }
 
-// verdicts are the results of the cells, which run several at a time.
-var verdicts = map[string]chan []checker.Violation{}
+// cellResults delivers the violations of each cell by its name; cells run concurrently.
+var cellResults = map[string]chan []checker.Violation{}
 
 var _ = ginkgo.BeforeSuite(func() {
 	all := cells()
 	work := make(chan cell)
 	for _, c := range all {
-		verdicts[c.name()] = make(chan []checker.Violation, 1)
+		cellResults[c.name()] = make(chan []checker.Violation, 1)
 	}
 	for range runtime.GOMAXPROCS(0) {
 		go func() {
 			for c := range work {
-				verdicts[c.name()] <- runCell(suite, c, nil)
+				cellResults[c.name()] <- runCell(suite, c, nil)
 			}
 		}()
 	}
@@ -51,7 +52,7 @@
 var _ = ginkgo.Describe("promises", func() {
 	for _, c := range cells() {
 		ginkgo.It(c.name(), func() {
-			gomega.Expect(<-verdicts[c.name()]).To(gomega.BeEmpty())
+			gomega.Expect(<-cellResults[c.name()]).To(gomega.BeEmpty())
 		})
 	}
 })
--- a/test/faultmatrix/variants_test.go
+++ b/test/faultmatrix/variants_test.go
@@ -26,28 +26,28 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// The checker is worth something only if it catches deliberately broken
-// variants of the system, and the variants break nothing but their promise.
+// Guards against a checker that misses violations: each variant of the system violates one rule
+// deliberately.
 var _ = ginkgo.Describe("broken variants are caught", func() {
-	quietCell := cell{path: pathRequest, point: faultpoint.Accept, faults: named("machine list down")}
+	harmlessCell := cell{path: pathRequest, point: faultpoint.Accept, faults: faultsNamed("machine list down")}
 
 	ginkgo.It("a transport that sends a request twice", func() {
-		violations := runCell(suite, quietCell, func(o *cluster.Options) {
+		violations := runCell(suite, harmlessCell, func(o *cluster.Options) {
 			o.WrapNetwork = func(inner network.Network) network.Network { return resendingNetwork{inner} }
 		})
 		gomega.Expect(checker.Count(violations, checker.RuleDispatchedOnce)).To(gomega.BeNumerically(">", 0))
 	})
 
 	ginkgo.It("a claim that is always granted", func() {
-		violations := runCell(suite, quietCell, func(o *cluster.Options) {
-			o.WrapStore = func(inner outside.Store) outside.Store { return grantingStore{inner} }
+		violations := runCell(suite, harmlessCell, func(o *cluster.Options) {
+			o.WrapStore = func(inner outside.Store) outside.Store { return alwaysGrantingStore{inner} }
 		})
 		gomega.Expect(checker.Count(violations, checker.RuleDispatchedOnce)).To(gomega.BeNumerically(">", 0))
 	})
 
 	ginkgo.It("a claim of \"not sent\" after the first byte", func() {
-		violations := runCell(suite, quietCell, func(o *cluster.Options) {
-			o.WrapNetwork = func(inner network.Network) network.Network { return lyingNetwork{inner} }
+		violations := runCell(suite, harmlessCell, func(o *cluster.Options) {
+			o.WrapNetwork = func(inner network.Network) network.Network { return falseErrorNetwork{inner} }
 		})
 		wrong := checker.Count(violations, checker.RuleDispatchedOnce) + checker.Count(violations, checker.RuleNotRunIsTrue)
 		gomega.Expect(wrong).To(gomega.BeNumerically(">", 0))
@@ -97,81 +97,81 @@
 	})
 })
 
-// Engines that check no fence have only the coordinators' leases between them
-// and two masters.
+// Guards against orders of two coordinators at engines that don't check fences: only the leases of
+// the coordinators prevent them.
 var _ = ginkgo.Describe("orders to engines that check no fence", func() {
-	for _, f := range named(changeFaults...) {
-		c := cell{path: pathOrder, point: faultpoint.OrderSend, faults: []fault{f}, lasts: 15 * time.Second, linger: 20 * time.Second}
+	for _, f := range faultsNamed(changeFaults...) {
+		c := cell{path: pathOrder, point: faultpoint.OrderSend, faults: []fault{f}, faultDuration: 15 * time.Second, finalWait: 20 * time.Second}
 		ginkgo.It(c.name(), func() {
 			gomega.Expect(runCell(suite, c, func(o *cluster.Options) { o.FencelessZones = true })).To(gomega.BeEmpty())
 		})
 	}
 })
 
-// isDispatch returns whether the bytes begin a dispatch.
+// isDispatch reports whether the bytes are the start of a request to an engine.
 func isDispatch(content []byte) bool { return strings.HasPrefix(string(content), "POST /v1/chat") }
 
-// resendingNetwork sends each dispatch again on another connection.
+// resendingNetwork sends each request to an engine twice, on two connections.
 type resendingNetwork struct{ network.Network }
 
 func (n resendingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := n.Network.Dial(ctx, address)
-	return &resendingConnection{Conn: connection, outside: n.Network, address: address}, err
+	return &resendingConnection{Conn: connection, network: n.Network, address: address}, err
 }
 
 type resendingConnection struct {
 	net.Conn
-	outside network.Network
+	network network.Network
 	address string
 }
 
 func (c *resendingConnection) Write(content []byte) (int, error) {
 	if isDispatch(content) {
-		if again, err := c.outside.Dial(context.Background(), c.address); err == nil {
-			_, _ = again.Write(content)
-			_ = again.Close()
+		if second, err := c.network.Dial(context.Background(), c.address); err == nil {
+			_, _ = second.Write(content)
+			_ = second.Close()
 		}
 	}
 	return c.Conn.Write(content)
 }
 
-// lyingNetwork says of delivered dispatches that nothing was written.
-type lyingNetwork struct{ network.Network }
+// falseErrorNetwork reports delivered requests to engines as not written.
+type falseErrorNetwork struct{ network.Network }
 
-func (n lyingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n falseErrorNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := n.Network.Dial(ctx, address)
-	return lyingConnection{connection}, err
+	return falseErrorConnection{connection}, err
 }
 
-type lyingConnection struct{ net.Conn }
+type falseErrorConnection struct{ net.Conn }
 
-func (c lyingConnection) Write(content []byte) (int, error) {
+func (c falseErrorConnection) Write(content []byte) (int, error) {
 	count, err := c.Conn.Write(content)
 	if isDispatch(content) {
-		return 0, errors.New("nothing written")
+		return 0, errors.New("write failed: 0 bytes written")
 	}
 	return count, err
 }
 
-// grantingStore grants every claim and keeps none.
-type grantingStore struct{ outside.Store }
+// alwaysGrantingStore grants every claim and stores none.
+type alwaysGrantingStore struct{ outside.Store }
 
-func (s grantingStore) Get(ctx context.Context, key string) (outside.Value, error) {
+func (s alwaysGrantingStore) Get(ctx context.Context, key string) (outside.Value, error) {
 	if strings.HasPrefix(key, "thornwalk/claims/") {
 		return outside.Value{}, nil
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s grantingStore) Swap(ctx context.Context, key string, expected int64, data []byte, lease outside.LeaseID) (int64, error) {
+func (s alwaysGrantingStore) Swap(ctx context.Context, key string, expected int64, data []byte, lease outside.LeaseID) (int64, error) {
 	if strings.HasPrefix(key, "thornwalk/claims/") {
 		return 0, nil
 	}
 	return s.Store.Swap(ctx, key, expected, data, lease)
 }
 
-// memoryStore is the store's contract without a network, for coordinators.
-type memoryStore struct {
+// leaseStore is a store in memory with one lease that coordinators compete for.
+type leaseStore struct {
 	outside.Store
 	mutex    sync.Mutex
 	holder   outside.LeaseID
@@ -180,70 +180,71 @@
 	leases   outside.LeaseID
 }
 
-func (s *memoryStore) Grant(context.Context, time.Duration) (outside.LeaseID, error) {
+func (s *leaseStore) Grant(context.Context, time.Duration) (outside.LeaseID, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leases++
 	return s.leases, nil
 }
 
-func (s *memoryStore) Swap(_ context.Context, _ string, _ int64, _ []byte, lease outside.LeaseID) (int64, error) {
+func (s *leaseStore) Swap(_ context.Context, _ string, _ int64, _ []byte, lease outside.LeaseID) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.holder != 0 && time.Now().Before(s.expires) {
-		return 0, errors.New("held")
+		return 0, errors.New("the lease is held by another coordinator")
 	}
 	s.holder, s.expires = lease, time.Now().Add(placement.LeaseTTL)
 	s.revision++
 	return s.revision, nil
 }
 
-func (s *memoryStore) Renew(context.Context, outside.LeaseID) error  { return nil }
-func (s *memoryStore) Revoke(context.Context, outside.LeaseID) error { return nil }
+func (s *leaseStore) Renew(context.Context, outside.LeaseID) error  { return nil }
+func (s *leaseStore) Revoke(context.Context, outside.LeaseID) error { return nil }
 
-// recordingSender is an engine that checks no fence.
-type recordingSender struct {
+// fencelessEngine accepts and records every order without checking its fence.
+type fencelessEngine struct {
 	mutex  sync.Mutex
 	orders []standin.OrderRecord
 }
 
-func (s *recordingSender) Send(_ context.Context, order placement.Order) error {
+func (s *fencelessEngine) Send(_ context.Context, order placement.Order) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.orders = append(s.orders, standin.OrderRecord{Model: order.Model, Fence: order.Fence, Accepted: true, At: time.Now()})
 	return nil
 }
 
-// pausingInjector pauses one coordinator before its first order is sent.
-type pausingInjector struct {
+// orderPauseInjector pauses its coordinator before the first order is sent.
+type orderPauseInjector struct {
 	once  sync.Once
 	pause time.Duration
 }
 
-func (p *pausingInjector) Reach(_ context.Context, point faultpoint.Point, _ string) error {
+func (p *orderPauseInjector) Reach(_ context.Context, point faultpoint.Point, _ string) error {
 	if point == faultpoint.OrderSend {
 		p.once.Do(func() { time.Sleep(p.pause) })
 	}
 	return nil
 }
 
-// orderAfterPause has a coordinator pause between check and order for longer
-// than its lease, while a second one takes over and orders.
+// orderAfterPause pauses a coordinator, between the check of its lease and its order, for longer
+// than the lease, while a second one takes over and sends an order. With frozenClock the first
+// one's clock stops during the pause. It returns the violations.
 func orderAfterPause(frozenClock bool) (violations []checker.Violation) {
 	synctest.Test(suite, func(*testing.T) {
-		store, sender := &memoryStore{}, &recordingSender{}
-		begun := time.Now()
-		running := func() time.Duration { return time.Since(begun) }
-		clock := running
+		store, engine := &leaseStore{}, &fencelessEngine{}
+		start := time.Now()
+		continuousClock := func() time.Duration { return time.Since(start) }
+		clock := continuousClock
 		if frozenClock {
-			clock = func() time.Duration { return min(time.Since(begun), 5*time.Second) }
+			clock = func() time.Duration { return min(time.Since(start), 5*time.Second) }
 		}
-		engine := placement.Engine{Replica: structs.Replica{ID: "e"}}
-		world := func() placement.ClusterState {
-			return placement.ClusterState{Demands: []placement.Demand{{Model: "m", Replicas: 1}}, Engines: []placement.Engine{engine}}
+		placementEngine := placement.Engine{Replica: structs.Replica{ID: "e"}}
+		clusterState := func() placement.ClusterState {
+			return placement.ClusterState{Demands: []placement.Demand{{Model: "m", Replicas: 1}}, Engines: []placement.Engine{placementEngine}}
 		}
-		first := &placement.Coordinator{Store: store, Sender: sender, Node: "first", Now: clock, ClusterState: world, Faults: &pausingInjector{pause: 25 * time.Second}}
-		second := &placement.Coordinator{Store: store, Sender: sender, Node: "second", Now: running, ClusterState: world}
+		first := &placement.Coordinator{Store: store, Sender: engine, Node: "first", Now: clock, ClusterState: clusterState, Faults: &orderPauseInjector{pause: 25 * time.Second}}
+		second := &placement.Coordinator{Store: store, Sender: engine, Node: "second", Now: continuousClock, ClusterState: clusterState}
 		var group sync.WaitGroup
 		group.Go(func() {
 			for range 3 {
@@ -253,12 +254,12 @@
 		})
 		for range 14 {
 			time.Sleep(2 * time.Second)
-			if time.Since(begun) > 6*time.Second {
+			if time.Since(start) > 6*time.Second {
 				second.Step(context.Background())
 			}
 		}
 		group.Wait()
-		history := checker.History{Orders: []checker.OrderLog{{Replica: "e", Orders: sender.orders}}}
+		history := checker.History{Orders: []checker.OrderLog{{Replica: "e", Orders: engine.orders}}}
 		violations = history.Check()
 	})
 	return violations
--- a/test/model/model_test.go
+++ b/test/model/model_test.go
@@ -1,6 +1,5 @@
-// Package model checks claims and settings against their sequential meaning:
-// random schedules over a store that fails at random, under virtual time, whose
-// histories have to be linearizable.
+// Package model checks that claims and settings changes are linearizable, with random schedules
+// over a store that fails at random, under virtual time.
 package model
 
 import (
@@ -24,41 +23,42 @@
 	"github.com/thornwalk/thornwalk/state/settings"
 )
 
-// flakyStore is a store whose calls take time and fail in every way.
+// flakyStore is a store in memory whose calls are delayed and fail at faultRate, with or without
+// effect.
 type flakyStore struct {
 	outside.Store
-	mutex    sync.Mutex
-	random   *rand.Rand
-	fault    float64
-	values   map[string]outside.Value
-	revision int64
-	late     sync.WaitGroup
+	mutex         sync.Mutex
+	random        *rand.Rand
+	faultRate     float64
+	values        map[string]outside.Value
+	revision      int64
+	delayedWrites sync.WaitGroup
 }
 
-// fate is what happens to a call.
-type fate int
+// callOutcome says whether a call succeeds and, if it fails, whether it takes effect.
+type callOutcome int
 
 const (
-	works fate = iota
-	refused
-	answerLost
-	actsLate
+	succeeds callOutcome = iota
+	failsWithoutEffect
+	failsAfterEffect
+	takesEffectLate
 )
 
-func (s *flakyStore) draw() (fate, time.Duration) {
+func (s *flakyStore) drawOutcome() (callOutcome, time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delay := time.Duration(1+s.random.IntN(20)) * time.Millisecond
-	if s.random.Float64() > s.fault {
-		return works, delay
+	if s.random.Float64() > s.faultRate {
+		return succeeds, delay
 	}
-	return fate(1 + s.random.IntN(3)), delay
+	return callOutcome(1 + s.random.IntN(3)), delay
 }
 
 func (s *flakyStore) Get(_ context.Context, key string) (outside.Value, error) {
-	outcome, delay := s.draw()
+	outcome, delay := s.drawOutcome()
 	time.Sleep(delay)
-	if outcome != works {
+	if outcome != succeeds {
 		return outside.Value{}, errkind.New(errkind.StoreUnavailable, "get")
 	}
 	s.mutex.Lock()
@@ -67,25 +67,25 @@
 }
 
 func (s *flakyStore) Swap(_ context.Context, key string, expected int64, data []byte, _ outside.LeaseID) (int64, error) {
-	outcome, delay := s.draw()
+	outcome, delay := s.drawOutcome()
 	time.Sleep(delay)
 	switch outcome {
-	case refused:
+	case failsWithoutEffect:
 		return 0, errkind.New(errkind.StoreUnavailable, "swap")
-	case answerLost:
-		_, _ = s.swap(key, expected, data)
+	case failsAfterEffect:
+		_, _ = s.swapNow(key, expected, data)
 		return 0, errkind.New(errkind.StoreUnknown, "swap")
-	case actsLate:
-		s.late.Go(func() {
+	case takesEffectLate:
+		s.delayedWrites.Go(func() {
 			time.Sleep(300 * time.Millisecond)
-			_, _ = s.swap(key, expected, data)
+			_, _ = s.swapNow(key, expected, data)
 		})
 		return 0, errkind.New(errkind.StoreUnknown, "swap")
 	}
-	return s.swap(key, expected, data)
+	return s.swapNow(key, expected, data)
 }
 
-func (s *flakyStore) swap(key string, expected int64, data []byte) (int64, error) {
+func (s *flakyStore) swapNow(key string, expected int64, data []byte) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.values[key].Revision != expected {
@@ -96,30 +96,33 @@
 	return s.revision, nil
 }
 
-// history collects operations with logical times.
-type history struct {
+// operationHistory collects operations with the logical times of their calls and returns. It is
+// safe for concurrent use.
+type operationHistory struct {
 	clock      atomic.Int64
 	mutex      sync.Mutex
 	operations []porcupine.Operation
 }
 
-func (h *history) record(client int, input, output any, call, end int64) {
+func (h *operationHistory) record(client int, input, output any, call, end int64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: end})
 }
 
-// never is the return of an operation whose outcome stayed unknown.
-const never = int64(1) << 40
+// unknownReturnTime is the return time of an operation whose outcome is unknown, later than any
+// other.
+const unknownReturnTime = int64(1) << 40
 
-// claimInput and claimOutput are one claim; Holder is "" if unknown.
+// claimInput and claimOutput are one claim of a key and the request that holds it afterwards;
+// holder means nothing if unknown is true.
 type claimInput struct{ key, request string }
 type claimOutput struct {
 	holder  string
 	unknown bool
 }
 
-// claimModel: the first claim of a key holds it for good.
+// claimModel says that the first claim of a key holds it forever.
 var claimModel = porcupine.Model{
 	Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -127,11 +130,11 @@
 			key := operation.Input.(claimInput).key
 			byKey[key] = append(byKey[key], operation)
 		}
-		var parts [][]porcupine.Operation
-		for _, part := range byKey {
-			parts = append(parts, part)
+		var partitions [][]porcupine.Operation
+		for _, partition := range byKey {
+			partitions = append(partitions, partition)
 		}
-		return parts
+		return partitions
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -144,20 +147,22 @@
 	},
 }
 
+// Guards against two requests that are granted the same key.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		fault := rapid.Float64Range(0, 0.5).Draw(rt, "fault")
-		var record history
-		synctest.Test(t, func(*testing.T) { playClaims(&record, seed, fault) })
-		if !porcupine.CheckOperations(claimModel, record.operations) {
-			rt.Fatalf("not linearizable with seed %d and fault rate %.2f: %v", seed, fault, record.operations)
+		var history operationHistory
+		synctest.Test(t, func(*testing.T) { runClaims(&history, seed, fault) })
+		if !porcupine.CheckOperations(claimModel, history.operations) {
+			rt.Fatalf("not linearizable with seed %d and fault rate %.2f: %v", seed, fault, history.operations)
 		}
 	})
 }
 
-func playClaims(record *history, seed uint64, fault float64) {
-	store := &flakyStore{random: rand.New(rand.NewPCG(seed, 1)), fault: fault, values: map[string]outside.Value{}}
+// runClaims runs three committers that claim three keys concurrently.
+func runClaims(history *operationHistory, seed uint64, fault float64) {
+	store := &flakyStore{random: rand.New(rand.NewPCG(seed, 1)), faultRate: fault, values: map[string]outside.Value{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	config := func() claims.Settings {
 		return claims.Settings{Shards: 2, Window: 5 * time.Millisecond, Retention: time.Hour}
@@ -172,41 +177,43 @@
 			key := fmt.Sprintf("key-%d", random.IntN(3))
 			group.Go(func() {
 				time.Sleep(time.Duration(number*20) * time.Millisecond)
-				claimOnce(ctx, record, committer, client, key, fmt.Sprintf("r-%d-%d", client, number))
+				recordClaim(ctx, history, committer, client, key, fmt.Sprintf("r-%d-%d", client, number))
 			})
 		}
 	}
 	group.Wait()
-	store.late.Wait()
+	store.delayedWrites.Wait()
 	cancel()
 	for _, committer := range committers {
 		committer.Wait()
 	}
 }
 
-func claimOnce(ctx context.Context, record *history, committer *claims.Committer, client int, key, request string) {
+// recordClaim makes one claim and records it; a claim that failed is recorded as unknown.
+func recordClaim(ctx context.Context, history *operationHistory, committer *claims.Committer, client int, key, request string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	call := record.clock.Add(1)
+	call := history.clock.Add(1)
 	result, err := committer.Claim(ctx, "tenant", key, claims.Claim{RequestID: request})
-	output, end := claimOutput{holder: request}, record.clock.Add(1)
+	output, end := claimOutput{holder: request}, history.clock.Add(1)
 	switch {
 	case err != nil:
-		output, end = claimOutput{unknown: true}, never
+		output, end = claimOutput{unknown: true}, unknownReturnTime
 	case !result.Granted:
 		output.holder = result.Holder.RequestID
 	}
-	record.record(client, claimInput{key, request}, output, call, end)
+	history.record(client, claimInput{key, request}, output, call, end)
 }
 
-// changeInput is a change on a base; changeOutput says how it ended.
+// changeInput and changeOutput are one settings change: the generation that it is based on, and
+// the accepted generation or the kind of failure.
 type changeInput struct{ base uint64 }
 type changeOutput struct {
 	generation        uint64
 	conflict, unknown bool
 }
 
-// settingsModel: a change is accepted exactly if its base is in force.
+// settingsModel says that a change is accepted if and only if its base is the current generation.
 var settingsModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
@@ -226,75 +233,77 @@
 	},
 }
 
+// Guards against two accepted changes of the same base generation, and lost changes.
 func TestSettingsAreLinearizable(t *testing.T) {
 	model := settingsModel.ToModel()
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		fault := rapid.Float64Range(0, 0.5).Draw(rt, "fault")
-		var record history
-		synctest.Test(t, func(*testing.T) { playChanges(&record, seed, fault) })
-		if !porcupine.CheckOperations(model, record.operations) {
-			rt.Fatalf("not linearizable with seed %d and fault rate %.2f: %v", seed, fault, record.operations)
+		var history operationHistory
+		synctest.Test(t, func(*testing.T) { runChanges(&history, seed, fault) })
+		if !porcupine.CheckOperations(model, history.operations) {
+			rt.Fatalf("not linearizable with seed %d and fault rate %.2f: %v", seed, fault, history.operations)
 		}
 	})
 }
 
-func playChanges(record *history, seed uint64, fault float64) {
-	store := &flakyStore{random: rand.New(rand.NewPCG(seed, 1)), fault: fault, values: map[string]outside.Value{}}
+// runChanges runs three clients that submit changes concurrently.
+func runChanges(history *operationHistory, seed uint64, fault float64) {
+	store := &flakyStore{random: rand.New(rand.NewPCG(seed, 1)), faultRate: fault, values: map[string]outside.Value{}}
 	var group sync.WaitGroup
 	for client := range 3 {
-		acceptor := settingsync.Committer{Store: store, WallTime: time.Now}
+		committer := settingsync.Committer{Store: store, WallTime: time.Now}
 		group.Go(func() {
 			base := uint64(0)
 			for number := range 4 {
-				base = changeOnce(record, &acceptor, client, number, base)
+				base = recordChange(history, &committer, client, number, base)
 			}
 		})
 	}
 	group.Wait()
-	store.late.Wait()
+	store.delayedWrites.Wait()
 }
 
-// changeOnce makes a change and returns the base for the next.
-func changeOnce(record *history, acceptor *settingsync.Committer, client, number int, base uint64) uint64 {
+// recordChange submits one change, records it and returns the base for the next.
+func recordChange(history *operationHistory, committer *settingsync.Committer, client, number int, base uint64) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	call := record.clock.Add(1)
-	accepted, document, err := acceptor.Commit(ctx, settingsync.Change{
+	call := history.clock.Add(1)
+	accepted, document, err := committer.Commit(ctx, settingsync.Change{
 		ID: fmt.Sprintf("c-%d-%d", client, number), Base: base,
 		Edits: []settingsync.Edit{{Path: fmt.Sprintf("tenants/t%d", client), Key: "weight", Text: fmt.Sprint(number + 1)}},
 	})
-	end := record.clock.Add(1)
+	end := history.clock.Add(1)
 	switch {
 	case err == nil:
-		record.record(client, changeInput{base}, changeOutput{generation: accepted.Generation}, call, end)
+		history.record(client, changeInput{base}, changeOutput{generation: accepted.Generation}, call, end)
 		return accepted.Generation
 	case errors.Is(err, errkind.Conflict):
-		record.record(client, changeInput{base}, changeOutput{conflict: true}, call, end)
+		history.record(client, changeInput{base}, changeOutput{conflict: true}, call, end)
 		return document.Generation
 	case errors.Is(err, errkind.StoreUnknown):
-		record.record(client, changeInput{base}, changeOutput{unknown: true}, call, never)
+		history.record(client, changeInput{base}, changeOutput{unknown: true}, call, unknownReturnTime)
 	}
-	return base // unavailable: nothing was written
+	return base // the store was unavailable: nothing was written
 }
 
-// TestHolderOnlyRises offers generations in any order.
-func TestHolderOnlyRises(t *testing.T) {
+// Guards against an older generation that replaces a newer one.
+func TestActiveGenerationNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		holder, err := settingsync.NewCurrent(&settingsync.Document{}, nil)
+		current, err := settingsync.NewCurrent(&settingsync.Document{}, nil)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		highest := uint64(0)
+		maxGeneration := uint64(0)
 		for _, generation := range rapid.SliceOf(rapid.Uint64Range(0, 20)).Draw(rt, "generations") {
 			document := &settingsync.Document{Generation: generation, Branches: []settings.Branch{{Path: "tenants/a"}}}
-			taken, err := holder.InstallIfNewer(document)
-			if err != nil || taken != (generation > highest) {
-				rt.Fatalf("generation %d after %d: taken %v, %v", generation, highest, taken, err)
+			installed, err := current.InstallIfNewer(document)
+			if err != nil || installed != (generation > maxGeneration) {
+				rt.Fatalf("installing generation %d over %d: installed %v, error %v", generation, maxGeneration, installed, err)
 			}
-			highest = max(highest, generation)
-			if holder.Compiled().Generation != highest {
-				rt.Fatalf("generation %d in force, highest was %d", holder.Compiled().Generation, highest)
+			maxGeneration = max(maxGeneration, generation)
+			if current.Compiled().Generation != maxGeneration {
+				rt.Fatalf("generation %d is active, the highest installed was %d", current.Compiled().Generation, maxGeneration)
 			}
 		}
 	})
--- a/test/names/names_test.go
+++ b/test/names/names_test.go
@@ -1,4 +1,4 @@
-// Package names checks that the platform's names stay in the adapter.
+// Package names checks that only the adapter in package platform uses the platform's names.
 package names
 
 import (
@@ -13,50 +13,51 @@
 	"github.com/thornwalk/thornwalk/platform"
 )
 
-// root is the repository's folder as seen from this package.
-const root = "../.."
+// repositoryRoot is the path of the repository, relative to this folder.
+const repositoryRoot = "../.."
 
-// fixed are names of paths and keys that no other folder may know.
-var fixed = []string{"kv-txn", "kv-watch", "kv-range", "kv-key", "kv-lease", "op/config", "servers/", "api/readyz", "api/report", "tls_key", "path_prefix\"", "Server-Limit", "Server-Leaving"}
+// pathsAndKeys are the platform's paths and keys, which no other folder may contain.
+var pathsAndKeys = []string{"kv-txn", "kv-watch", "kv-range", "kv-key", "kv-lease", "op/config", "servers/", "api/readyz", "api/report", "tls_key", "path_prefix\"", "Server-Limit", "Server-Leaving"}
 
-// exempt are folders of stand-ins and tests, which speak for the platform.
-var exempt = []string{"platform/", "lab/", "test/"}
+// exemptFolders may contain the names: the adapter, stand-ins of the platform and tests.
+var exemptFolders = []string{"platform/", "lab/", "test/"}
 
+// Guards against code outside the adapter that depends on the platform's names.
 func TestNoPlatformNameOutsideTheAdapter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	headers := platform.Headers()
-	names := append([]string{}, fixed...)
-	names = append(names, headers.RequestID, headers.Deadline, headers.TokenUsage, headers.ExpectReplica, headers.Tenant, headers.NotRun, headers.Signature, headers.Load, headers.LengthHint)
-	quoted := make([]string, len(names))
-	for i, name := range names {
+	platformNames := append([]string{}, pathsAndKeys...)
+	platformNames = append(platformNames, headers.RequestID, headers.Deadline, headers.TokenUsage, headers.ExpectReplica, headers.Tenant, headers.NotRun, headers.Signature, headers.Load, headers.LengthHint)
+	quoted := make([]string, len(platformNames))
+	for i, name := range platformNames {
 		quoted[i] = regexp.QuoteMeta(name)
 	}
 	pattern := regexp.MustCompile("(?i)" + strings.Join(quoted, "|"))
-	looked := 0
-	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
-		relative, _ := filepath.Rel(root, path)
+	filesChecked := 0
+	err := filepath.WalkDir(repositoryRoot, func(path string, entry os.DirEntry, err error) error {
+		relative, _ := filepath.Rel(repositoryRoot, path)
 		if err == nil && entry.IsDir() && relative == buildOutput {
 			return filepath.SkipDir
 		}
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || isExempt(relative) {
 			return err
 		}
-		looked++
+		filesChecked++
 		content, err := os.ReadFile(path)
 		if found := pattern.Find(content); found != nil {
-			t.Errorf("%s knows the platform's name %q", relative, found)
+			t.Errorf("%s contains the platform's name %q, which only the adapter may use", relative, found)
 		}
 		return err
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(looked).To(gomega.BeNumerically(">", 100))
+	g.Expect(filesChecked).To(gomega.BeNumerically(">", 100))
 }
 
-// buildOutput is the folder that builds write to; it holds no sources of the repository.
+// buildOutput is the folder that builds write to; it is not searched.
 const buildOutput = "target"
 
 func isExempt(path string) bool {
-	for _, prefix := range exempt {
+	for _, prefix := range exemptFolders {
 		if strings.HasPrefix(filepath.ToSlash(path), prefix) {
 			return true
 		}
