--- a/cmd/thornwalk/evacuations.go
+++ b/cmd/thornwalk/evacuations.go
@@ -8,7 +8,8 @@
 )
 
 // evacuationsCommand lists the evacuated zones and those whose evacuation was lifted. It can't
-// order either: operators write the orders to the platform's store, which thornwalk only reads.
+// change them: operators write the orders to a part of the platform's store that thornwalk may
+// only read.
 func evacuationsCommand(o *options) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "evacuations", ShortUsage: "thornwalk evacuations", FlagSet: o.flagSet("evacuations"),
--- a/cmd/thornwalkd/entry.go
+++ b/cmd/thornwalkd/entry.go
@@ -18,8 +18,8 @@
 // settingsPathVariable is the environment variable that holds the settings file's path.
 const settingsPathVariable = "THORNWALK_CONFIG"
 
-// silenceLimit bounds dialling, and the time without any packet from the other end after which
-// a connection is broken.
+// silenceLimit is the time after which dialling the store fails, and after which a connection
+// without any packet from the other end is broken.
 const silenceLimit = 3 * time.Second
 
 // settingsPollInterval is the time between reads of the settings file, which may change
--- a/cmd/thornwalkd/main.go
+++ b/cmd/thornwalkd/main.go
@@ -46,8 +46,7 @@
 	}
 }
 
-// dispatch runs the subcommand that the first argument names, or else the daemon of package
-// node.
+// dispatch runs the subcommand that the first argument names; the default is runNode.
 func dispatch(arguments []string) error {
 	if len(arguments) == 0 {
 		return runNode(arguments)
--- a/test/faultmatrix/harness_test.go
+++ b/test/faultmatrix/harness_test.go
@@ -26,7 +26,7 @@
 	otherZone  = "kapana"
 	// minFaultDuration is longer than every lease.
 	minFaultDuration = 6 * time.Second
-	// requestTimeout is long enough for requests to end after the fault is healed.
+	// requestTimeout leaves requests time to end after the fault is healed.
 	requestTimeout    = 40 * time.Second
 	maxSubmitAttempts = 3
 )
