--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -86,10 +86,10 @@
 
 // series is the runs in which one size varies.
 type series struct {
-	name   string
-	prefix []string
-	size   func(*Measurement) float64
-	target float64
+	name     string
+	prefixes []string
+	size     func(*Measurement) float64
+	target   float64
 }
 
 var allSeries = []series{
@@ -108,7 +108,7 @@
 // At returns the value of the line.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-func fit(sizes, values []float64) Fit {
+func fitLine(sizes, values []float64) Fit {
 	intercept, slope := stat.LinearRegression(sizes, values, nil, false)
 	line := Fit{Intercept: intercept, Slope: slope}
 	sum := 0.0
@@ -124,20 +124,20 @@
 // give at the target, for each series.
 func Write(writer io.Writer, measurements []Measurement) {
 	for _, s := range allSeries {
-		chosen := s.choose(measurements)
+		chosen := s.selectRuns(measurements)
 		if len(chosen) < 3 {
 			fmt.Fprintf(writer, "## By %s\n\nnot measured at three sizes\n\n", s.name)
 			continue
 		}
 		s.write(writer, chosen)
 	}
-	writeWhole(writer, measurements)
+	writeMultiZone(writer, measurements)
 }
 
-func (s *series) choose(measurements []Measurement) []Measurement {
+func (s *series) selectRuns(measurements []Measurement) []Measurement {
 	var chosen []Measurement
 	for _, m := range measurements {
-		for _, prefix := range s.prefix {
+		for _, prefix := range s.prefixes {
 			if strings.HasPrefix(m.File, prefix) {
 				chosen = append(chosen, m)
 			}
@@ -158,7 +158,7 @@
 		for i := range chosen {
 			sizes[i], values[i] = s.size(&chosen[i]), m.value(&chosen[i])
 		}
-		line := fit(sizes, values)
+		line := fitLine(sizes, values)
 		fmt.Fprintf(writer, "| %s (%s) |", m.name, m.unit)
 		for _, value := range values {
 			fmt.Fprintf(writer, " %.2f |", value)
@@ -176,7 +176,7 @@
 }
 
 // writeWhole shows the runs of several zones, which check the fits.
-func writeWhole(writer io.Writer, measurements []Measurement) {
+func writeMultiZone(writer io.Writer, measurements []Measurement) {
 	fmt.Fprintf(writer, "## Several zones at once\n\n| run | nodes | replicas | zones | claims/s | processor %% | heap MB | KB/s | writes/s | reads/s | change in force s | views agree s |\n|---|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|\n")
 	for i := range measurements {
 		m := &measurements[i]
--- a/lab/cluster/caller.go
+++ b/lab/cluster/caller.go
@@ -24,16 +24,16 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// quiet takes the servers' complaints of connections that tests break.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog discards the servers' messages about connections that tests break.
+var discardLog = log.New(io.Discard, "", 0)
 
-// KeyHash returns the setting key_hash of a bearer key.
+// KeyHash returns the value of the setting key_hash for a bearer key.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Submission is one request as a caller sends it.
+// Submission is a request to be sent by a Caller.
 type Submission struct {
 	Marker    string
 	Address   string
@@ -53,53 +53,57 @@
 	Deadline     time.Duration
 }
 
-// labBody is the body of a completion request of the lab.
-type labBody struct {
-	Model     string          `json:"model"`
-	Messages  []openaiMessage `json:"messages"`
-	Stream    bool            `json:"stream"`
-	Output    int             `json:"lab_output_tokens,omitempty"`
-	LabMarker string          `json:"lab_marker"`
+// requestBody is the body of a request. Engines read Output as the length of the
+// answer.
+type requestBody struct {
+	Model     string        `json:"model"`
+	Messages  []chatMessage `json:"messages"`
+	Stream    bool          `json:"stream"`
+	Output    int           `json:"lab_output_tokens,omitempty"`
+	LabMarker string        `json:"lab_marker"`
 }
 
-type openaiMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// MarkerOf returns the marker in the body of an execution.
+// MarkerOf returns the marker in the body of an execution, or the request id if there
+// is none.
 func MarkerOf(execution standin.Execution) string {
-	var body labBody
+	var body requestBody
 	if json.Unmarshal([]byte(execution.Body), &body) != nil || body.LabMarker == "" {
 		return execution.RequestID
 	}
 	return body.LabMarker
 }
 
-// Caller sends submissions from one network.
+// Caller sends submissions over one network. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 }
 
-// NewCaller returns a caller on the network. Connections are not kept.
-func NewCaller(outside network.Network) *Caller {
-	dial := func(ctx context.Context, _, address string) (net.Conn, error) { return outside.Dial(ctx, address) }
+// NewCaller returns a caller on the network. It uses a new connection for each request.
+func NewCaller(callerNetwork network.Network) *Caller {
+	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
+		return callerNetwork.Dial(ctx, address)
+	}
 	return &Caller{client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
-// Send sends the submission and observes its end.
+// Send sends the submission, blocks until its end and returns what the caller observed.
 func (c *Caller) Send(ctx context.Context, s *Submission) checker.Observation {
 	o := checker.Observation{Marker: s.Marker, Zone: s.Zone, Service: s.Service, Tier: s.Tier, Rank: s.Rank, Deadline: s.Deadline, SentAt: time.Now()}
-	request, err := s.request(ctx)
+	request, err := s.newRequest(ctx)
 	if err != nil {
 		return o
 	}
 	response, err := c.client.Do(request)
 	if err == nil {
 		defer response.Body.Close()
-		s.observe(response, &o)
-	} else if isRefused(err) {
-		// No connection to the node: the caller knows by itself that nothing ran.
+		s.readResponse(response, &o)
+	} else if isConnectionRefused(err) {
+		// Without a connection to the node, the request cannot have run.
 		o.Outcome, o.Code = structs.OutcomeNotRun, "no-connection"
 	} else {
 		o.Outcome, o.Code = structs.OutcomeUnknown, "connection-broke"
@@ -109,18 +113,18 @@
 	return o
 }
 
-func isRefused(err error) bool {
+func isConnectionRefused(err error) bool {
 	var operation *net.OpError
 	return strings.Contains(err.Error(), "connection refused") || (errors.As(err, &operation) && operation.Op == "dial")
 }
 
-func (s *Submission) request(ctx context.Context) (*http.Request, error) {
+func (s *Submission) newRequest(ctx context.Context) (*http.Request, error) {
 	path := openai.PathChat
 	if s.Plain {
 		path = "/services/" + s.Service + "/permits"
 	}
-	body, err := json.Marshal(labBody{
-		Model: s.Route, Messages: []openaiMessage{{Role: "user", Content: s.Prompt}}, Stream: s.Stream, Output: s.OutputTokens, LabMarker: s.Marker,
+	body, err := json.Marshal(requestBody{
+		Model: s.Route, Messages: []chatMessage{{Role: "user", Content: s.Prompt}}, Stream: s.Stream, Output: s.OutputTokens, LabMarker: s.Marker,
 	})
 	if err != nil {
 		return nil, err
@@ -141,8 +145,9 @@
 	return request, nil
 }
 
-// observe reads the response and checks that an answer is whole and one's own.
-func (s *Submission) observe(response *http.Response, o *checker.Observation) {
+// readResponse reads the response and checks that an answer is complete and belongs to
+// the submission.
+func (s *Submission) readResponse(response *http.Response, o *checker.Observation) {
 	o.RequestID = response.Header.Get(node.HeaderRequestID)
 	o.Code = response.Header.Get(node.HeaderErrorCode)
 	if o.Code != "" {
@@ -162,10 +167,10 @@
 		o.Whole = ended && strings.Contains(text, s.Marker)
 	case s.Stream:
 		text, ended = readStream(response, o)
-		o.Whole = ended && wholeText(text, o.RequestID, s.OutputTokens)
+		o.Whole = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
 	default:
 		text, ended = readCompletion(response)
-		o.Whole = ended && wholeText(text, o.RequestID, s.OutputTokens)
+		o.Whole = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
 	}
 	if ended {
 		o.Outcome = structs.OutcomeAnswered
@@ -174,6 +179,7 @@
 	}
 }
 
+// parseOutcome returns the outcome with the text, or OutcomePending for unknown texts.
 func parseOutcome(text string) structs.Outcome {
 	for _, outcome := range []structs.Outcome{structs.OutcomeAnswered, structs.OutcomeNotRun, structs.OutcomeUnknown} {
 		if outcome.String() == text {
@@ -197,21 +203,22 @@
 	return completion.Choices[0].Message.Content, true
 }
 
-// readStream joins the events; a stream is whole if it ends with its mark.
+// readStream returns the joined text of the events. It returns false if the stream ends
+// without its end marker.
 func readStream(response *http.Response, o *checker.Observation) (string, bool) {
 	var text strings.Builder
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(nil, 1<<20)
-	failed := false
+	isError := false
 	for scanner.Scan() {
 		line := scanner.Text()
-		failed = failed || line == "event: error"
+		isError = isError || line == "event: error"
 		data, isData := strings.CutPrefix(line, "data: ")
 		switch {
 		case !isData:
 		case data == openai.DoneEvent:
 			return text.String(), true
-		case failed:
+		case isError:
 			var body openai.ErrorBody
 			if json.Unmarshal([]byte(data), &body) == nil {
 				o.Code, o.Outcome = body.Error.Code, parseOutcome(body.Error.Outcome)
@@ -225,16 +232,17 @@
 	return text.String(), false
 }
 
-// wholeText compares the text with what the engine gives for the request.
-func wholeText(text, requestID string, tokens int) bool {
-	var wanted strings.Builder
+// isCompleteText reports whether the text is the complete answer of an engine to the
+// request.
+func isCompleteText(text, requestID string, tokens int) bool {
+	var expected strings.Builder
 	for number := 1; number <= tokens; number++ {
-		wanted.WriteString(standin.TokenText(requestID, number))
+		expected.WriteString(standin.TokenText(requestID, number))
 	}
-	return text == wanted.String()
+	return text == expected.String()
 }
 
-// GetTicket asks the node at the address for a ticket.
+// GetTicket requests a ticket from the node at the address.
 func (c *Caller) GetTicket(ctx context.Context, address, tenantKey string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+node.PathTickets, nil)
 	if err != nil {
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster starts a whole deployment in one process: stand-ins for the
-// platform and the back ends, and entry nodes in several zones. It runs on
-// loopback for the demo and on a network in memory for tests.
+// Package cluster runs a deployment in one process: entry nodes in several zones and
+// stand-ins for the platform and the back ends. It runs on loopback for the demo and on
+// a network in memory for tests.
 package cluster
 
 import (
@@ -25,24 +25,25 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// OperatorToken is the operators' bearer token of clusters.
+// OperatorToken is the operators' bearer token of all clusters.
 const OperatorToken = "operator-of-the-lab"
 
-// StoreHost and MachinesHost are the platform's hosts on a network in memory.
+// Hosts of the platform's stand-ins on a network in memory.
 const (
 	StoreHost    = "store"
 	MachinesHost = "machines"
 )
 
-// Options describe a cluster.
+// Options are the options of a cluster.
 type Options struct {
 	Zones        []string
 	NodesPerZone int
-	// Engine services and plain services, each with replicas in every zone.
+	// EngineService and PlainService each have replicas in every zone. Engines has one
+	// entry for each replica of EngineService in a zone.
 	EngineService string
 	Model         string
 	Engines       []enginesim.Spec
-	// ZoneEngines lists the engines zone by zone instead, if they differ.
+	// ZoneEngines replaces Engines, zone by zone in the order of Zones.
 	ZoneEngines    [][]enginesim.Spec
 	PlainService   string
 	PlainReplicas  int
@@ -52,20 +53,20 @@
 	ReportLag      time.Duration
 	StoreLatency   time.Duration
 	FencelessZones bool
-	// Host returns the network of a host.
+	// Host returns the network as seen from the named host.
 	Host func(name string) network.Network
-	// ListenAddress is the address to listen at, such as "127.0.0.1:0".
+	// ListenAddress is the address on which all servers listen, such as "127.0.0.1:0".
 	ListenAddress string
-	// StoreAddress and MachinesAddress are those of the platform's stand-ins;
-	// empty means ListenAddress.
+	// StoreAddress and MachinesAddress are the listen addresses of the platform's
+	// stand-ins. If empty, ListenAddress is used.
 	StoreAddress, MachinesAddress string
-	// Faults returns the injector of a node; nil for none.
+	// Faults returns the fault injector of a node. Nil means no faults.
 	Faults       func(node string) faultpoint.Injector
 	Seed         uint64
 	LogDecisions bool
 	DrainGrace   time.Duration
-	// WrapNetwork and WrapStore change what nodes use; nil leaves it. Tests of
-	// the checker break promises with them.
+	// WrapNetwork and WrapStore wrap the network and the store of each node. Nil means
+	// no wrapper.
 	WrapNetwork func(network.Network) network.Network
 	WrapStore   func(outside.Store) outside.Store
 }
@@ -77,28 +78,29 @@
 	Machines *standin.Machines
 	Engines  []*standin.Engine
 	Services []*standin.Service
-	// Document is the settings that the cluster began with.
+	// Document contains the initial settings.
 	Document *settingsync.Document
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	group    sync.WaitGroup
-	mutex    sync.Mutex
-	nodes    map[string]*node.Node
-	order    []string
-	starts   int64
-	storeAt  string
-	listAt   string
-	replicas map[structs.ReplicaID]*backendServer
+	ctx             context.Context
+	cancel          context.CancelFunc
+	group           sync.WaitGroup
+	mutex           sync.Mutex
+	nodes           map[string]*node.Node
+	nodeNames       []string
+	startCount      int64
+	storeAddress    string
+	machinesAddress string
+	backends        map[structs.ReplicaID]*backendServer
 }
 
-// backendServer is the HTTP server of one back end.
+// backendServer is the HTTP server of a back end and its entry in the machine list.
 type backendServer struct {
 	server  *http.Server
 	machine outside.Machine
 }
 
-// Start starts everything and waits until each node is ready.
+// Start starts a cluster and blocks until all nodes are ready. The cluster ends with
+// the context or with Stop.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	c, err := StartStandins(ctx, options)
 	if err != nil {
@@ -114,11 +116,11 @@
 	return c, c.awaitReady()
 }
 
-// StartStandins starts the platform and the back ends without nodes.
+// StartStandins starts the stand-ins for the platform and the back ends, without nodes.
 func StartStandins(ctx context.Context, options Options) (*Cluster, error) {
 	c := &Cluster{
 		Options: options, Store: standin.NewStore(), Machines: standin.NewMachines(options.MachineLag),
-		nodes: map[string]*node.Node{}, replicas: map[structs.ReplicaID]*backendServer{},
+		nodes: map[string]*node.Node{}, backends: map[structs.ReplicaID]*backendServer{},
 	}
 	c.Store.Latency = options.StoreLatency
 	c.ctx, c.cancel = context.WithCancel(ctx)
@@ -128,7 +130,7 @@
 	return c, c.startBackends()
 }
 
-// NodeName returns the name of a node, which is also its host.
+// NodeName returns the name of a node. It is also the name of its host.
 func NodeName(zone string, index int) string { return fmt.Sprintf("%s-n%d", zone, index) }
 
 func (c *Cluster) startPlatform() error {
@@ -139,15 +141,15 @@
 	}
 	c.Document = document
 	c.Store.Put(settingsync.Key, data)
-	if c.storeAt, _, err = c.serve(StoreHost, c.Options.StoreAddress, c.Store.Handler()); err != nil {
+	if c.storeAddress, _, err = c.serve(StoreHost, c.Options.StoreAddress, c.Store.Handler()); err != nil {
 		return err
 	}
-	c.listAt, _, err = c.serve(MachinesHost, c.Options.MachinesAddress, c.Machines.Handler())
+	c.machinesAddress, _, err = c.serve(MachinesHost, c.Options.MachinesAddress, c.Machines.Handler())
 	return err
 }
 
-// serve runs an HTTP server on a host, at the address or, if that is empty, at
-// ListenAddress, and returns where.
+// serve runs an HTTP server on a host until the context of the cluster ends. It listens
+// on the address, or on ListenAddress if that is empty, and returns the actual address.
 func (c *Cluster) serve(host, address string, handler http.Handler) (string, *http.Server, error) {
 	if address == "" {
 		address = c.Options.ListenAddress
@@ -156,8 +158,8 @@
 	if err != nil {
 		return "", nil, err
 	}
-	server := &http.Server{Handler: handler, BaseContext: func(net.Listener) context.Context { return c.ctx }, ErrorLog: quiet}
-	c.group.Go(func() { _ = server.Serve(listener) }) // ends with Close
+	server := &http.Server{Handler: handler, BaseContext: func(net.Listener) context.Context { return c.ctx }, ErrorLog: discardLog}
+	c.group.Go(func() { _ = server.Serve(listener) }) // returns after Close
 	c.group.Go(func() {
 		<-c.ctx.Done()
 		_ = server.Close()
@@ -166,11 +168,11 @@
 }
 
 func (c *Cluster) startBackends() error {
-	for number, zone := range c.Options.Zones {
+	for zoneIndex, zone := range c.Options.Zones {
 		blocks := enginesim.NewZoneBlocks()
 		specs := c.Options.Engines
-		if number < len(c.Options.ZoneEngines) {
-			specs = c.Options.ZoneEngines[number]
+		if zoneIndex < len(c.Options.ZoneEngines) {
+			specs = c.Options.ZoneEngines[zoneIndex]
 		}
 		for index, spec := range specs {
 			if err := c.startEngine(zone, index, spec, blocks); err != nil {
@@ -212,33 +214,34 @@
 	}
 	replica.Address, replica.Zone = address, zone
 	machine := outside.Machine{Name: string(replica.ID), Role: "backend", Zone: zone, Replica: &replica}
-	c.replicas[replica.ID] = &backendServer{server: server, machine: machine}
+	c.backends[replica.ID] = &backendServer{server: server, machine: machine}
 	c.Machines.Add(machine)
 	return nil
 }
 
-// KillBackend cuts every connection of a back end and closes its port.
-func (c *Cluster) KillBackend(id structs.ReplicaID) { _ = c.replicas[id].server.Close() }
+// KillBackend closes the port and all connections of a back end.
+func (c *Cluster) KillBackend(id structs.ReplicaID) { _ = c.backends[id].server.Close() }
 
-// LeaveBackend marks the back end as leaving on the machine list.
+// LeaveBackend marks a back end as leaving in the machine list.
 func (c *Cluster) LeaveBackend(id structs.ReplicaID) {
-	machine := c.replicas[id].machine
+	machine := c.backends[id].machine
 	machine.Leaving = true
 	c.Machines.Add(machine)
 }
 
-// StartNode starts a node, or starts it again after it ended.
+// StartNode starts a node, or restarts it after it has ended. It does not wait until
+// the node is ready.
 func (c *Cluster) StartNode(name, zone string) error {
 	c.mutex.Lock()
-	c.starts++
-	start := c.starts
+	c.startCount++
+	start := c.startCount
 	c.mutex.Unlock()
 	hostNetwork := c.Options.Host(name)
 	if c.Options.WrapNetwork != nil {
 		hostNetwork = c.Options.WrapNetwork(hostNetwork)
 	}
 	const storeTimeout = time.Second
-	var store outside.Store = etcdstore.New(hostNetwork, c.storeAt, storeTimeout, nil)
+	var store outside.Store = etcdstore.New(hostNetwork, c.storeAddress, storeTimeout, nil)
 	if c.Options.WrapStore != nil {
 		store = c.Options.WrapStore(store)
 	}
@@ -246,35 +249,35 @@
 	if c.Options.Faults != nil {
 		faults = c.Options.Faults(name)
 	}
-	created, err := node.New(node.Config{
+	newNode, err := node.New(node.Config{
 		Name: name, Zone: zone, CallerListen: c.Options.ListenAddress, OperatorListen: c.Options.ListenAddress, PeerListen: c.Options.ListenAddress,
 		ReceiptKeys: [][]byte{[]byte("a receipt key of the lab")}, OperatorToken: OperatorToken, DrainGrace: c.Options.DrainGrace,
 	}, node.Dependencies{
-		Network: hostNetwork, Store: store, Machines: machinelist.New(hostNetwork, c.listAt), WallTime: time.Now,
+		Network: hostNetwork, Store: store, Machines: machinelist.New(hostNetwork, c.machinesAddress), WallTime: time.Now,
 		Random: rand.New(rand.NewPCG(c.Options.Seed, uint64(start))), Faults: faults,
 		StartMilliseconds: time.Now().UnixMilli() + start, LogDecisions: c.Options.LogDecisions,
 	})
 	if err != nil {
 		return err
 	}
-	if err := created.Start(c.ctx); err != nil {
+	if err := newNode.Start(c.ctx); err != nil {
 		return err
 	}
 	c.mutex.Lock()
-	if _, known := c.nodes[name]; !known {
-		c.order = append(c.order, name)
+	if _, exists := c.nodes[name]; !exists {
+		c.nodeNames = append(c.nodeNames, name)
 	}
-	c.nodes[name] = created
+	c.nodes[name] = newNode
 	c.mutex.Unlock()
-	c.Machines.Add(outside.Machine{Name: name, Role: "entry", Zone: zone, PeerAddress: created.PeerAddress(), CallerAddress: created.CallerAddress()})
+	c.Machines.Add(outside.Machine{Name: name, Role: "entry", Zone: zone, PeerAddress: newNode.PeerAddress(), CallerAddress: newNode.CallerAddress()})
 	return nil
 }
 
-// readyLimit bounds the wait for the nodes.
-const readyLimit = 120 * time.Second
+// readyTimeout is the maximum time until all nodes are ready.
+const readyTimeout = 120 * time.Second
 
 func (c *Cluster) awaitReady() error {
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		ready := true
 		for _, name := range c.Names() {
@@ -286,24 +289,24 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("the nodes were not ready after %s", readyLimit)
+	return fmt.Errorf("start cluster: nodes not ready after %s", readyTimeout)
 }
 
-// Names returns the names of the nodes that were started, in order.
+// Names returns the names of all nodes in the order of their first start.
 func (c *Cluster) Names() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]string(nil), c.order...)
+	return append([]string(nil), c.nodeNames...)
 }
 
-// Node returns the node with the name, also after it ended.
+// Node returns the latest instance of the named node, which may have ended, or nil.
 func (c *Cluster) Node(name string) *node.Node {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.nodes[name]
 }
 
-// Executions returns what all back ends recorded.
+// Executions returns the records of all back ends.
 func (c *Cluster) Executions() []standin.Execution {
 	var executions []standin.Execution
 	for _, engine := range c.Engines {
@@ -315,7 +318,8 @@
 	return executions
 }
 
-// Stop ends everything at once.
+// Stop ends all nodes and stand-ins and waits until their goroutines have returned. It
+// does not drain the nodes.
 func (c *Cluster) Stop() {
 	for _, name := range c.Names() {
 		c.Node(name).Kill()
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -55,7 +55,7 @@
 }
 
 // traffic is one kind of request in the mix.
-type traffic struct {
+type requestKind struct {
 	route, tier, service string
 	rank                 structs.Rank
 	share                float64
@@ -66,7 +66,7 @@
 	deadline             time.Duration
 }
 
-var mix = []traffic{
+var mix = []requestKind{
 	{route: "ruling", tier: "rulings", service: "ezik-servers", share: 0.25, tenant: "couriers", promptWords: 150, tokens: 30, deadline: 6 * time.Second},
 	{route: "appeal", tier: "appeals", rank: 1, service: "ezik-servers", share: 0.15, tenant: "restaurants", keyed: true, promptWords: 900, tokens: 60, deadline: 17 * time.Second},
 	{route: "summary", tier: "summaries", rank: 2, service: "ezik-servers", share: 0.2, tenant: "officers", promptWords: 500, tokens: 80, deadline: 20 * time.Second},
@@ -106,30 +106,30 @@
 	random  *rand.Rand
 	caller  *cluster.Caller
 
-	mutex   sync.Mutex
-	history checker.History
-	down    map[string]bool
-	stops   map[string]time.Time
-	result  Result
+	mutex     sync.Mutex
+	history   checker.History
+	drained   map[string]bool
+	stopTimes map[string]time.Time
+	result    Result
 }
 
 // Run runs the demo on a started cluster.
 func Run(ctx context.Context, c *cluster.Cluster, options Options) (Result, error) {
 	r := &run{
 		cluster: c, options: options, random: rand.New(rand.NewPCG(options.Seed, 3)),
-		caller: cluster.NewCaller(network.TCP{}), down: map[string]bool{}, stops: map[string]time.Time{},
+		caller: cluster.NewCaller(network.TCP{}), drained: map[string]bool{}, stopTimes: map[string]time.Time{},
 	}
 	r.history.MarkerOf = cluster.MarkerOf
 	var group sync.WaitGroup
 	stopSampling := make(chan struct{})
 	group.Go(func() { r.sampleGenerations(stopSampling) })
 	var events sync.WaitGroup
-	events.Go(func() { r.events(ctx) })
+	events.Go(func() { r.runEvents(ctx) })
 	r.send(ctx)
 	events.Wait()
 	close(stopSampling)
 	group.Wait()
-	return r.judge(), nil
+	return r.summarize(), nil
 }
 
 // send submits the mix, open loop, and waits for every end.
@@ -137,7 +137,7 @@
 	var group sync.WaitGroup
 	begun := time.Now()
 	for number := 0; time.Since(begun) < r.options.Duration && ctx.Err() == nil; number++ {
-		submission := r.submission(number)
+		submission := r.newSubmission(number)
 		group.Go(func() {
 			observation := r.caller.Send(ctx, submission)
 			r.record(submission, observation)
@@ -147,11 +147,11 @@
 	group.Wait()
 }
 
-func (r *run) submission(number int) *cluster.Submission {
-	kind := r.pick()
+func (r *run) newSubmission(number int) *cluster.Submission {
+	kind := r.pickTraffic()
 	zone := Zones[r.random.IntN(len(Zones))]
 	s := &cluster.Submission{
-		Marker: fmt.Sprintf("demo-%d", number), Zone: zone, Address: r.address(zone), TenantKey: kind.tenant + "-key",
+		Marker: fmt.Sprintf("demo-%d", number), Zone: zone, Address: r.pickAddress(zone), TenantKey: kind.tenant + "-key",
 		Route: kind.route, Service: kind.service, Plain: kind.plain, Tier: kind.tier, Rank: kind.rank,
 		Prompt: prompt(kind, r.random.IntN(40)), OutputTokens: kind.tokens, Stream: number%2 == 0, Deadline: kind.deadline,
 	}
@@ -163,12 +163,12 @@
 
 // prompt begins with what the kind shares and goes on with one of a number of
 // conversations.
-func prompt(kind traffic, conversation int) string {
+func prompt(kind requestKind, conversation int) string {
 	shared := strings.Repeat("Rules of "+kind.route+". ", 40)
 	return shared + strings.Repeat(fmt.Sprintf("Case %d says more. ", conversation), kind.promptWords/4)
 }
 
-func (r *run) pick() traffic {
+func (r *run) pickTraffic() requestKind {
 	draw := r.random.Float64()
 	for _, kind := range mix {
 		if draw -= kind.share; draw < 0 {
@@ -179,12 +179,12 @@
 }
 
 // address is the balancer: it picks a node of the zone that is ready.
-func (r *run) address(zone string) string {
+func (r *run) pickAddress(zone string) string {
 	var ready []string
 	for index := range r.cluster.Options.NodesPerZone {
 		n := r.cluster.Node(cluster.NodeName(zone, index))
 		r.mutex.Lock()
-		down := r.down[n.Name()]
+		down := r.drained[n.Name()]
 		r.mutex.Unlock()
 		if !down && n.Ready() {
 			ready = append(ready, n.CallerAddress())
@@ -199,7 +199,7 @@
 func (r *run) record(s *cluster.Submission, o checker.Observation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for name, at := range r.stops {
+	for name, at := range r.stopTimes {
 		n := r.cluster.Node(name)
 		o.Stopped = o.Stopped || (s.Address == n.CallerAddress() && o.EndedAt.After(at))
 	}
@@ -208,7 +208,7 @@
 
 // events changes the settings, lets a back end leave and stops a node, each at
 // its part of the run.
-func (r *run) events(ctx context.Context) {
+func (r *run) runEvents(ctx context.Context) {
 	part := r.options.Duration / 4
 	time.Sleep(part)
 	r.changeSettings(ctx)
@@ -236,7 +236,7 @@
 		return
 	}
 	for time.Since(begun) < checker.InForceLimit {
-		if r.allAt(record.Generation) {
+		if r.allNodesReached(record.Generation) {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -246,10 +246,10 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.result.ChangeInForce = taken.String()
-	r.history.Generations = append(r.history.Generations, r.sample(record.Generation)...)
+	r.history.Generations = append(r.history.Generations, r.sampleAllNodes(record.Generation)...)
 }
 
-func (r *run) allAt(generation uint64) bool {
+func (r *run) allNodesReached(generation uint64) bool {
 	for _, name := range r.cluster.Names() {
 		if r.cluster.Node(name).Settings().Generation < generation {
 			return false
@@ -262,20 +262,20 @@
 	name := cluster.NodeName(Zones[1], 0)
 	r.options.Progress("node " + name + " stops as planned")
 	r.mutex.Lock()
-	r.stops[name] = time.Now()
+	r.stopTimes[name] = time.Now()
 	r.mutex.Unlock()
 	clean := r.cluster.Node(name).Drain(ctx)
 	r.cluster.Machines.Remove(name)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.down[name] = true
+	r.drained[name] = true
 	r.result.DrainedNode, r.result.DrainedCleanly = name, clean
 }
 
 func (r *run) sampleGenerations(stop <-chan struct{}) {
 	for {
 		r.mutex.Lock()
-		r.history.Generations = append(r.history.Generations, r.sample(0)...)
+		r.history.Generations = append(r.history.Generations, r.sampleAllNodes(0)...)
 		r.mutex.Unlock()
 		select {
 		case <-stop:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (r *run) sample(accepted uint64) []checker.GenerationSample {
+func (r *run) sampleAllNodes(accepted uint64) []checker.GenerationSample {
 	var samples []checker.GenerationSample
 	for _, name := range r.cluster.Names() {
 		n := r.cluster.Node(name)
@@ -295,7 +295,7 @@
 }
 
 // judge checks the history and sums it up by tier.
-func (r *run) judge() Result {
+func (r *run) summarize() Result {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.history.Executions = r.cluster.Executions()
--- a/lab/emulator/baselines.go
+++ b/lab/emulator/baselines.go
@@ -13,48 +13,48 @@
 // baselineNode hands each request to an engine at once; the engines honour
 // priorities. It stands for what operators would otherwise run.
 type baselineNode struct {
-	world    *world
-	replicas []*replica
-	choose   chooser
-	random   *rand.Rand
-	turn     int
+	simulation *simulation
+	replicas   []*replica
+	choose     chooser
+	random     *rand.Rand
+	next       int
 	// reported is the last reported load, and own the requests that this node
 	// has at each replica.
-	reported map[structs.ReplicaID]int
-	own      map[structs.ReplicaID]int
+	reportedLoad map[structs.ReplicaID]int
+	inFlight     map[structs.ReplicaID]int
 }
 
-func newBaselineNode(w *world, zone int, choose chooser, random *rand.Rand) *baselineNode {
+func newBaselineNode(s *simulation, zone int, choose chooser, random *rand.Rand) *baselineNode {
 	return &baselineNode{
-		world: w, replicas: w.zones[zone], choose: choose, random: random, turn: random.IntN(len(w.zones[zone])),
-		reported: map[structs.ReplicaID]int{}, own: map[structs.ReplicaID]int{},
+		simulation: s, replicas: s.zones[zone], choose: choose, random: random, next: random.IntN(len(s.zones[zone])),
+		reportedLoad: map[structs.ReplicaID]int{}, inFlight: map[structs.ReplicaID]int{},
 	}
 }
 
 func (n *baselineNode) arrive(r *record) {
 	target := n.choose(n, r)
-	n.own[target.ID]++
-	n.world.dispatch(r, target)
+	n.inFlight[target.ID]++
+	n.simulation.dispatch(r, target)
 }
 
 func (n *baselineNode) report(report structs.LoadReport) {
-	n.reported[report.Replica] = report.Running + report.Waiting
+	n.reportedLoad[report.Replica] = report.Running + report.Waiting
 }
 
 func (n *baselineNode) cacheEvents(structs.ReplicaID, []structs.CacheEvent) {}
 func (n *baselineNode) firstToken(*record)                                  {}
-func (n *baselineNode) done(r *record)                                      { n.own[r.replica.ID]-- }
-func (n *baselineNode) abandon(r *record)                                   { n.own[r.replica.ID]-- }
+func (n *baselineNode) done(r *record)                                      { n.inFlight[r.replica.ID]-- }
+func (n *baselineNode) abandon(r *record)                                   { n.inFlight[r.replica.ID]-- }
 
 func roundRobin(n *baselineNode, _ *record) *replica {
-	n.turn++
-	return n.replicas[n.turn%len(n.replicas)]
+	n.next++
+	return n.replicas[n.next%len(n.replicas)]
 }
 
 func leastReportedLoad(n *baselineNode, _ *record) *replica {
 	best := n.replicas[0]
 	for _, candidate := range n.replicas[1:] {
-		if n.reported[candidate.ID] < n.reported[best.ID] {
+		if n.reportedLoad[candidate.ID] < n.reportedLoad[best.ID] {
 			best = candidate
 		}
 	}
@@ -69,7 +69,7 @@
 	if second >= first {
 		second++
 	}
-	load := func(r *replica) int { return max(n.reported[r.ID], n.own[r.ID]) }
+	load := func(r *replica) int { return max(n.reportedLoad[r.ID], n.inFlight[r.ID]) }
 	if load(n.replicas[second]) < load(n.replicas[first]) {
 		return n.replicas[second]
 	}
@@ -80,7 +80,7 @@
 // the prompt behind what its whole kind shares.
 func prefixHash(n *baselineNode, r *record) *replica {
 	key := uint64(r.arrival.Session)
-	if shared := n.world.kind(r).SharedTokens / structs.BlockTokens; len(r.arrival.Chain) > shared {
+	if shared := n.simulation.kind(r).SharedTokens / structs.BlockTokens; len(r.arrival.Chain) > shared {
 		key = r.arrival.Chain[shared]
 	}
 	best := n.replicas[0]
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -26,7 +26,7 @@
 	g.Expect(string(second)).To(gomega.Equal(string(first)))
 }
 
-func TestUnknownPolicyIsRefused(t *testing.T) {
+func TestUnknownPolicyIsRejected(t *testing.T) {
 	experiment := Experiment{Deployment: workload.Coop(), Load: 1, Seed: 1, Duration: time.Second, Policies: []string{"hope"}}
 	_, err := experiment.Run()
 	gomega.NewWithT(t).Expect(err).To(gomega.MatchError(gomega.ContainSubstring("choose among")))
--- a/lab/emulator/loop.go
+++ b/lab/emulator/eventloop.go
@@ -13,20 +13,20 @@
 }
 
 // loop is the event queue of one run.
-type loop struct {
+type eventLoop struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 }
 
 // after schedules run at the delay from now.
-func (l *loop) after(delay time.Duration, run func()) {
+func (l *eventLoop) after(delay time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.events, event{at: l.now + delay, sequence: l.sequence, run: run})
 }
 
 // every schedules run at each interval until the time.
-func (l *loop) every(interval, until time.Duration, run func()) {
+func (l *eventLoop) every(interval, until time.Duration, run func()) {
 	var tick func()
 	tick = func() {
 		run()
@@ -38,7 +38,7 @@
 }
 
 // runUntil runs events in order up to the time.
-func (l *loop) runUntil(end time.Duration) {
+func (l *eventLoop) runUntil(end time.Duration) {
 	for len(l.events) > 0 && l.events[0].at <= end {
 		next := heap.Pop(&l.events).(event)
 		l.now = next.at
--- a/lab/emulator/experiment.go
+++ b/lab/emulator/experiment.go
@@ -47,21 +47,21 @@
 	var group sync.WaitGroup
 	for i, policy := range e.Policies {
 		group.Go(func() {
-			w := newWorld(&e.Deployment, e.Conditions, e.Duration, e.Seed)
-			e.addNodes(w, policy, arrivals)
-			w.run(arrivals)
-			results[i] = w.result(policy, e.Load, e.Seed)
+			s := newSimulation(&e.Deployment, e.Conditions, e.Duration, e.Seed)
+			e.addNodes(s, policy, arrivals)
+			s.run(arrivals)
+			results[i] = s.result(policy, e.Load, e.Seed)
 		})
 	}
 	group.Wait()
 	return results, nil
 }
 
-func (e *Experiment) addNodes(w *world, policy string, arrivals []workload.Arrival) {
+func (e *Experiment) addNodes(s *simulation, policy string, arrivals []workload.Arrival) {
 	choose, isBaseline := choosers[policy]
 	var lengths oracleLengths
 	if policy == "oracle" {
-		lengths = knownLengths(arrivals)
+		lengths = newOracleLengths(arrivals)
 	}
 	for zone, count := range e.Deployment.NodesPerZone {
 		var nodes []node
@@ -70,34 +70,34 @@
 		for index := range count {
 			random := rand.New(rand.NewPCG(e.Seed, uint64(100+10*zone+index)))
 			if isBaseline {
-				nodes = append(nodes, newBaselineNode(w, zone, choose, random))
+				nodes = append(nodes, newBaselineNode(s, zone, choose, random))
 				continue
 			}
 			options := scheduler.DefaultOptions(e.Deployment.Zones[zone], e.Deployment.LowestRank())
 			if policy == "oracle" {
 				options.Lengths = lengths
-				options.Prefixes = oraclePrefixes{world: w, zone: zone}
+				options.Prefixes = oraclePrefixes{simulation: s, zone: zone}
 			}
 			if e.Adjust != nil {
 				e.Adjust(&options)
 			}
-			n := newThornwalkNode(w, zone, index, options, random)
-			n.fresh = policy == "oracle"
+			n := newThornwalkNode(s, zone, index, options, random)
+			n.seesCurrentLoad = policy == "oracle"
 			peers[n.name] = n
 			members = append(members, n.name)
 			nodes = append(nodes, n)
 		}
 		for _, name := range members {
-			peers[name].join(peers, members)
+			peers[name].setPeers(peers, members)
 		}
-		w.nodes = append(w.nodes, nodes)
+		s.nodes = append(s.nodes, nodes)
 	}
 }
 
-func knownLengths(arrivals []workload.Arrival) oracleLengths {
-	lengths := oracleLengths{lengths: make(map[string]int, len(arrivals))}
+func newOracleLengths(arrivals []workload.Arrival) oracleLengths {
+	lengths := oracleLengths{byRequest: make(map[string]int, len(arrivals))}
 	for i := range arrivals {
-		lengths.lengths[arrivals[i].ID] = arrivals[i].OutputTokens
+		lengths.byRequest[arrivals[i].ID] = arrivals[i].OutputTokens
 	}
 	return lengths
 }
--- a/lab/emulator/oracle.go
+++ b/lab/emulator/oracle.go
@@ -6,14 +6,14 @@
 
 // oraclePrefixes answers from the engines' caches themselves.
 type oraclePrefixes struct {
-	world *world
-	zone  int
+	simulation *simulation
+	zone       int
 }
 
 func (o oraclePrefixes) CachedTokens(id structs.ReplicaID, chain []uint64) int {
-	engine := o.world.byID[id].engine
+	engine := o.simulation.byID[id].engine
 	for i, block := range chain {
-		if !engine.Holds(block) {
+		if !engine.IsCached(block) {
 			return i * structs.BlockTokens
 		}
 	}
@@ -23,7 +23,7 @@
 func (o oraclePrefixes) Holders(chain []uint64) []structs.ReplicaID {
 	var holders []structs.ReplicaID
 	longest := 0
-	for _, r := range o.world.zones[o.zone] {
+	for _, r := range o.simulation.zones[o.zone] {
 		cached := o.CachedTokens(r.ID, chain)
 		if cached > longest {
 			holders, longest = holders[:0], cached
@@ -40,11 +40,11 @@
 
 // oracleLengths knows the length of every answer.
 type oracleLengths struct {
-	lengths map[string]int
+	byRequest map[string]int
 }
 
 func (o oracleLengths) Percentile(request *structs.Request, _ float64) int {
-	return o.lengths[request.ID]
+	return o.byRequest[request.ID]
 }
 
 func (oracleLengths) Observe(*structs.Request, int) {}
--- a/lab/emulator/result.go
+++ b/lab/emulator/result.go
@@ -36,53 +36,53 @@
 }
 
 // maximumTTFT bounds the histogram of times to the first token, in microseconds.
-const maximumTTFT = int64(time.Hour / time.Microsecond)
+const maxTTFTMicros = int64(time.Hour / time.Microsecond)
 
-func (w *world) result(policy string, load float64, seed uint64) Result {
-	result := Result{Policy: policy, Deployment: w.deployment.Name, Load: load, Seed: seed, Goodput: map[string]float64{}, Requests: len(w.records)}
+func (s *simulation) result(policy string, load float64, seed uint64) Result {
+	result := Result{Policy: policy, Deployment: s.deployment.Name, Load: load, Seed: seed, Goodput: map[string]float64{}, Requests: len(s.records)}
 	sent := map[string]int{}
 	inTime := map[string]int{}
-	firstTokens := hdrhistogram.New(1, maximumTTFT, 3)
+	firstTokens := hdrhistogram.New(1, maxTTFTMicros, 3)
 	total, computed := 0, 0
-	for i := range w.records {
-		r := &w.records[i]
-		tier := w.kind(r).Tier
+	for i := range s.records {
+		r := &s.records[i]
+		tier := s.kind(r).Tier
 		sent[tier]++
-		good := r.answered && r.answeredAt-r.admittedAt <= w.kind(r).Deadline
+		good := r.answered && r.answeredAt-r.admittedAt <= s.kind(r).Deadline
 		if good {
 			inTime[tier]++
 			total++
 		}
 		computed += r.job.Prefilled
-		result.WastedPrefillTokens += wasted(r, good)
+		result.WastedPrefillTokens += wastedTokens(r, good)
 		if r.firstTokenAt > 0 {
-			_ = firstTokens.RecordValue(min((r.firstTokenAt - r.admittedAt).Microseconds(), maximumTTFT)) // clamped
+			_ = firstTokens.RecordValue(min((r.firstTokenAt - r.admittedAt).Microseconds(), maxTTFTMicros)) // clamped
 		}
 		if r.dispatches > 1 {
 			result.DispatchedTwice++
 		}
-		if r.refused && r.dispatches > 0 {
+		if r.rejected && r.dispatches > 0 {
 			result.FalseNotRun++
 		}
 	}
 	for tier, count := range sent {
-		result.Goodput[tier] = round(float64(inTime[tier]) / float64(count))
+		result.Goodput[tier] = roundShare(float64(inTime[tier]) / float64(count))
 	}
-	result.GoodputTotal = round(float64(total) / float64(max(1, len(w.records))))
-	result.WastedPrefillShare = round(float64(result.WastedPrefillTokens) / float64(max(1, computed)))
+	result.GoodputTotal = roundShare(float64(total) / float64(max(1, len(s.records))))
+	result.WastedPrefillShare = roundShare(float64(result.WastedPrefillTokens) / float64(max(1, computed)))
 	result.TTFTP95MS = math.Round(float64(firstTokens.ValueAtQuantile(95))/100) / 10
-	result.ShedInversions = w.inversions()
+	result.ShedInversions = s.countShedInversions()
 	return result
 }
 
-func wasted(r *record, good bool) int {
+func wastedTokens(r *record, good bool) int {
 	if good {
 		return r.job.Recomputed
 	}
 	return r.job.Prefilled
 }
 
-func round(share float64) float64 { return math.Round(share*10000) / 10000 }
+func roundShare(share float64) float64 { return math.Round(share*10000) / 10000 }
 
 // span is the time in which a shedding of a higher tier would have been an
 // inversion with respect to one dispatched request.
@@ -90,14 +90,14 @@
 
 // inversions counts refusals for load while a lower tier of the same zone was
 // waiting and later dispatched, or was admitted within ShedGuard.
-func (w *world) inversions() int {
+func (s *simulation) countShedInversions() int {
 	count := 0
-	for zone := range w.zones {
-		for rank := structs.Rank(0); rank < w.deployment.LowestRank(); rank++ {
-			spans := w.lowerSpans(zone, rank)
-			for i := range w.records {
-				r := &w.records[i]
-				if r.arrival.Zone == zone && w.kind(r).Rank == rank && shedForLoad(r) && covered(spans, r.refusedAt) {
+	for zone := range s.zones {
+		for rank := structs.Rank(0); rank < s.deployment.LowestRank(); rank++ {
+			spans := s.lowerTierSpans(zone, rank)
+			for i := range s.records {
+				r := &s.records[i]
+				if r.arrival.Zone == zone && s.kind(r).Rank == rank && isShedForLoad(r) && isCovered(spans, r.rejectedAt) {
 					count++
 				}
 			}
@@ -106,8 +106,8 @@
 	return count
 }
 
-func shedForLoad(r *record) bool {
-	if !r.refused {
+func isShedForLoad(r *record) bool {
+	if !r.rejected {
 		return false
 	}
 	switch r.reason {
@@ -119,11 +119,11 @@
 
 // lowerSpans returns the spans of lower tiers by start, with running maxima of
 // the ends.
-func (w *world) lowerSpans(zone int, rank structs.Rank) []span {
+func (s *simulation) lowerTierSpans(zone int, rank structs.Rank) []span {
 	var spans []span
-	for i := range w.records {
-		r := &w.records[i]
-		if r.arrival.Zone == zone && w.kind(r).Rank > rank && r.dispatched {
+	for i := range s.records {
+		r := &s.records[i]
+		if r.arrival.Zone == zone && s.kind(r).Rank > rank && r.dispatched {
 			spans = append(spans, span{r.admittedAt - ShedGuard, r.dispatchedAt})
 		}
 	}
@@ -134,7 +134,7 @@
 	return spans
 }
 
-func covered(spans []span, at time.Duration) bool {
+func isCovered(spans []span, at time.Duration) bool {
 	after := sort.Search(len(spans), func(i int) bool { return spans[i].start > at })
 	return after > 0 && spans[after-1].end > at
 }
--- a/lab/emulator/world.go
+++ b/lab/emulator/simulation.go
@@ -15,21 +15,21 @@
 type Conditions struct {
 	// PollInterval is the time between load reports of a replica; each is
 	// delivered after a delay between LagMin and LagMax.
-	PollInterval, LagMin, LagMax time.Duration
+	PollInterval, MinLag, MaxLag time.Duration
 	// EventInterval is the time between batches of cache events, EventLag
 	// their delay and EventLoss the share of batches that are lost.
 	EventInterval, EventLag time.Duration
-	EventLoss               float64
+	EventLossShare          float64
 	// SlowFactor slows the fastest engine of the first zone in the third
 	// quarter of the run.
-	SlowFactor float64
+	SlowdownFactor float64
 }
 
 // DefaultConditions are those of the experiment.
 var DefaultConditions = Conditions{
-	PollInterval: 100 * time.Millisecond, LagMin: 50 * time.Millisecond, LagMax: 250 * time.Millisecond,
-	EventInterval: 500 * time.Millisecond, EventLag: 300 * time.Millisecond, EventLoss: 0.1,
-	SlowFactor: 3,
+	PollInterval: 100 * time.Millisecond, MinLag: 50 * time.Millisecond, MaxLag: 250 * time.Millisecond,
+	EventInterval: 500 * time.Millisecond, EventLag: 300 * time.Millisecond, EventLossShare: 0.1,
+	SlowdownFactor: 3,
 }
 
 // record is what the emulator itself saw of one request.
@@ -41,12 +41,12 @@
 	dispatchedAt time.Duration
 	firstTokenAt time.Duration
 	answeredAt   time.Duration
-	refusedAt    time.Duration
+	rejectedAt   time.Duration
 	reason       structs.Reason
 	// dispatches counts submissions at engines, as the engines saw them.
 	dispatches int
 	dispatched bool
-	refused    bool
+	rejected   bool
 	answered   bool
 	abandoned  bool
 }
@@ -76,8 +76,8 @@
 }
 
 // world is one run.
-type world struct {
-	loop
+type simulation struct {
+	eventLoop
 	deployment *workload.Deployment
 	conditions Conditions
 	random     *rand.Rand
@@ -89,8 +89,8 @@
 	jobs       map[string]*record
 }
 
-func newWorld(deployment *workload.Deployment, conditions Conditions, duration time.Duration, seed uint64) *world {
-	w := &world{
+func newSimulation(deployment *workload.Deployment, conditions Conditions, duration time.Duration, seed uint64) *simulation {
+	s := &simulation{
 		deployment: deployment, conditions: conditions, duration: duration,
 		random: rand.New(rand.NewPCG(seed, 2)),
 		byID:   map[structs.ReplicaID]*replica{}, jobs: map[string]*record{},
@@ -99,172 +99,172 @@
 		blocks := enginesim.NewZoneBlocks()
 		var replicas []*replica
 		for index, spec := range specs {
-			replicas = append(replicas, w.newReplica(zone, index, spec, blocks))
+			replicas = append(replicas, s.newReplica(zone, index, spec, blocks))
 		}
-		w.zones = append(w.zones, replicas)
+		s.zones = append(s.zones, replicas)
 	}
-	return w
+	return s
 }
 
-func (w *world) newReplica(zone, index int, spec enginesim.Spec, blocks *enginesim.ZoneBlocks) *replica {
+func (s *simulation) newReplica(zone, index int, spec enginesim.Spec, blocks *enginesim.ZoneBlocks) *replica {
 	r := &replica{
 		Replica: structs.Replica{
-			ID:      structs.ReplicaID(fmt.Sprintf("%s-%d", w.deployment.Zones[zone], index)),
-			Service: w.deployment.Service, Zone: w.deployment.Zones[zone], Kind: structs.KindEngine, HardwareGeneration: spec.Generation,
+			ID:      structs.ReplicaID(fmt.Sprintf("%s-%d", s.deployment.Zones[zone], index)),
+			Service: s.deployment.Service, Zone: s.deployment.Zones[zone], Kind: structs.KindEngine, HardwareGeneration: spec.Generation,
 		},
 		engine: enginesim.New(spec, blocks), zone: zone,
 	}
-	r.step = func() { w.endStep(r) }
-	w.byID[r.ID] = r
+	r.step = func() { s.endStep(r) }
+	s.byID[r.ID] = r
 	return r
 }
 
 // run plays the arrivals and lets the requests that are under way end.
-func (w *world) run(arrivals []workload.Arrival) {
-	w.records = make([]record, len(arrivals))
+func (s *simulation) run(arrivals []workload.Arrival) {
+	s.records = make([]record, len(arrivals))
 	for i := range arrivals {
-		r := &w.records[i]
+		r := &s.records[i]
 		r.arrival = &arrivals[i]
-		w.after(arrivals[i].At, func() { w.arrive(r) })
+		s.after(arrivals[i].At, func() { s.arrive(r) })
 	}
-	w.startReports()
-	w.startSlowdown()
-	w.runUntil(w.duration + w.longestDeadline())
+	s.startReports()
+	s.startSlowdown()
+	s.runUntil(s.duration + s.settleTime())
 }
 
-func (w *world) longestDeadline() time.Duration {
+func (s *simulation) settleTime() time.Duration {
 	longest := time.Duration(0)
-	for _, kind := range w.deployment.Kinds {
+	for _, kind := range s.deployment.Kinds {
 		longest = max(longest, kind.Deadline)
 	}
 	return longest + time.Second
 }
 
-func (w *world) kind(r *record) *workload.Kind { return &w.deployment.Kinds[r.arrival.Kind] }
+func (s *simulation) kind(r *record) *workload.Kind { return &s.deployment.Kinds[r.arrival.Kind] }
 
-func (w *world) node(r *record) node { return w.nodes[r.arrival.Zone][r.arrival.Node] }
+func (s *simulation) node(r *record) node { return s.nodes[r.arrival.Zone][r.arrival.Node] }
 
-func (w *world) arrive(r *record) {
-	r.admittedAt = w.now
-	w.after(w.kind(r).Deadline, func() { w.expire(r) })
-	w.node(r).arrive(r)
+func (s *simulation) arrive(r *record) {
+	r.admittedAt = s.now
+	s.after(s.kind(r).Deadline, func() { s.expire(r) })
+	s.node(r).arrive(r)
 }
 
 // expire is the caller's hanging up; the node cancels at the engine.
-func (w *world) expire(r *record) {
-	if r.answered || r.refused {
+func (s *simulation) expire(r *record) {
+	if r.answered || r.rejected {
 		return
 	}
 	r.abandoned = true
-	w.node(r).abandon(r)
+	s.node(r).abandon(r)
 	if r.dispatched {
-		w.after(w.deployment.WithinZone, func() { r.replica.engine.Cancel(r.arrival.ID) })
+		s.after(s.deployment.WithinZone, func() { r.replica.engine.Cancel(r.arrival.ID) })
 	}
 }
 
 // dispatch sends the request to the replica.
-func (w *world) dispatch(r *record, target *replica) {
+func (s *simulation) dispatch(r *record, target *replica) {
 	r.dispatched = true
-	r.dispatchedAt = w.now
+	r.dispatchedAt = s.now
 	r.replica = target
 	r.job = enginesim.Job{
-		ID: r.arrival.ID, Rank: w.kind(r).Rank,
+		ID: r.arrival.ID, Rank: s.kind(r).Rank,
 		PromptTokens: r.arrival.PromptTokens, OutputTokens: r.arrival.OutputTokens, Chain: r.arrival.Chain,
 	}
-	w.after(w.deployment.WithinZone, func() {
+	s.after(s.deployment.WithinZone, func() {
 		r.dispatches++
-		w.jobs[r.arrival.ID] = r
+		s.jobs[r.arrival.ID] = r
 		if !r.abandoned && target.engine.Submit(&r.job) {
-			w.beginStep(target)
+			s.beginStep(target)
 		}
 	})
 }
 
 // refuse ends the request as not run.
-func (w *world) refuse(r *record, reason structs.Reason) {
-	r.refused = true
-	r.refusedAt = w.now
+func (s *simulation) reject(r *record, reason structs.Reason) {
+	r.rejected = true
+	r.rejectedAt = s.now
 	r.reason = reason
 }
 
-func (w *world) beginStep(r *replica) {
-	if duration, busy := r.engine.Begin(); busy {
-		w.after(duration, r.step)
+func (s *simulation) beginStep(r *replica) {
+	if duration, busy := r.engine.BeginStep(); busy {
+		s.after(duration, r.step)
 	}
 }
 
-func (w *world) endStep(r *replica) {
-	r.progress = r.engine.End(r.progress[:0])
+func (s *simulation) endStep(r *replica) {
+	r.progress = r.engine.EndStep(r.progress[:0])
 	for _, entry := range r.progress {
 		if entry.First || entry.Done {
-			w.tell(w.jobs[entry.Job.ID], entry.First, entry.Done)
+			s.sendProgress(s.jobs[entry.Job.ID], entry.First, entry.Done)
 		}
 	}
-	w.beginStep(r)
+	s.beginStep(r)
 }
 
 // tell carries first and last tokens back to the node.
-func (w *world) tell(r *record, first, done bool) {
-	w.after(w.deployment.WithinZone, func() {
+func (s *simulation) sendProgress(r *record, first, done bool) {
+	s.after(s.deployment.WithinZone, func() {
 		if first && r.firstTokenAt == 0 {
-			r.firstTokenAt = w.now
-			w.node(r).firstToken(r)
+			r.firstTokenAt = s.now
+			s.node(r).firstToken(r)
 		}
 		if done && !r.abandoned {
 			r.answered = true
-			r.answeredAt = w.now
-			w.node(r).done(r)
+			r.answeredAt = s.now
+			s.node(r).done(r)
 		}
 	})
 }
 
 // startReports delivers load reports and cache events late, and loses some.
-func (w *world) startReports() {
-	end := w.duration + w.longestDeadline()
-	for zone, replicas := range w.zones {
+func (s *simulation) startReports() {
+	end := s.duration + s.settleTime()
+	for zone, replicas := range s.zones {
 		for _, r := range replicas {
-			w.every(w.conditions.PollInterval, end, func() { w.sendReport(zone, r) })
-			w.every(w.conditions.EventInterval, end, func() { w.sendEvents(zone, r) })
+			s.every(s.conditions.PollInterval, end, func() { s.sendReport(zone, r) })
+			s.every(s.conditions.EventInterval, end, func() { s.sendEvents(zone, r) })
 		}
 	}
 }
 
-func (w *world) reportOf(r *replica) structs.LoadReport {
+func (s *simulation) reportOf(r *replica) structs.LoadReport {
 	report := r.engine.Report()
 	report.Replica = r.ID
-	report.Models = []string{w.deployment.Model}
+	report.Models = []string{s.deployment.Model}
 	report.Role = structs.RoleBoth
 	return report
 }
 
-func (w *world) sendReport(zone int, r *replica) {
-	report := w.reportOf(r)
+func (s *simulation) sendReport(zone int, r *replica) {
+	report := s.reportOf(r)
 	r.sequence++
 	report.Sequence = r.sequence
-	spread := w.conditions.LagMax - w.conditions.LagMin
-	report.Age = w.conditions.LagMin + time.Duration(w.random.Int64N(int64(spread)+1))
-	w.after(report.Age, func() {
-		for _, n := range w.nodes[zone] {
+	spread := s.conditions.MaxLag - s.conditions.MinLag
+	report.Age = s.conditions.MinLag + time.Duration(s.random.Int64N(int64(spread)+1))
+	s.after(report.Age, func() {
+		for _, n := range s.nodes[zone] {
 			n.report(report)
 		}
 	})
 }
 
-func (w *world) sendEvents(zone int, r *replica) {
+func (s *simulation) sendEvents(zone int, r *replica) {
 	events := r.engine.CacheEvents()
-	if len(events) == 0 || w.random.Float64() < w.conditions.EventLoss {
+	if len(events) == 0 || s.random.Float64() < s.conditions.EventLossShare {
 		return
 	}
 	// As in the daemon, only the node that polls the replica gets its events.
-	poller := w.nodes[zone][rendezvous.Key(string(r.ID))%uint64(len(w.nodes[zone]))]
-	w.after(w.conditions.EventLag, func() { poller.cacheEvents(r.ID, events) })
+	poller := s.nodes[zone][rendezvous.Key(string(r.ID))%uint64(len(s.nodes[zone]))]
+	s.after(s.conditions.EventLag, func() { poller.cacheEvents(r.ID, events) })
 }
 
-func (w *world) startSlowdown() {
-	if w.conditions.SlowFactor <= 1 {
+func (s *simulation) startSlowdown() {
+	if s.conditions.SlowdownFactor <= 1 {
 		return
 	}
-	slow := w.zones[0][0].engine
-	w.after(w.duration/2, func() { slow.Slowdown = w.conditions.SlowFactor })
-	w.after(w.duration*3/4, func() { slow.Slowdown = 1 })
+	slow := s.zones[0][0].engine
+	s.after(s.duration/2, func() { slow.Slowdown = s.conditions.SlowdownFactor })
+	s.after(s.duration*3/4, func() { slow.Slowdown = 1 })
 }
--- a/lab/emulator/thornwalk.go
+++ b/lab/emulator/thornwalk.go
@@ -17,100 +17,100 @@
 	// tickInterval is the time between looks at deadlines and leases.
 	tickInterval = 20 * time.Millisecond
 	// demandInterval is the least time between repeated demands for a floor.
-	demandInterval = 100 * time.Millisecond
+	minDemandInterval = 100 * time.Millisecond
 )
 
 // thornwalkNode drives the daemon's scheduler and shed floor.
 type thornwalkNode struct {
-	world     *world
-	zone      int
-	name      string
-	peers     map[string]*thornwalkNode
-	members   []string
-	scheduler *scheduler.Scheduler
-	owner     *shedding.Owner
-	member    *shedding.Member
-	byID      map[string]*record
-	demanded  map[scheduler.Demand]time.Duration
+	simulation  *simulation
+	zone        int
+	name        string
+	peers       map[string]*thornwalkNode
+	members     []string
+	scheduler   *scheduler.Scheduler
+	owner       *shedding.Owner
+	member      *shedding.Member
+	byID        map[string]*record
+	lastDemands map[scheduler.Demand]time.Duration
 	// fresh makes the node see the present load of every replica; for the oracle.
-	fresh bool
+	seesCurrentLoad bool
 }
 
-func newThornwalkNode(w *world, zone, index int, options scheduler.Options, random *rand.Rand) *thornwalkNode {
-	lowest := w.deployment.LowestRank()
-	name := fmt.Sprintf("%s-node-%d", w.deployment.Zones[zone], index)
+func newThornwalkNode(s *simulation, zone, index int, options scheduler.Options, random *rand.Rand) *thornwalkNode {
+	lowest := s.deployment.LowestRank()
+	name := fmt.Sprintf("%s-node-%d", s.deployment.Zones[zone], index)
 	n := &thornwalkNode{
-		world: w, zone: zone, name: name,
+		simulation: s, zone: zone, name: name,
 		scheduler: scheduler.New(options, random),
 		owner:     shedding.NewOwner(name, lowest, options.FloorDemandTTL),
 		member:    shedding.NewMember(name, lowest),
-		byID:      map[string]*record{}, demanded: map[scheduler.Demand]time.Duration{},
+		byID:      map[string]*record{}, lastDemands: map[scheduler.Demand]time.Duration{},
 	}
-	n.scheduler.SetLiveNodes(w.deployment.NodesPerZone[zone])
-	for _, r := range w.zones[zone] {
+	n.scheduler.SetLiveNodes(s.deployment.NodesPerZone[zone])
+	for _, r := range s.zones[zone] {
 		n.scheduler.View().Upsert(r.Replica)
 	}
-	w.every(tickInterval, w.duration+w.longestDeadline(), n.tick)
+	s.every(tickInterval, s.duration+s.settleTime(), n.tick)
 	return n
 }
 
 // join tells the node its peers, itself included.
-func (n *thornwalkNode) join(peers map[string]*thornwalkNode, members []string) {
+func (n *thornwalkNode) setPeers(peers map[string]*thornwalkNode, members []string) {
 	n.peers, n.members = peers, members
 }
 
 func (n *thornwalkNode) arrive(r *record) {
 	n.byID[r.arrival.ID] = r
-	plan, refused := n.scheduler.Submit(n.world.now, n.request(r))
+	plan, refused := n.scheduler.Submit(n.simulation.now, n.request(r))
 	if refused {
-		n.carryOut(plan)
+		n.execute(plan)
 	}
-	n.pump()
+	n.schedule()
 }
 
 func (n *thornwalkNode) request(r *record) *structs.Request {
-	kind := n.world.kind(r)
+	kind := n.simulation.kind(r)
 	return &structs.Request{
 		ID: r.arrival.ID, Tenant: fmt.Sprintf("tenant-%d", r.arrival.Tenant), Route: kind.Name,
-		Service: n.world.deployment.Service, Model: n.world.deployment.Model,
-		Tier: kind.Tier, Rank: kind.Rank, Weight: n.world.deployment.TenantShares[r.arrival.Tenant],
-		PromptTokens: r.arrival.PromptTokens, MaxTokens: int(workload.LongestOutput * float64(kind.Output)), Prefix: r.arrival.Chain,
-		Arrived: n.world.now, Deadline: n.world.now + kind.Deadline, Repeatable: kind.Repeatable,
+		Service: n.simulation.deployment.Service, Model: n.simulation.deployment.Model,
+		Tier: kind.Tier, Rank: kind.Rank, Weight: n.simulation.deployment.TenantShares[r.arrival.Tenant],
+		PromptTokens: r.arrival.PromptTokens, MaxTokens: int(workload.MaxOutputFactor * float64(kind.Output)), Prefix: r.arrival.Chain,
+		Arrived: n.simulation.now, Deadline: n.simulation.now + kind.Deadline, Repeatable: kind.Repeatable,
 	}
 }
 
-func (n *thornwalkNode) pump() {
-	if n.fresh && n.scheduler.Waiting() > 0 {
-		for _, r := range n.world.zones[n.zone] {
-			n.scheduler.View().Observe(n.world.now, n.world.reportOf(r))
+func (n *thornwalkNode) schedule() {
+	if n.seesCurrentLoad && n.scheduler.Waiting() > 0 {
+		for _, r := range n.simulation.zones[n.zone] {
+			n.scheduler.View().Observe(n.simulation.now, n.simulation.reportOf(r))
 		}
 	}
-	for _, plan := range n.scheduler.Schedule(n.world.now) {
-		n.carryOut(plan)
+	for _, plan := range n.scheduler.Schedule(n.simulation.now) {
+		n.execute(plan)
 	}
 	n.sendDemands()
 }
 
-func (n *thornwalkNode) carryOut(plan structs.Plan) {
+func (n *thornwalkNode) execute(plan structs.Plan) {
 	r := n.byID[plan.Request.ID]
 	if plan.Verdict == structs.VerdictDispatch {
-		n.world.dispatch(r, n.world.byID[plan.Replica.ID])
-		n.tellSent(plan.Replica.ID, r.arrival.Chain)
+		n.simulation.dispatch(r, n.simulation.byID[plan.Replica.ID])
+		n.announceSent(plan.Replica.ID, r.arrival.Chain)
 		return
 	}
-	n.world.refuse(r, plan.Reason)
+	n.simulation.reject(r, plan.Reason)
 }
 
 // newsDelay is the time in which heartbeats carry news to the other nodes.
-const newsDelay = 300 * time.Millisecond
+const announceDelay = 300 * time.Millisecond
 
 // tellSent tells the other nodes the end of the prefix that a replica was sent.
-func (n *thornwalkNode) tellSent(id structs.ReplicaID, chain []uint64) {
+func (n *thornwalkNode) announceSent(id structs.ReplicaID, chain []uint64) {
 	if len(chain) == 0 {
 		return
 	}
 	end := chain[len(chain)-1:]
-	n.world.after(newsDelay, func() {
+	n.simulation.after(announceDelay, func() {
 		for _, name := range n.members {
 			if name != n.name {
 				n.peers[name].scheduler.Prefixes().Sent(id, end)
@@ -120,10 +120,10 @@
 }
 
 func (n *thornwalkNode) report(report structs.LoadReport) {
-	if !n.fresh {
-		n.scheduler.View().Observe(n.world.now, report)
+	if !n.seesCurrentLoad {
+		n.scheduler.View().Observe(n.simulation.now, report)
 	}
-	n.pump()
+	n.schedule()
 }
 
 func (n *thornwalkNode) cacheEvents(id structs.ReplicaID, events []structs.CacheEvent) {
@@ -133,73 +133,73 @@
 }
 
 func (n *thornwalkNode) firstToken(r *record) {
-	n.scheduler.FirstToken(n.world.now, r.arrival.ID)
+	n.scheduler.FirstToken(n.simulation.now, r.arrival.ID)
 }
 
 func (n *thornwalkNode) done(r *record) {
-	n.scheduler.Finish(n.world.now, r.arrival.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: r.arrival.OutputTokens})
-	n.pump()
+	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: r.arrival.OutputTokens})
+	n.schedule()
 }
 
 func (n *thornwalkNode) abandon(r *record) {
 	if n.scheduler.Cancel(r.arrival.ID) {
-		n.world.refuse(r, structs.ReasonExpired)
+		n.simulation.reject(r, structs.ReasonExpired)
 		return
 	}
-	n.scheduler.Finish(n.world.now, r.arrival.ID, reserve.Result{Connected: true})
-	n.pump()
+	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Connected: true})
+	n.schedule()
 }
 
 func (n *thornwalkNode) tick() {
-	for _, service := range n.member.Tick(n.world.now) {
+	for _, service := range n.member.Tick(n.simulation.now) {
 		n.applyFloor(service)
 	}
 	for _, service := range n.owner.Services() {
 		n.advanceFloor(service)
 	}
-	n.pump()
+	n.schedule()
 }
 
 // sendDemands carries demands to the owner of the floor.
 func (n *thornwalkNode) sendDemands() {
-	for _, demand := range n.scheduler.Demands(n.world.now) {
-		last, sent := n.demanded[demand]
-		if sent && n.world.now-last < demandInterval {
+	for _, demand := range n.scheduler.Demands(n.simulation.now) {
+		last, sent := n.lastDemands[demand]
+		if sent && n.simulation.now-last < minDemandInterval {
 			continue
 		}
-		n.demanded[demand] = n.world.now
+		n.lastDemands[demand] = n.simulation.now
 		owner := n.peers[rendezvous.Top(n.members, rendezvous.Key(demand.Service), 1)[0]]
 		message := shedding.Demand{Service: demand.Service, Rank: demand.Rank, From: n.name}
-		n.world.after(n.world.deployment.WithinZone, func() {
-			owner.owner.Demand(n.world.now, message)
+		n.simulation.after(n.simulation.deployment.WithinZone, func() {
+			owner.owner.Demand(n.simulation.now, message)
 			owner.advanceFloor(message.Service)
 		})
 	}
 }
 
 func (n *thornwalkNode) advanceFloor(service string) {
-	for _, outgoing := range n.owner.Tick(n.world.now, service, n.members) {
+	for _, outgoing := range n.owner.Tick(n.simulation.now, service, n.members) {
 		peer := n.peers[outgoing.To]
-		n.world.after(n.world.deployment.WithinZone, func() { n.deliver(peer, outgoing.Update) })
+		n.simulation.after(n.simulation.deployment.WithinZone, func() { n.deliverFloor(peer, outgoing.Update) })
 	}
 }
 
 // deliver applies a floor at a peer and carries the acknowledgement back.
-func (n *thornwalkNode) deliver(peer *thornwalkNode, set shedding.FloorUpdate) {
-	ack := peer.member.Apply(n.world.now, set)
+func (n *thornwalkNode) deliverFloor(peer *thornwalkNode, set shedding.FloorUpdate) {
+	ack := peer.member.Apply(n.simulation.now, set)
 	peer.applyFloor(set.Service)
-	n.world.after(n.world.deployment.WithinZone, func() {
+	n.simulation.after(n.simulation.deployment.WithinZone, func() {
 		n.owner.Ack(ack)
 		n.advanceFloor(ack.Service)
 	})
 }
 
 func (n *thornwalkNode) applyFloor(service string) {
-	floor := n.member.Floor(n.world.now, service)
+	floor := n.member.Floor(n.simulation.now, service)
 	if floor == n.scheduler.Floor(service) {
 		return
 	}
 	for _, plan := range n.scheduler.SetFloor(service, floor) {
-		n.carryOut(plan)
+		n.execute(plan)
 	}
 }
--- a/lab/enginesim/cache.go
+++ b/lab/enginesim/cache.go
@@ -8,15 +8,14 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// ZoneBlocks counts on how many engines of a zone each block is cached, so
-// that prefill which could have been avoided can be measured. It is safe for
-// concurrent use: the engines of a zone run at the same time.
+// ZoneBlocks counts on how many engines of a zone each block is cached. It shows which
+// prefill another engine of the zone could have avoided. It is safe for concurrent use.
 type ZoneBlocks struct {
 	mutex  sync.Mutex
 	counts map[uint64]int
 }
 
-// NewZoneBlocks returns an empty count.
+// NewZoneBlocks returns a ZoneBlocks without blocks.
 func NewZoneBlocks() *ZoneBlocks { return &ZoneBlocks{counts: map[uint64]int{}} }
 
 func (z *ZoneBlocks) add(block uint64) {
@@ -33,17 +32,18 @@
 	}
 }
 
-// Holds returns whether any engine of the zone caches the block.
-func (z *ZoneBlocks) Holds(block uint64) bool {
+// IsCached reports whether any engine of the zone caches the block.
+func (z *ZoneBlocks) IsCached(block uint64) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	return z.counts[block] > 0
 }
 
-// maximumEvents bounds the events kept for a reader that does not come.
-const maximumEvents = 4096
+// maxEvents is the maximum number of unread events. When it is reached, the older half
+// is dropped.
+const maxEvents = 4096
 
-// blockCache is the least-recently-used prefix cache of an engine.
+// blockCache is the prefix cache of an engine with least-recently-used eviction.
 type blockCache struct {
 	blocks   *simplelru.LRU[uint64, struct{}]
 	zone     *ZoneBlocks
@@ -53,7 +53,7 @@
 
 func newBlockCache(capacity int, zone *ZoneBlocks) *blockCache {
 	cache := &blockCache{zone: zone}
-	blocks, err := simplelru.NewLRU(max(capacity, 1), func(block uint64, _ struct{}) { cache.evicted(block) })
+	blocks, err := simplelru.NewLRU(max(capacity, 1), func(block uint64, _ struct{}) { cache.onEvict(block) })
 	if err != nil {
 		panic(err) // unreachable: the size is positive
 	}
@@ -63,54 +63,57 @@
 
 func (c *blockCache) contains(block uint64) bool { return c.blocks.Contains(block) }
 
-// insert adds the blocks of a chain, the last first, so that the ends of
-// prefixes are evicted before their beginnings.
+// insert adds the blocks of a chain in reverse order, so that the last blocks of a
+// prefix are evicted before the first.
 func (c *blockCache) insert(chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		if _, known := c.blocks.Get(chain[i]); known {
+		if _, cached := c.blocks.Get(chain[i]); cached {
 			continue
 		}
 		c.blocks.Add(chain[i], struct{}{})
 		if c.zone != nil {
 			c.zone.add(chain[i])
 		}
-		c.publish(chain[i], true)
+		c.recordEvent(chain[i], true)
 	}
 }
 
-func (c *blockCache) evicted(block uint64) {
+func (c *blockCache) onEvict(block uint64) {
 	if c.zone != nil {
 		c.zone.remove(block)
 	}
-	c.publish(block, false)
+	c.recordEvent(block, false)
 }
 
-func (c *blockCache) publish(block uint64, stored bool) {
+func (c *blockCache) recordEvent(block uint64, stored bool) {
 	c.sequence++
-	if len(c.events) >= maximumEvents {
-		c.events = c.events[maximumEvents/2:]
+	if len(c.events) >= maxEvents {
+		c.events = c.events[maxEvents/2:]
 	}
 	c.events = append(c.events, structs.CacheEvent{Sequence: c.sequence, Block: block, Stored: stored})
 }
 
+// takeEvents returns the unread events and clears them.
 func (c *blockCache) takeEvents() []structs.CacheEvent {
 	events := c.events
 	c.events = nil
 	return events
 }
 
+// prefixTokens returns the number of tokens in the cached prefix of the chain and marks
+// its blocks as used.
 func (c *blockCache) prefixTokens(chain []uint64) int {
 	for i, block := range chain {
-		if _, known := c.blocks.Get(block); !known {
+		if _, cached := c.blocks.Get(block); !cached {
 			return i * structs.BlockTokens
 		}
 	}
 	return len(chain) * structs.BlockTokens
 }
 
-// recomputed returns how many of the tokens computed from start on lie in
+// recomputedTokens returns how many of the given number of tokens from start lie in
 // blocks that some engine of the zone caches.
-func (c *blockCache) recomputed(chain []uint64, start, tokens int) int {
+func (c *blockCache) recomputedTokens(chain []uint64, start, tokens int) int {
 	if c.zone == nil {
 		return 0
 	}
@@ -118,7 +121,7 @@
 	for position := start; position < start+tokens; {
 		index := position / structs.BlockTokens
 		end := min((index+1)*structs.BlockTokens, start+tokens)
-		if index < len(chain) && c.zone.Holds(chain[index]) {
+		if index < len(chain) && c.zone.IsCached(chain[index]) {
 			count += end - position
 		}
 		position = end
--- a/lab/enginesim/cache_test.go
+++ b/lab/enginesim/cache_test.go
@@ -7,9 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Seen once in the demo beside load: the engines of a zone, which run at the same
-// time, count their blocks together, and the process ended by concurrent use of a map.
-func TestEnginesOfAZoneCountBlocksAtTheSameTime(t *testing.T) {
+// Guards against a data race between the engines of a zone, which share one ZoneBlocks.
+func TestZoneBlocksIsSafeForConcurrentUse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	zone := NewZoneBlocks()
 	var group sync.WaitGroup
@@ -19,16 +18,16 @@
 			for i := range 20000 {
 				block := uint64((i + engine) % 64)
 				cache.insert([]uint64{block})
-				cache.recomputed([]uint64{block}, 0, 1)
+				cache.recomputedTokens([]uint64{block}, 0, 1)
 			}
 		})
 	}
 	group.Wait()
-	held := 0
+	cachedBlocks := 0
 	for block := range uint64(64) {
-		if zone.Holds(block) {
-			held++
+		if zone.IsCached(block) {
+			cachedBlocks++
 		}
 	}
-	g.Expect(held).To(gomega.And(gomega.BeNumerically(">=", 8), gomega.BeNumerically("<=", 32)))
+	g.Expect(cachedBlocks).To(gomega.And(gomega.BeNumerically(">=", 8), gomega.BeNumerically("<=", 32)))
 }
--- a/lab/enginesim/engine.go
+++ b/lab/enginesim/engine.go
@@ -1,8 +1,7 @@
-// Package enginesim models a model engine that batches continuously: it
-// prefills prompts in chunks beside the decoding of running sequences, keeps a
-// limited cache of prompt prefixes, and takes waiting requests by priority.
-// The model is passive: the driver calls Begin and End of each step, under
-// real or virtual time. It is not safe for concurrent use.
+// Package enginesim simulates a model engine with continuous batching: it prefills
+// prompts in chunks while it decodes running sequences, keeps a limited prefix cache
+// and admits waiting requests by rank. The caller executes the steps with BeginStep and
+// EndStep, under real or virtual time. It does not simulate the content of answers.
 package enginesim
 
 import (
@@ -15,38 +14,41 @@
 // Spec describes the hardware and limits of an engine.
 type Spec struct {
 	Generation string
-	// Accelerators is the number of accelerators the replica spans.
+	// Accelerators is the number of accelerators that the replica spans.
 	Accelerators int
-	// Slots bounds the sequences in the batch.
+	// Slots is the maximum number of sequences in the batch.
 	Slots int
-	// BaseStep is the time of a step with an empty batch; PerSequence and
-	// PerPrefillToken are added for each decoding sequence and prompt token.
+	// BaseStep is the duration of a step with an empty batch. PerSequence is added for
+	// each decoding sequence and PerPrefillToken for each prompt token.
 	BaseStep        time.Duration
 	PerSequence     time.Duration
 	PerPrefillToken time.Duration
-	// ChunkTokens bounds the prompt tokens of one step.
+	// ChunkTokens is the maximum number of prompt tokens in a step.
 	ChunkTokens int
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache.
 	CacheBlocks int
-	// KVTokens bounds prompt and answer tokens of the batch.
+	// KVTokens is the maximum number of prompt and answer tokens in the batch. Zero
+	// means no limit.
 	KVTokens int
 }
 
-// Job is one request at an engine.
+// Job is a request at an engine. The caller sets the fields of the first group; the
+// engine maintains the others.
 type Job struct {
 	ID           string
 	Rank         structs.Rank
 	PromptTokens int
-	// OutputTokens is the length that the answer will have.
+	// OutputTokens is the length of the answer.
 	OutputTokens int
 	Chain        []uint64
 
-	// Cached is the part of the prompt found in the cache, in tokens.
+	// Cached is the number of prompt tokens that were found in the cache.
 	Cached int
-	// Prefilled counts prompt tokens computed; Emitted counts answer tokens.
+	// Prefilled counts the prompt tokens that were computed, Emitted the answer tokens.
 	Prefilled int
 	Emitted   int
-	// Recomputed counts prompt tokens computed though cached in the zone.
+	// Recomputed counts the computed prompt tokens that an engine of the zone had
+	// cached.
 	Recomputed int
 
 	cancelled bool
@@ -54,28 +56,28 @@
 	sequence  uint64
 }
 
-// done returns whether the prompt has been prefilled.
-func (j *Job) prefilled() bool { return j.Cached+j.Prefilled >= j.PromptTokens }
+// isPrefilled reports whether the whole prompt is cached or computed.
+func (j *Job) isPrefilled() bool { return j.Cached+j.Prefilled >= j.PromptTokens }
 
-// Engine is the state of one replica.
+// Engine is the state of a simulated engine. It is not safe for concurrent use.
 type Engine struct {
 	Spec Spec
-	// Slowdown multiplies the time of each step; one is normal.
+	// Slowdown is the factor by which the duration of each step is multiplied.
 	Slowdown float64
 
-	waiting  waitingHeap
-	batch    []*Job
-	jobs     map[string]*Job
-	cache    *blockCache
-	kvUsed   int
-	sequence uint64
-	inStep   bool
-	prefills []prefillShare
-	stepTime time.Duration
-	prefill  float64
+	waiting      waitingHeap
+	batch        []*Job
+	jobs         map[string]*Job
+	cache        *blockCache
+	kvTokensUsed int
+	sequence     uint64
+	inStep       bool
+	prefills     []prefillShare
+	stepTime     time.Duration
+	prefillRate  float64
 }
 
-// prefillShare is the prompt tokens that a step computes for one job.
+// prefillShare is the number of prompt tokens that a step computes for a job.
 type prefillShare struct {
 	job    *Job
 	tokens int
@@ -85,9 +87,9 @@
 func New(spec Spec, zone *ZoneBlocks) *Engine {
 	return &Engine{
 		Spec: spec, Slowdown: 1, jobs: map[string]*Job{},
-		cache:    newBlockCache(spec.CacheBlocks, zone),
-		stepTime: spec.BaseStep,
-		prefill:  initialPrefillRate(spec),
+		cache:       newBlockCache(spec.CacheBlocks, zone),
+		stepTime:    spec.BaseStep,
+		prefillRate: initialPrefillRate(spec),
 	}
 }
 
@@ -96,9 +98,9 @@
 	return float64(spec.ChunkTokens) / step.Seconds()
 }
 
-// Submit queues the job and returns false if its id is known already.
+// Submit queues the job. It returns false if the engine has a job with the same id.
 func (e *Engine) Submit(job *Job) bool {
-	if _, known := e.jobs[job.ID]; known {
+	if _, exists := e.jobs[job.ID]; exists {
 		return false
 	}
 	e.sequence++
@@ -108,30 +110,30 @@
 	return true
 }
 
-// Cancel ends the job. It returns the job, or nil if it is not at the engine.
+// Cancel removes the job and returns it, or nil if the id is unknown.
 func (e *Engine) Cancel(id string) *Job {
-	job, known := e.jobs[id]
-	if !known {
+	job, found := e.jobs[id]
+	if !found {
 		return nil
 	}
 	delete(e.jobs, id)
 	job.cancelled = true
 	if job.running {
-		e.leaveBatch(job)
+		e.removeFromBatch(job)
 	}
 	return job
 }
 
-// Running and Waiting count the jobs in the batch and before it.
+// Running returns the number of jobs in the batch.
 func (e *Engine) Running() int { return len(e.batch) }
 
-// Waiting counts the jobs that are not in the batch.
+// Waiting returns the number of jobs that are not in the batch.
 func (e *Engine) Waiting() int { return len(e.jobs) - len(e.batch) }
 
-// Idle returns whether there is nothing to do.
+// Idle reports whether the engine has no jobs.
 func (e *Engine) Idle() bool { return len(e.jobs) == 0 }
 
-// WaitingTokens counts the prompt tokens that are not prefilled yet.
+// WaitingTokens returns the number of prompt tokens that remain to be computed.
 func (e *Engine) WaitingTokens() int {
 	tokens := 0
 	for _, job := range e.jobs {
@@ -140,33 +142,33 @@
 	return tokens
 }
 
-// Holds returns whether the block is in the prefix cache.
-func (e *Engine) Holds(block uint64) bool { return e.cache.contains(block) }
+// IsCached reports whether the block is in the prefix cache.
+func (e *Engine) IsCached(block uint64) bool { return e.cache.contains(block) }
 
-// CachedTokens returns the part of a prompt that the cache holds.
+// CachedTokens returns the number of tokens in the cached prefix of the chain.
 func (e *Engine) CachedTokens(chain []uint64) int { return e.cache.prefixTokens(chain) }
 
-// CacheEvents returns the events since the last call.
+// CacheEvents returns the cache events since the previous call.
 func (e *Engine) CacheEvents() []structs.CacheEvent { return e.cache.takeEvents() }
 
-// Import puts the blocks of another engine's exported cache into the cache.
+// Import adds blocks to the prefix cache.
 func (e *Engine) Import(chain []uint64) { e.cache.insert(chain) }
 
-// Report fills in the load part of a report.
+// Report returns a load report without the fields that identify the replica.
 func (e *Engine) Report() structs.LoadReport {
 	kvFree := 1.0
 	if e.Spec.KVTokens > 0 {
-		kvFree = 1 - float64(e.kvUsed)/float64(e.Spec.KVTokens)
+		kvFree = 1 - float64(e.kvTokensUsed)/float64(e.Spec.KVTokens)
 	}
 	return structs.LoadReport{
 		Running: e.Running(), Waiting: e.Waiting(), WaitingTokens: e.WaitingTokens(),
-		Slots: e.Spec.Slots, KVFree: kvFree, PrefillRate: e.prefill, StepTime: e.stepTime,
+		Slots: e.Spec.Slots, KVFree: kvFree, PrefillRate: e.prefillRate, StepTime: e.stepTime,
 	}
 }
 
-// Begin admits waiting jobs, composes the next step and returns its time. It
-// returns false if there is nothing to do or a step is under way.
-func (e *Engine) Begin() (time.Duration, bool) {
+// BeginStep admits waiting jobs, composes the next step and returns its duration. It
+// returns false if there are no jobs or a step is in progress.
+func (e *Engine) BeginStep() (time.Duration, bool) {
 	if e.inStep {
 		return 0, false
 	}
@@ -175,20 +177,20 @@
 		return 0, false
 	}
 	e.inStep = true
-	decoding, tokens := e.compose()
+	decoding, tokens := e.composeStep()
 	duration := e.Spec.BaseStep + time.Duration(decoding)*e.Spec.PerSequence + time.Duration(tokens)*e.Spec.PerPrefillToken
 	duration = time.Duration(float64(duration) * e.Slowdown)
-	e.observe(duration, tokens)
+	e.updateRates(duration, tokens)
 	return duration, true
 }
 
-// compose shares the chunk among the jobs that prefill, in batch order, and
-// returns the decoding sequences and the prompt tokens of the step.
-func (e *Engine) compose() (decoding, tokens int) {
+// composeStep assigns the chunk to jobs that need prefill, in the order of the batch.
+// It returns the number of decoding sequences and of prompt tokens in the step.
+func (e *Engine) composeStep() (decoding, tokens int) {
 	e.prefills = e.prefills[:0]
 	budget := e.Spec.ChunkTokens
 	for _, job := range e.batch {
-		if job.prefilled() {
+		if job.isPrefilled() {
 			decoding++
 			continue
 		}
@@ -203,32 +205,33 @@
 	return decoding, tokens
 }
 
-// observe averages the pace that reports tell.
-func (e *Engine) observe(duration time.Duration, tokens int) {
+// updateRates updates the moving averages of step time and prefill rate for reports.
+func (e *Engine) updateRates(duration time.Duration, tokens int) {
 	const gain = 0.1
 	e.stepTime += time.Duration(gain * float64(duration-e.stepTime))
 	if tokens > 0 {
-		full := float64(e.Spec.ChunkTokens) / (duration + time.Duration(float64(e.Spec.ChunkTokens-tokens)*float64(e.Spec.PerPrefillToken)*e.Slowdown)).Seconds()
-		e.prefill += gain * (full - e.prefill)
+		fullChunkRate := float64(e.Spec.ChunkTokens) / (duration + time.Duration(float64(e.Spec.ChunkTokens-tokens)*float64(e.Spec.PerPrefillToken)*e.Slowdown)).Seconds()
+		e.prefillRate += gain * (fullChunkRate - e.prefillRate)
 	}
 }
 
-// Progress is what a step did for one job.
+// Progress is the result of a step for a job that got a token.
 type Progress struct {
 	Job *Job
-	// First and Done mark the first and the last token.
+	// First and Done are true for the first and the last token of the answer.
 	First, Done bool
 }
 
-// End completes the step and appends the jobs that got a token to progress.
-func (e *Engine) End(progress []Progress) []Progress {
+// EndStep completes the step and appends an entry to progress for each job that got a
+// token.
+func (e *Engine) EndStep(progress []Progress) []Progress {
 	e.inStep = false
 	for _, share := range e.prefills {
-		e.endPrefill(share)
+		e.finishPrefill(share)
 	}
 	for index := 0; index < len(e.batch); {
 		job := e.batch[index]
-		if !job.prefilled() {
+		if !job.isPrefilled() {
 			index++
 			continue
 		}
@@ -237,7 +240,7 @@
 		progress = append(progress, entry)
 		if entry.Done {
 			delete(e.jobs, job.ID)
-			e.leaveBatch(job)
+			e.removeFromBatch(job)
 			continue
 		}
 		index++
@@ -245,17 +248,18 @@
 	return progress
 }
 
-func (e *Engine) endPrefill(share prefillShare) {
+func (e *Engine) finishPrefill(share prefillShare) {
 	if share.job.cancelled {
 		return
 	}
 	job := share.job
-	job.Recomputed += e.cache.recomputed(job.Chain, job.Cached+job.Prefilled, share.tokens)
+	job.Recomputed += e.cache.recomputedTokens(job.Chain, job.Cached+job.Prefilled, share.tokens)
 	job.Prefilled += share.tokens
 	e.cache.insert(job.Chain[:min(len(job.Chain), (job.Cached+job.Prefilled)/structs.BlockTokens)])
 }
 
-// admit moves waiting jobs into the batch while slots and memory last.
+// admit moves waiting jobs into the batch while slots and KV memory are available. An
+// empty batch admits a job of any size.
 func (e *Engine) admit() {
 	for len(e.batch) < e.Spec.Slots && len(e.waiting) > 0 {
 		job := e.waiting[0]
@@ -263,20 +267,20 @@
 			heap.Pop(&e.waiting)
 			continue
 		}
-		need := job.PromptTokens + job.OutputTokens
-		if e.Spec.KVTokens > 0 && e.kvUsed+need > e.Spec.KVTokens && len(e.batch) > 0 {
+		requiredTokens := job.PromptTokens + job.OutputTokens
+		if e.Spec.KVTokens > 0 && e.kvTokensUsed+requiredTokens > e.Spec.KVTokens && len(e.batch) > 0 {
 			return
 		}
 		heap.Pop(&e.waiting)
 		job.running = true
-		// The last token of a prompt is always computed, to get the first answer token.
+		// The first answer token requires that the last prompt token is computed.
 		job.Cached = min(e.cache.prefixTokens(job.Chain), job.PromptTokens-1)
-		e.kvUsed += need
+		e.kvTokensUsed += requiredTokens
 		e.batch = append(e.batch, job)
 	}
 }
 
-func (e *Engine) leaveBatch(job *Job) {
+func (e *Engine) removeFromBatch(job *Job) {
 	for index, other := range e.batch {
 		if other == job {
 			e.batch = append(e.batch[:index], e.batch[index+1:]...)
@@ -284,10 +288,10 @@
 		}
 	}
 	job.running = false
-	e.kvUsed -= job.PromptTokens + job.OutputTokens
+	e.kvTokensUsed -= job.PromptTokens + job.OutputTokens
 }
 
-// waitingHeap orders jobs by priority, then by arrival.
+// waitingHeap orders jobs by rank, then by arrival.
 type waitingHeap []*Job
 
 func (h waitingHeap) Len() int { return len(h) }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -74,12 +74,12 @@
 
 // fleet is a running fleet.
 type fleet struct {
-	options Options
-	cluster *cluster.Cluster
-	fabric  *memnet.Fabric
-	in, out atomic.Int64
-	sent    atomic.Int64
-	good    atomic.Int64
+	options        Options
+	cluster        *cluster.Cluster
+	fabric         *memnet.Fabric
+	in, out        atomic.Int64
+	sent           atomic.Int64
+	answeredInTime atomic.Int64
 }
 
 // Run starts the fleet, measures it and stops it.
@@ -95,15 +95,15 @@
 	time.Sleep(options.WarmUp)
 	result := Result{Nodes: options.Nodes, Replicas: options.Replicas, Zones: options.Zones, Tenants: options.Tenants, Rate: options.Rate}
 	f.measureSteady(ctx, &result)
-	if err := f.measureChange(ctx, &result); err != nil {
+	if err := f.measureSettingsChange(ctx, &result); err != nil {
 		return result, err
 	}
-	f.measureLoss(&result)
+	f.measureNodeLoss(&result)
 	return result, nil
 }
 
 // hollowEngine is an engine that is never asked to generate.
-var hollowEngine = enginesim.Spec{Generation: "g3", Accelerators: 4, Slots: 32, BaseStep: 6 * time.Millisecond, PerSequence: 80 * time.Microsecond, PerPrefillToken: 30 * time.Microsecond, ChunkTokens: 512, CacheBlocks: 16, KVTokens: 160000}
+var idleEngine = enginesim.Spec{Generation: "g3", Accelerators: 4, Slots: 32, BaseStep: 6 * time.Millisecond, PerSequence: 80 * time.Microsecond, PerPrefillToken: 30 * time.Microsecond, ChunkTokens: 512, CacheBlocks: 16, KVTokens: 160000}
 
 func (f *fleet) clusterOptions() cluster.Options {
 	zones := make([]string, f.options.Zones)
@@ -112,11 +112,11 @@
 	}
 	engines := make([]enginesim.Spec, max(1, f.options.Replicas/f.options.Zones))
 	for i := range engines {
-		engines[i] = hollowEngine
+		engines[i] = idleEngine
 	}
 	return cluster.Options{
 		Zones: zones, NodesPerZone: max(1, f.options.Nodes/f.options.Zones), EngineService: "llm", Model: "m", Engines: engines,
-		PlainService: "plain", PlainReplicas: 1, CallTime: time.Millisecond, Settings: f.settings(), MachineLag: 200 * time.Millisecond,
+		PlainService: "plain", PlainReplicas: 1, CallTime: time.Millisecond, Settings: f.newSettings(), MachineLag: 200 * time.Millisecond,
 		Host: f.fabric.Host, ListenAddress: ":0", Seed: 1, DrainGrace: time.Millisecond,
 		WrapNetwork: func(inner network.Network) network.Network {
 			return countingNetwork{Network: inner, in: &f.in, out: &f.out}
@@ -125,7 +125,7 @@
 }
 
 // settings is a tree with the given number of tenants, some of them limited.
-func (f *fleet) settings() *settings.Tree {
+func (f *fleet) newSettings() *settings.Tree {
 	branches := []settings.Branch{
 		{Path: "node", Settings: []settings.Setting{{Key: "poll_interval", Text: f.options.PollInterval.String()}, {Key: "heartbeat_interval", Text: f.options.Heartbeat.String()}}},
 		{Path: "tiers/first"}, {Path: "services/llm"}, {Path: "services/plain"},
@@ -150,7 +150,7 @@
 	cpuBefore, storeBefore := processTime(), f.cluster.Store.Calls()
 	inBefore, outBefore, peersBefore := f.in.Load(), f.out.Load(), f.peerBytes()
 	begun := time.Now()
-	f.load(ctx)
+	f.sendLoad(ctx)
 	seconds := time.Since(begun).Seconds()
 	nodes := float64(f.options.Nodes)
 	result.CPUShare = (processTime() - cpuBefore).Seconds() / seconds / nodes
@@ -171,7 +171,7 @@
 	if data, err := f.cluster.Document.Encode(); err == nil {
 		result.SettingsBytes = len(data)
 	}
-	result.Sent, result.Answered = f.sent.Load(), f.good.Load()
+	result.Sent, result.Answered = f.sent.Load(), f.answeredInTime.Load()
 }
 
 // processTime is the processor time of the process so far.
@@ -198,7 +198,7 @@
 }
 
 // load sends keyed requests at the rate for the duration.
-func (f *fleet) load(ctx context.Context) {
+func (f *fleet) sendLoad(ctx context.Context) {
 	if f.options.Rate <= 0 {
 		time.Sleep(f.options.Duration)
 		return
@@ -218,7 +218,7 @@
 		group.Go(func() {
 			f.sent.Add(1)
 			if o := caller.Send(ctx, submission); o.InTime() {
-				f.good.Add(1)
+				f.answeredInTime.Add(1)
 			}
 		})
 	}
@@ -226,9 +226,9 @@
 }
 
 // waitLimit bounds the waits of the measurements below.
-const waitLimit = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-func (f *fleet) measureChange(ctx context.Context, result *Result) error {
+func (f *fleet) measureSettingsChange(ctx context.Context, result *Result) error {
 	first := f.cluster.Node(f.cluster.Names()[0])
 	begun := time.Now()
 	record, err := first.Change(ctx, settingsync.Change{ID: uuid.NewString(), Author: "fleet", Base: first.Settings().Generation, Edits: []settingsync.Edit{
@@ -237,19 +237,19 @@
 	if err != nil {
 		return err
 	}
-	result.ChangeInForce = f.until(begun, func(n *node.Node) bool { return n.Settings().Generation >= record.Generation }, nil)
+	result.ChangeInForce = f.waitUntil(begun, func(n *node.Node) bool { return n.Settings().Generation >= record.Generation }, nil)
 	f.options.Progress(fmt.Sprintf("a change was in force on every node after %s", result.ChangeInForce))
 	return nil
 }
 
 // measureLoss kills every tenth node.
-func (f *fleet) measureLoss(result *Result) {
+func (f *fleet) measureNodeLoss(result *Result) {
 	dead := map[string]bool{}
 	killed := map[string]int{}
 	for index, name := range f.cluster.Names() {
 		if index%10 == 0 && f.options.Nodes > 1 {
 			dead[name] = true
-			killed[zoneOf(name)]++
+			killed[zoneOfNode(name)]++
 		}
 	}
 	result.Killed = len(dead)
@@ -258,20 +258,20 @@
 		group.Go(f.cluster.Node(name).Kill)
 	}
 	group.Wait()
-	result.ViewsAgree = f.until(time.Now(), func(n *node.Node) bool {
-		return n.LiveNodes() == f.cluster.Options.NodesPerZone-killed[zoneOf(n.Name())]
+	result.ViewsAgree = f.waitUntil(time.Now(), func(n *node.Node) bool {
+		return n.LiveNodes() == f.cluster.Options.NodesPerZone-killed[zoneOfNode(n.Name())]
 	}, dead)
 	f.options.Progress(fmt.Sprintf("%d nodes killed; all views were right after %s", len(dead), result.ViewsAgree))
 }
 
-func zoneOf(name string) string {
+func zoneOfNode(name string) string {
 	zone, _, _ := strings.Cut(name, "-")
 	return zone
 }
 
 // until returns the time until the condition holds on every node not excluded.
-func (f *fleet) until(begun time.Time, holds func(*node.Node) bool, excluded map[string]bool) time.Duration {
-	for time.Since(begun) < waitLimit {
+func (f *fleet) waitUntil(begun time.Time, holds func(*node.Node) bool, excluded map[string]bool) time.Duration {
+	for time.Since(begun) < waitTimeout {
 		all := true
 		for _, name := range f.cluster.Names() {
 			all = all && (excluded[name] || holds(f.cluster.Node(name)))
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -23,8 +23,8 @@
 
 // Limits of a run, whatever is asked for.
 const (
-	MaximumRequests = 100_000
-	MaximumDuration = 10 * time.Minute
+	MaxRequests = 100_000
+	MaxDuration = 10 * time.Minute
 )
 
 // Options describe a run.
@@ -68,9 +68,9 @@
 			return nil, err
 		}
 	}
-	options.Duration = min(options.Duration, MaximumDuration)
+	options.Duration = min(options.Duration, MaxDuration)
 	arrivals := workload.Generate(&options.Deployment, options.Load, options.Duration, options.Seed)
-	arrivals = arrivals[:min(len(arrivals), MaximumRequests)]
+	arrivals = arrivals[:min(len(arrivals), MaxRequests)]
 	caller := cluster.NewCaller(network.TCP{})
 	counts := map[string]*tierCount{}
 	var mutex sync.Mutex
@@ -81,16 +81,16 @@
 		if ctx.Err() != nil {
 			break
 		}
-		submission := submission(&options, &arrivals[i], i)
+		submission := newSubmission(&options, &arrivals[i], i)
 		group.Go(func() {
 			observation := caller.Send(ctx, submission)
 			mutex.Lock()
 			defer mutex.Unlock()
-			count(counts, &observation)
+			countObservation(counts, &observation)
 		})
 	}
 	group.Wait()
-	return rows(&options.Deployment, counts), nil
+	return tierRows(&options.Deployment, counts), nil
 }
 
 func checkLoopback(address string) error {
@@ -104,7 +104,7 @@
 
 // submission makes a request of an arrival. Prompts of one conversation begin
 // alike; lengths in tokens become lengths in bytes.
-func submission(options *Options, arrival *workload.Arrival, number int) *cluster.Submission {
+func newSubmission(options *Options, arrival *workload.Arrival, number int) *cluster.Submission {
 	kind := &options.Deployment.Kinds[arrival.Kind]
 	s := &cluster.Submission{
 		Marker: fmt.Sprintf("load-%d", number), Address: options.Addresses[number%len(options.Addresses)],
@@ -121,22 +121,22 @@
 const bytesPerToken = 4
 
 func prompt(kind *workload.Kind, arrival *workload.Arrival) string {
-	shared := fill("Rules of "+kind.Name+". ", kind.SharedTokens*bytesPerToken)
-	own := fill(fmt.Sprintf("Conversation %d goes on. ", arrival.Session), max(0, arrival.PromptTokens-kind.SharedTokens)*bytesPerToken)
+	shared := repeatToLength("Rules of "+kind.Name+". ", kind.SharedTokens*bytesPerToken)
+	own := repeatToLength(fmt.Sprintf("Conversation %d goes on. ", arrival.Session), max(0, arrival.PromptTokens-kind.SharedTokens)*bytesPerToken)
 	return shared + own
 }
 
-func fill(text string, length int) string {
+func repeatToLength(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
 // longestAnswer bounds the histogram, in microseconds.
-const longestAnswer = int64(time.Hour / time.Microsecond)
+const maxAnswerMicros = int64(time.Hour / time.Microsecond)
 
-func count(counts map[string]*tierCount, o *checker.Observation) {
+func countObservation(counts map[string]*tierCount, o *checker.Observation) {
 	entry, known := counts[o.Tier]
 	if !known {
-		entry = &tierCount{row: Row{Tier: o.Tier}, histogram: hdrhistogram.New(1, longestAnswer, 3)}
+		entry = &tierCount{row: Row{Tier: o.Tier}, histogram: hdrhistogram.New(1, maxAnswerMicros, 3)}
 		counts[o.Tier] = entry
 	}
 	entry.row.Sent++
@@ -153,11 +153,11 @@
 		entry.row.Unknown++
 	}
 	if o.Outcome == structs.OutcomeAnswered {
-		_ = entry.histogram.RecordValue(min(o.EndedAt.Sub(o.SentAt).Microseconds(), longestAnswer)) // clamped
+		_ = entry.histogram.RecordValue(min(o.EndedAt.Sub(o.SentAt).Microseconds(), maxAnswerMicros)) // clamped
 	}
 }
 
-func rows(deployment *workload.Deployment, counts map[string]*tierCount) []Row {
+func tierRows(deployment *workload.Deployment, counts map[string]*tierCount) []Row {
 	var all []Row
 	for _, kind := range deployment.Kinds {
 		entry, found := counts[kind.Tier]
--- a/lab/memnet/bandwidth.go
+++ b/lab/memnet/bandwidth.go
@@ -8,125 +8,127 @@
 
 // Sizes and times of limited links.
 const (
-	// pieceBytes is how much of a stream passes a link at once, so that connections
-	// share the link by turns. About six segments of Ethernet; a choice of this package.
-	pieceBytes = 8 << 10
-	// datagramPatience is the queue ahead on a link at which a datagram is dropped, as
-	// a full buffer of a router would; a choice of this package.
-	datagramPatience = 200 * time.Millisecond
-	bitsPerByte      = 8
+	// chunkBytes is the size of the chunks of a stream on a limited link. Connections
+	// that share a link take turns after each chunk.
+	chunkBytes = 8 << 10
+	// maxDatagramQueueDelay is the queueing delay of a link above which datagrams are
+	// dropped, as by a router with a full buffer.
+	maxDatagramQueueDelay = 200 * time.Millisecond
+	bitsPerByte           = 8
 )
 
-// lane is one direction of a host's link.
-type lane struct {
+// linkQueue is one direction of a host's link. A nil linkQueue has no limit. The caller
+// of its methods holds the fabric's mutex.
+type linkQueue struct {
 	bitsPerSecond float64
-	// free is when everything that was given to the lane has passed.
-	free time.Time
+	// freeAt is the time at which all queued bytes have been transmitted.
+	freeAt time.Time
 }
 
-// queue returns for how long the lane is busy with what it was given.
-func (l *lane) queue(now time.Time) time.Duration {
+// delay returns the time until all queued bytes have been transmitted.
+func (l *linkQueue) delay(now time.Time) time.Duration {
 	if l == nil {
 		return 0
 	}
-	return max(l.free.Sub(now), 0)
+	return max(l.freeAt.Sub(now), 0)
 }
 
-// pass queues so many bytes and returns the time until they have passed.
-func (l *lane) pass(now time.Time, bytes int) time.Duration {
+// enqueue queues bytes and returns the time until they have been transmitted.
+func (l *linkQueue) enqueue(now time.Time, bytes int) time.Duration {
 	if l == nil {
 		return 0
 	}
-	busy := time.Duration(float64(bytes*bitsPerByte) / l.bitsPerSecond * float64(time.Second))
-	wait := l.queue(now) + busy
-	l.free = now.Add(wait)
-	return wait
+	transmission := time.Duration(float64(bytes*bitsPerByte) / l.bitsPerSecond * float64(time.Second))
+	delay := l.delay(now) + transmission
+	l.freeAt = now.Add(delay)
+	return delay
 }
 
-// bandwidth is what is known of the hosts' links. Hosts without a lane have no limit.
-type bandwidth struct {
-	outgoing, incoming map[string]*lane
-	sent               map[direction]int64
+// hostLinks holds the limited links and the counters of sent bytes. Hosts without an
+// entry in outgoing or incoming have no limit in that direction.
+type hostLinks struct {
+	outgoing, incoming map[string]*linkQueue
+	sent               map[hostPair]int64
 }
 
-func newBandwidth() bandwidth {
-	return bandwidth{outgoing: map[string]*lane{}, incoming: map[string]*lane{}, sent: map[direction]int64{}}
+func newHostLinks() hostLinks {
+	return hostLinks{outgoing: map[string]*linkQueue{}, incoming: map[string]*linkQueue{}, sent: map[hostPair]int64{}}
 }
 
-// SetBandwidth limits the link of a host to so many bits a second in each direction.
-// All connections and datagrams of the host share it; what the host sends to itself
-// does not pass it. Zero means no limit.
+// SetBandwidth limits the link of a host to bitsPerSecond in each direction. All
+// connections and datagrams of the host share the link, except traffic to itself. Zero
+// means no limit.
 func (f *Fabric) SetBandwidth(host string, bitsPerSecond float64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	delete(f.bandwidth.outgoing, host)
-	delete(f.bandwidth.incoming, host)
+	delete(f.hostLinks.outgoing, host)
+	delete(f.hostLinks.incoming, host)
 	if bitsPerSecond > 0 {
-		f.bandwidth.outgoing[host] = &lane{bitsPerSecond: bitsPerSecond}
-		f.bandwidth.incoming[host] = &lane{bitsPerSecond: bitsPerSecond}
+		f.hostLinks.outgoing[host] = &linkQueue{bitsPerSecond: bitsPerSecond}
+		f.hostLinks.incoming[host] = &linkQueue{bitsPerSecond: bitsPerSecond}
 	}
 }
 
-// Sent returns how many bytes the host gave to its link, in streams and datagrams and
-// without headers of the network. What it sent to itself does not count.
+// Sent returns the number of payload bytes that the host sent to other hosts in streams
+// and datagrams.
 func (f *Fabric) Sent(host string) int64 {
 	return f.SentWhere(func(from, _ string) bool { return from == host })
 }
 
-// SentWhere returns how many bytes hosts sent, as Sent does, of the pairs of hosts that
-// the function picks.
-func (f *Fabric) SentWhere(picks func(from, to string) bool) int64 {
+// SentWhere returns the number of payload bytes sent between all pairs of distinct hosts
+// for which matches returns true.
+func (f *Fabric) SentWhere(matches func(from, to string) bool) int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	total := int64(0)
-	for pair, bytes := range f.bandwidth.sent {
-		if picks(pair.from, pair.to) {
+	for pair, bytes := range f.hostLinks.sent {
+		if matches(pair.from, pair.to) {
 			total += bytes
 		}
 	}
 	return total
 }
 
-// limited returns whether bytes between the hosts pass a link with a limit.
-func (f *Fabric) limited(from, to string) bool {
+// isLimited reports whether traffic between the hosts passes a link with a limit.
+func (f *Fabric) isLimited(from, to string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return from != to && (f.bandwidth.outgoing[from] != nil || f.bandwidth.incoming[to] != nil)
+	return from != to && (f.hostLinks.outgoing[from] != nil || f.hostLinks.incoming[to] != nil)
 }
 
-// passStream queues bytes of a stream on both links and returns the time until they
-// have passed the slower one.
-func (f *Fabric) passStream(from, to string, bytes int) time.Duration {
+// enqueueStream queues bytes of a stream on the links of both hosts and returns the
+// time until the slower link has transmitted them.
+func (f *Fabric) enqueueStream(from, to string, bytes int) time.Duration {
 	if from == to {
 		return 0
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Now()
-	f.bandwidth.sent[direction{from, to}] += int64(bytes)
-	return max(f.bandwidth.outgoing[from].pass(now, bytes), f.bandwidth.incoming[to].pass(now, bytes))
+	f.hostLinks.sent[hostPair{from, to}] += int64(bytes)
+	return max(f.hostLinks.outgoing[from].enqueue(now, bytes), f.hostLinks.incoming[to].enqueue(now, bytes))
 }
 
-// admit queues a datagram and returns the time until it has passed, or false if the lane
-// drops it, as too much is queued ahead.
-func (l *lane) admit(now time.Time, bytes int) (time.Duration, bool) {
-	if l.queue(now) > datagramPatience {
+// tryEnqueue queues a datagram and returns the time until it has been transmitted. It
+// returns false if the datagram is dropped because the queue is too long.
+func (l *linkQueue) tryEnqueue(now time.Time, bytes int) (time.Duration, bool) {
+	if l.delay(now) > maxDatagramQueueDelay {
 		return 0, false
 	}
-	return l.pass(now, bytes), true
+	return l.enqueue(now, bytes), true
 }
 
-// sendDatagram queues a datagram on the sender's link. It returns the time until it
-// has passed, and false if it is dropped. The caller holds the mutex.
+// sendDatagram queues a datagram on the sender's link. It returns the time until the
+// datagram has been transmitted, or false if it is dropped. The caller holds the mutex.
 func (f *Fabric) sendDatagram(from, to string, bytes int) (time.Duration, bool) {
 	if from == to {
 		return 0, true
 	}
-	wait, admitted := f.bandwidth.outgoing[from].admit(time.Now(), bytes)
-	if admitted {
-		f.bandwidth.sent[direction{from, to}] += int64(bytes)
+	delay, queued := f.hostLinks.outgoing[from].tryEnqueue(time.Now(), bytes)
+	if queued {
+		f.hostLinks.sent[hostPair{from, to}] += int64(bytes)
 	}
-	return wait, admitted
+	return delay, queued
 }
 
 // receiveDatagram queues a datagram on the receiver's link, as sendDatagram does.
@@ -134,26 +136,27 @@
 	if from == to {
 		return 0, true
 	}
-	return f.bandwidth.incoming[to].admit(time.Now(), bytes)
+	return f.hostLinks.incoming[to].tryEnqueue(time.Now(), bytes)
 }
 
-// writePieces writes over limited links, one piece after the other.
-func (e *end) writePieces(content []byte) (int, error) {
+// writeChunks writes over limited links, one chunk after the other. Concurrent writes
+// of the same endpoint take turns.
+func (e *endpoint) writeChunks(content []byte) (int, error) {
 	select {
-	case e.turn <- struct{}{}:
+	case e.writeSlot <- struct{}{}:
 	case <-e.deadline.done():
 		return 0, os.ErrDeadlineExceeded
-	case <-e.link.closed:
+	case <-e.connection.closed:
 		return 0, io.ErrClosedPipe
 	}
-	defer func() { <-e.turn }()
+	defer func() { <-e.writeSlot }()
 	written := 0
 	for written < len(content) {
-		piece := content[written:min(written+pieceBytes, len(content))]
-		if err := e.passLinks(len(piece)); err != nil {
+		chunk := content[written:min(written+chunkBytes, len(content))]
+		if err := e.waitForLinks(len(chunk)); err != nil {
 			return written, err
 		}
-		count, err := e.deliver(piece)
+		count, err := e.deliver(chunk)
 		written += count
 		if err != nil {
 			return written, err
@@ -162,26 +165,27 @@
 	return written, nil
 }
 
-// passLinks waits until the bytes have passed the links of both hosts.
-func (e *end) passLinks(bytes int) error {
-	if err := e.ended(); err != nil {
+// waitForLinks waits until the links of both hosts have transmitted the bytes. It
+// returns early with an error if the connection is closed or the write deadline passes.
+func (e *endpoint) waitForLinks(bytes int) error {
+	if err := e.closeError(); err != nil {
 		return err
 	}
-	passed := time.NewTimer(e.fabric.passStream(e.local, e.remote, bytes))
-	defer passed.Stop()
+	transmitted := time.NewTimer(e.fabric.enqueueStream(e.local, e.remote, bytes))
+	defer transmitted.Stop()
 	select {
-	case <-passed.C:
+	case <-transmitted.C:
 		return nil
 	case <-e.deadline.done():
-	case <-e.link.closed:
+	case <-e.connection.closed:
 	}
-	return e.ended()
+	return e.closeError()
 }
 
-// ended returns why nothing can be written any more, or nil.
-func (e *end) ended() error {
+// closeError returns the error of further writes, or nil if writing is still possible.
+func (e *endpoint) closeError() error {
 	select {
-	case <-e.link.closed:
+	case <-e.connection.closed:
 		return io.ErrClosedPipe
 	default:
 	}
--- a/lab/memnet/datagrams.go
+++ b/lab/memnet/datagrams.go
@@ -9,14 +9,14 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// socketBacklog is the number of messages that wait at a socket; more are lost.
+// socketBacklog is the number of messages that a socket queues; further ones are lost.
 const socketBacklog = 1024
 
-// Datagrams returns the message network as seen from the named host. Messages
-// across a cut, or to nobody, are lost.
+// Datagrams returns the datagram network as seen from the named host. Datagrams across a
+// cut, or to an address without a socket, are lost without an error.
 func (f *Fabric) Datagrams(name string) network.Datagrams { return host{fabric: f, name: name} }
 
-// socket is one open socket.
+// socket is an open datagram socket.
 type socket struct {
 	host     host
 	address  string
@@ -28,11 +28,11 @@
 // ListenDatagrams implements network.Datagrams.
 func (h host) ListenDatagrams(address string) (network.DatagramSocket, error) {
 	_, port, _ := strings.Cut(address, ":")
-	opened := &socket{host: h, address: h.name + ":" + port, messages: make(chan []byte, socketBacklog), closed: make(chan struct{})}
+	newSocket := &socket{host: h, address: h.name + ":" + port, messages: make(chan []byte, socketBacklog), closed: make(chan struct{})}
 	h.fabric.mutex.Lock()
 	defer h.fabric.mutex.Unlock()
-	h.fabric.sockets[opened.address] = opened
-	return opened, nil
+	h.fabric.sockets[newSocket.address] = newSocket
+	return newSocket, nil
 }
 
 // Send implements network.DatagramSocket.
@@ -46,31 +46,32 @@
 	}
 	message := append([]byte(nil), content...)
 	if delay == 0 {
-		receiver.take(message)
+		receiver.enqueue(message)
 		return nil
 	}
-	time.AfterFunc(delay, func() { receiver.take(message) })
+	time.AfterFunc(delay, func() { receiver.enqueue(message) })
 	return nil
 }
 
-// route returns who receives a datagram and after what delay, or nil if it is lost.
+// route returns the receiving socket of a datagram and the delay until delivery. The
+// socket is nil if the datagram is lost.
 func (f *Fabric) route(from, to, address string, bytes int) (*socket, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	receiver := f.sockets[address]
-	sending, sent := f.sendDatagram(from, to, bytes)
-	if !sent || receiver == nil || f.cuts[direction{from, to}] {
+	sendDelay, sent := f.sendDatagram(from, to, bytes)
+	if !sent || receiver == nil || f.cuts[hostPair{from, to}] {
 		return nil, 0
 	}
-	receiving, received := f.receiveDatagram(from, to, bytes)
+	receiveDelay, received := f.receiveDatagram(from, to, bytes)
 	if !received {
 		return nil, 0
 	}
-	return receiver, max(sending, receiving)
+	return receiver, max(sendDelay, receiveDelay)
 }
 
-// take lets a message wait at the socket, or loses it.
-func (s *socket) take(message []byte) {
+// enqueue appends a message to the socket's queue, or drops it if the queue is full.
+func (s *socket) enqueue(message []byte) {
 	select {
 	case s.messages <- message:
 	default:
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory, on which whole nodes run under virtual
-// time. Links between hosts can be cut, one way or both, and hosts paused; the link of
-// a host may have a limited bandwidth.
+// Package memnet implements a network in memory, on which nodes run under virtual time.
+// Traffic between hosts can be cut in one or both directions, hosts can be paused, and the
+// link of a host can have a limited bandwidth. It does not model latency.
 package memnet
 
 import (
@@ -16,27 +16,28 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Fabric joins hosts. It is safe for concurrent use.
+// Fabric is a network of named hosts. It is safe for concurrent use.
 type Fabric struct {
-	mutex     sync.Mutex
-	listeners map[string]*listener
-	cuts      map[direction]bool
-	paused    map[string]chan struct{}
-	links     map[*link]bool
-	nextPort  int
-	sockets   map[string]*socket
-	bandwidth bandwidth
+	mutex       sync.Mutex
+	listeners   map[string]*listener
+	cuts        map[hostPair]bool
+	paused      map[string]chan struct{}
+	connections map[*connection]bool
+	nextPort    int
+	sockets     map[string]*socket
+	hostLinks   hostLinks
 }
 
-// direction is one way between two hosts.
-type direction struct{ from, to string }
+// hostPair is a sending and a receiving host.
+type hostPair struct{ from, to string }
 
-// link is one connection.
-type link struct {
-	direction
+// connection is a stream connection between two hosts.
+type connection struct {
+	hostPair
+	// broken means that everything written to the connection is lost.
 	broken bool
-	ends   [2]net.Conn
-	// closed is closed when one of the ends is.
+	pipes  [2]net.Conn
+	// closed is closed when either endpoint is closed.
 	closed chan struct{}
 	once   sync.Once
 }
@@ -44,22 +45,23 @@
 // New returns a fabric without hosts.
 func New() *Fabric {
 	return &Fabric{
-		listeners: map[string]*listener{}, cuts: map[direction]bool{}, paused: map[string]chan struct{}{},
-		links: map[*link]bool{}, nextPort: 1000, sockets: map[string]*socket{}, bandwidth: newBandwidth(),
+		listeners: map[string]*listener{}, cuts: map[hostPair]bool{}, paused: map[string]chan struct{}{},
+		connections: map[*connection]bool{}, nextPort: 1000, sockets: map[string]*socket{}, hostLinks: newHostLinks(),
 	}
 }
 
 // Host returns the network as seen from the named host.
 func (f *Fabric) Host(name string) network.Network { return host{fabric: f, name: name} }
 
-// Cut stops what is sent from one host to another; what was sent is lost.
+// Cut drops all traffic from one host to the other until Heal. Dialing between the two
+// hosts blocks in either direction.
 func (f *Fabric) Cut(from, to string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.cuts[direction{from, to}] = true
+	f.cuts[hostPair{from, to}] = true
 }
 
-// CutGroups cuts both ways between every pair of the two groups of hosts.
+// CutGroups cuts the traffic between the two groups of hosts in both directions.
 func (f *Fabric) CutGroups(left, right []string) {
 	for _, a := range left {
 		for _, b := range right {
@@ -69,35 +71,35 @@
 	}
 }
 
-// Heal ends all cuts. Connections that lost something are closed.
+// Heal ends all cuts. Connections that lost data are closed.
 func (f *Fabric) Heal() {
 	f.mutex.Lock()
 	clear(f.cuts)
-	var broken []*link
-	for l := range f.links {
-		if l.broken {
-			broken = append(broken, l)
-			delete(f.links, l)
+	var broken []*connection
+	for c := range f.connections {
+		if c.broken {
+			broken = append(broken, c)
+			delete(f.connections, c)
 		}
 	}
 	f.mutex.Unlock()
-	for _, l := range broken {
-		l.close()
+	for _, c := range broken {
+		c.close()
 	}
 }
 
-// Silence makes every open connection lose all that is written to it from now on, without
-// either end learning of it. New connections work.
+// Silence makes every open connection lose all data written from now on, without an error
+// at either endpoint. New connections are not affected.
 func (f *Fabric) Silence() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for l := range f.links {
-		l.broken = true
+	for c := range f.connections {
+		c.broken = true
 	}
 }
 
-// Pause stops a host's reading and writing until Resume, as a stopped process
-// would; its timers go on.
+// Pause blocks a host's network calls until Resume, as if its process were suspended. Its
+// timers continue to run.
 func (f *Fabric) Pause(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -106,42 +108,42 @@
 	}
 }
 
-// Resume ends a pause.
+// Resume ends the pause of a host.
 func (f *Fabric) Resume(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if gate, paused := f.paused[name]; paused {
-		close(gate)
+	if resumed, paused := f.paused[name]; paused {
+		close(resumed)
 		delete(f.paused, name)
 	}
 }
 
-// WaitResumed returns when the host is not paused.
+// WaitResumed blocks while the host is paused.
 func (f *Fabric) WaitResumed(name string) {
 	f.mutex.Lock()
-	gate := f.paused[name]
+	resumed := f.paused[name]
 	f.mutex.Unlock()
-	if gate != nil {
-		<-gate
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-// end tells writes that wait for the hosts' links that the connection is closed.
-func (l *link) end() { l.once.Do(func() { close(l.closed) }) }
+// signalClosed wakes writes that wait for the hosts' links.
+func (c *connection) signalClosed() { c.once.Do(func() { close(c.closed) }) }
 
-func (l *link) close() {
-	l.end()
-	_ = l.ends[0].Close()
-	_ = l.ends[1].Close()
+func (c *connection) close() {
+	c.signalClosed()
+	_ = c.pipes[0].Close()
+	_ = c.pipes[1].Close()
 }
 
-// host is the network of one host.
+// host is the network as seen from one host.
 type host struct {
 	fabric *Fabric
 	name   string
 }
 
-// Listen implements network.Network; the address may be ":0".
+// Listen implements network.Network. An empty port or port 0 selects an unused one.
 func (h host) Listen(address string) (net.Listener, error) {
 	h.fabric.mutex.Lock()
 	defer h.fabric.mutex.Unlock()
@@ -152,21 +154,21 @@
 	}
 	l := &listener{fabric: h.fabric, address: h.name + ":" + port, backlog: make(chan net.Conn), closed: make(chan struct{})}
 	if _, taken := h.fabric.listeners[l.address]; taken {
-		return nil, fmt.Errorf("address %s is in use", l.address)
+		return nil, fmt.Errorf("listen on %s: address already in use", l.address)
 	}
 	h.fabric.listeners[l.address] = l
 	return l, nil
 }
 
-// errRefused is what dialling an address without a listener gives.
+// errRefused is the error of dialing an address without a listener.
 var errRefused error = syscall.ECONNREFUSED
 
-// Dial implements network.Network. Across a cut it waits for the context.
+// Dial implements network.Network. Across a cut it blocks until the context ends.
 func (h host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	h.fabric.WaitResumed(h.name)
 	target, _, _ := strings.Cut(address, ":")
 	h.fabric.mutex.Lock()
-	cut := h.fabric.cuts[direction{h.name, target}] || h.fabric.cuts[direction{target, h.name}]
+	cut := h.fabric.cuts[hostPair{h.name, target}] || h.fabric.cuts[hostPair{target, h.name}]
 	found := h.fabric.listeners[address]
 	h.fabric.mutex.Unlock()
 	if cut {
@@ -176,10 +178,10 @@
 	if found == nil {
 		return nil, fmt.Errorf("dial %s: %w", address, errRefused)
 	}
-	near, far := h.fabric.connect(h.name, target)
+	local, remote := h.fabric.connect(h.name, target)
 	select {
-	case found.backlog <- far:
-		return near, nil
+	case found.backlog <- remote:
+		return local, nil
 	case <-found.closed:
 		return nil, fmt.Errorf("dial %s: %w", address, errRefused)
 	case <-ctx.Done():
@@ -189,52 +191,53 @@
 
 func (f *Fabric) connect(from, to string) (net.Conn, net.Conn) {
 	left, right := net.Pipe()
-	l := &link{direction: direction{from, to}, ends: [2]net.Conn{left, right}, closed: make(chan struct{})}
+	c := &connection{hostPair: hostPair{from, to}, pipes: [2]net.Conn{left, right}, closed: make(chan struct{})}
 	f.mutex.Lock()
-	f.links[l] = true
+	f.connections[c] = true
 	f.mutex.Unlock()
-	return newEnd(f, l, left, from, to), newEnd(f, l, right, to, from)
+	return newEndpoint(f, c, left, from, to), newEndpoint(f, c, right, to, from)
 }
 
-// end is one end of a connection.
-type end struct {
+// endpoint is a host's side of a connection.
+type endpoint struct {
 	net.Conn
 	fabric        *Fabric
-	link          *link
+	connection    *connection
 	local, remote string
-	// turn holds one token; who has it may write over a limited link.
-	turn     chan struct{}
-	deadline *writeDeadline
+	// writeSlot is a semaphore of size one for writes over limited links.
+	writeSlot chan struct{}
+	deadline  *writeDeadline
 }
 
-func newEnd(f *Fabric, l *link, conn net.Conn, local, remote string) *end {
-	return &end{Conn: conn, fabric: f, link: l, local: local, remote: remote, turn: make(chan struct{}, 1), deadline: newWriteDeadline()}
+func newEndpoint(f *Fabric, c *connection, conn net.Conn, local, remote string) *endpoint {
+	return &endpoint{Conn: conn, fabric: f, connection: c, local: local, remote: remote, writeSlot: make(chan struct{}, 1), deadline: newWriteDeadline()}
 }
 
-// Read waits while the host is paused.
-func (e *end) Read(content []byte) (int, error) {
+// Read implements net.Conn. It blocks while the host is paused.
+func (e *endpoint) Read(content []byte) (int, error) {
 	count, err := e.Conn.Read(content)
 	e.fabric.WaitResumed(e.local)
 	return count, err
 }
 
-// Write loses what is written across a cut. Over a limited link it returns when the
-// content has passed and was read.
-func (e *end) Write(content []byte) (int, error) {
-	if e.fabric.limited(e.local, e.remote) {
-		return e.writePieces(content)
+// Write implements net.Conn. Content written across a cut is lost without an error. Over a
+// limited link, Write returns when the content has been transmitted and read.
+func (e *endpoint) Write(content []byte) (int, error) {
+	if e.fabric.isLimited(e.local, e.remote) {
+		return e.writeChunks(content)
 	}
-	e.fabric.passStream(e.local, e.remote, len(content))
+	e.fabric.enqueueStream(e.local, e.remote, len(content))
 	return e.deliver(content)
 }
 
-// deliver hands content to the other end once it has passed the links.
-func (e *end) deliver(content []byte) (int, error) {
+// deliver writes content to the peer's pipe, or drops it if the connection is broken or
+// the direction is cut.
+func (e *endpoint) deliver(content []byte) (int, error) {
 	e.fabric.WaitResumed(e.local)
 	e.fabric.mutex.Lock()
-	lost := e.link.broken || e.fabric.cuts[direction{e.local, e.remote}]
+	lost := e.connection.broken || e.fabric.cuts[hostPair{e.local, e.remote}]
 	if lost {
-		e.link.broken = true
+		e.connection.broken = true
 	}
 	e.fabric.mutex.Unlock()
 	if lost {
@@ -243,38 +246,38 @@
 	return e.Conn.Write(content)
 }
 
-// Close closes the connection; across a cut, or of one that is silent, the other end does
-// not notice.
-func (e *end) Close() error {
+// Close implements net.Conn. Across a cut, or on a broken connection, the peer is not
+// notified.
+func (e *endpoint) Close() error {
 	e.fabric.mutex.Lock()
-	cut := e.link.broken || e.fabric.cuts[direction{e.local, e.remote}]
-	if cut {
-		e.link.broken = true
+	isLost := e.connection.broken || e.fabric.cuts[hostPair{e.local, e.remote}]
+	if isLost {
+		e.connection.broken = true
 	} else {
-		delete(e.fabric.links, e.link)
+		delete(e.fabric.connections, e.connection)
 	}
 	e.fabric.mutex.Unlock()
-	if cut {
-		// Closing a pipe wakes both ends; the far end is kept waiting by a
-		// deadline-free read on its own half until the cut heals.
-		return e.SetDeadline(past)
+	if isLost {
+		// Closing a pipe wakes both ends. A deadline on this half only leaves the peer
+		// blocked in its read until the cut heals.
+		return e.SetDeadline(pastTime)
 	}
-	e.link.end()
+	e.connection.signalClosed()
 	return e.Conn.Close()
 }
 
-// LocalAddr and RemoteAddr name the hosts.
-func (e *end) LocalAddr() net.Addr { return address(e.local) }
+// LocalAddr implements net.Conn. The address is the name of the host.
+func (e *endpoint) LocalAddr() net.Addr { return address(e.local) }
 
-// RemoteAddr names the other host.
-func (e *end) RemoteAddr() net.Addr { return address(e.remote) }
+// RemoteAddr implements net.Conn. The address is the name of the peer's host.
+func (e *endpoint) RemoteAddr() net.Addr { return address(e.remote) }
 
 type address string
 
 func (a address) Network() string { return "memory" }
 func (a address) String() string  { return string(a) }
 
-// listener accepts connections at one address.
+// listener accepts connections at an address.
 type listener struct {
 	fabric  *Fabric
 	address string
@@ -285,8 +288,8 @@
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-l.backlog:
-		return connection, nil
+	case conn := <-l.backlog:
+		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
@@ -304,5 +307,5 @@
 
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// pastTime is a deadline in the past.
+var pastTime = time.Unix(1, 0)
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -12,52 +12,54 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Misbehavior is how an engine or service fails a request.
+// Misbehavior is a fault of an engine or service in the handling of a request.
 type Misbehavior int
 
-// The misbehaviors.
+// Faults of engines and services.
 const (
-	Behaves Misbehavior = iota
-	// DiesBeforeAnswer closes the connection after reading the request; the
-	// request runs on.
+	NoMisbehavior Misbehavior = iota
+	// DiesBeforeAnswer closes the connection after the request was read. The request
+	// continues to run.
 	DiesBeforeAnswer
-	// ForgetsRequest closes the connection after reading the request, which is
-	// lost: the engine does not know it afterwards.
+	// ForgetsRequest closes the connection after the request was read. The engine does
+	// not run the request and does not know its id afterwards. Services handle it as
+	// DiesBeforeAnswer.
 	ForgetsRequest
-	// DiesMidAnswer closes the connection after a few events.
+	// DiesMidAnswer closes the connection after a part of the answer.
 	DiesMidAnswer
-	// AnswersTwice sends each event twice.
+	// AnswersTwice sends each event twice. Engines only.
 	AnswersTwice
-	// AnswersOutOfOrder swaps neighbouring events.
+	// AnswersOutOfOrder swaps neighbouring events. Engines only.
 	AnswersOutOfOrder
-	// AnswersForOther sends an event of another request in between.
+	// AnswersForOther sends an event of another request before each event. Engines
+	// only.
 	AnswersForOther
-	// AnswersLate holds the answer back for LateBy.
+	// AnswersLate delays the answer by LateAnswerDelay.
 	AnswersLate
 )
 
-// LateBy is the delay of AnswersLate.
-const LateBy = 2 * time.Second
+// LateAnswerDelay is the delay of AnswersLate.
+const LateAnswerDelay = 2 * time.Second
 
-// Execution is what an engine or service recorded of one request.
+// Execution is an engine's or service's record of one request.
 type Execution struct {
 	RequestID string
 	Replica   structs.ReplicaID
-	// Count is how often the request was submitted.
+	// Count is the number of submissions of the request.
 	Count int
-	// Key is the Idempotency-Key, which services see.
+	// Key is the Idempotency-Key. Only services record it.
 	Key  string
 	Body string
 	// At is the time of the first submission.
 	At time.Time
-	// Tokens is the length of the answer; Prefilled and Recomputed count
-	// prompt tokens.
+	// Tokens counts the tokens of the answer so far. Prefilled and Recomputed count
+	// prompt tokens, as in enginesim.Job.
 	Tokens, Prefilled, Recomputed int
 	Priority                      int
 	Done, Cancelled               bool
 }
 
-// engineJob is a request at the stand-in with its events.
+// engineJob is a request at the engine with the events of its answer.
 type engineJob struct {
 	job       *enginesim.Job
 	execution *Execution
@@ -67,39 +69,40 @@
 	changed   chan struct{}
 }
 
-// Engine stands in for a model engine.
+// Engine is a stand-in for a model engine. It is safe for concurrent use. ReportLag and
+// ChecksFence must be set before the engine serves requests.
 type Engine struct {
 	ID structs.ReplicaID
-	// ReportLag is the age of the load that the engine reports.
+	// ReportLag is the minimum age of the load reports that the engine returns.
 	ReportLag time.Duration
-	// ChecksFence makes it refuse orders with a stale fence.
+	// ChecksFence makes the engine reject load orders with a stale fence.
 	ChecksFence bool
 
-	mutex      sync.Mutex
-	engine     *enginesim.Engine
-	jobs       map[string]*engineJob
-	order      []string
-	executions map[string]*Execution
-	models     []string
-	leaving    bool
-	fence      int64
-	orders     []OrderRecord
-	misbehave  func(requestID string) Misbehavior
-	reports    []datedReport
-	events     []structs.CacheEvent
-	eventGap   int
-	sequence   uint64
-	wake       chan struct{}
-	stop       chan struct{}
-	stopped    sync.WaitGroup
+	mutex        sync.Mutex
+	engine       *enginesim.Engine
+	jobs         map[string]*engineJob
+	requestIDs   []string
+	executions   map[string]*Execution
+	models       []string
+	leaving      bool
+	fence        int64
+	orders       []OrderRecord
+	misbehave    func(requestID string) Misbehavior
+	reports      []timedReport
+	events       []structs.CacheEvent
+	eventBatches int
+	sequence     uint64
+	wake         chan struct{}
+	stop         chan struct{}
+	stopped      sync.WaitGroup
 }
 
-type datedReport struct {
-	at     time.Time
-	report structs.LoadReport
+type timedReport struct {
+	takenAt time.Time
+	report  structs.LoadReport
 }
 
-// OrderRecord is an order as the engine saw it.
+// OrderRecord is the engine's record of an order to load a model.
 type OrderRecord struct {
 	Model    string
 	Fence    int64
@@ -107,7 +110,8 @@
 	At       time.Time
 }
 
-// NewEngine starts a stand-in that holds the models.
+// NewEngine starts an engine with the models loaded. Blocks in its cache are counted in
+// zone, which may be nil. The caller must call Stop.
 func NewEngine(id structs.ReplicaID, spec enginesim.Spec, zone *enginesim.ZoneBlocks, models ...string) *Engine {
 	e := &Engine{
 		ID: id, engine: enginesim.New(spec, zone), jobs: map[string]*engineJob{}, executions: map[string]*Execution{},
@@ -117,20 +121,22 @@
 	return e
 }
 
-// Stop ends the stand-in's work.
+// Stop ends the engine and waits until its goroutine has returned. It must be called
+// once.
 func (e *Engine) Stop() {
 	close(e.stop)
 	e.stopped.Wait()
 }
 
-// SetMisbehavior sets how requests fail; nil for none.
+// SetMisbehavior sets the function that selects the fault of each request. Nil means no
+// faults.
 func (e *Engine) SetMisbehavior(misbehave func(requestID string) Misbehavior) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.misbehave = misbehave
 }
 
-// SetSlowdown multiplies the time of each step.
+// SetSlowdown sets the factor by which the duration of each step is multiplied.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -144,30 +150,31 @@
 	e.leaving = true
 }
 
-// Executions returns the records of all requests.
+// Executions returns the records of all requests in the order of their first
+// submission.
 func (e *Engine) Executions() []Execution {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	executions := make([]Execution, 0, len(e.executions))
-	for _, id := range e.order {
+	for _, id := range e.requestIDs {
 		executions = append(executions, *e.executions[id])
 	}
 	return executions
 }
 
-// Orders returns the orders in the order of their arrival.
+// Orders returns the records of all load orders in the order of their arrival.
 func (e *Engine) Orders() []OrderRecord {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return append([]OrderRecord(nil), e.orders...)
 }
 
-// run drives the steps of the model in real time.
+// run executes the steps of the simulated engine in real time until Stop.
 func (e *Engine) run() {
 	var progress []enginesim.Progress
 	for {
 		e.mutex.Lock()
-		duration, busy := e.engine.Begin()
+		duration, busy := e.engine.BeginStep()
 		e.mutex.Unlock()
 		if !busy {
 			select {
@@ -177,19 +184,20 @@
 				return
 			}
 		}
-		if !e.pause(duration) {
+		if !e.sleep(duration) {
 			return
 		}
 		e.mutex.Lock()
-		progress = e.engine.End(progress[:0])
+		progress = e.engine.EndStep(progress[:0])
 		for _, entry := range progress {
-			e.emit(entry)
+			e.recordProgress(entry)
 		}
 		e.mutex.Unlock()
 	}
 }
 
-func (e *Engine) pause(duration time.Duration) bool {
+// sleep waits for the duration. It returns false if the engine was stopped.
+func (e *Engine) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -200,22 +208,23 @@
 	}
 }
 
-// TokenText is the text of a token; a checker can tell whose answer it is part
-// of and whether the answer is whole.
+// TokenText returns the text of a token. It contains the request id and the number of
+// the token, counted from one, so that misplaced and missing tokens can be detected.
 func TokenText(requestID string, number int) string { return fmt.Sprintf("%s/%d ", requestID, number) }
 
-// emit appends the events of a step. The mutex is held.
-func (e *Engine) emit(entry enginesim.Progress) {
-	job, known := e.jobs[entry.Job.ID]
-	if !known {
+// recordProgress updates the execution and appends the events of a step. The caller
+// holds the mutex.
+func (e *Engine) recordProgress(entry enginesim.Progress) {
+	job, found := e.jobs[entry.Job.ID]
+	if !found {
 		return
 	}
 	job.execution.Tokens = entry.Job.Emitted
 	job.execution.Prefilled = entry.Job.Prefilled
 	job.execution.Recomputed = entry.Job.Recomputed
-	job.events = append(job.events, job.chunk(TokenText(entry.Job.ID, entry.Job.Emitted), entry.Done))
+	job.events = append(job.events, job.tokenEvent(TokenText(entry.Job.ID, entry.Job.Emitted), entry.Done))
 	if entry.Done {
-		job.events = append(job.events, job.usage())
+		job.events = append(job.events, job.usageEvent())
 		job.done = true
 		job.execution.Done = true
 	}
@@ -223,7 +232,7 @@
 	job.changed = make(chan struct{})
 }
 
-func (j *engineJob) chunk(text string, last bool) []byte {
+func (j *engineJob) tokenEvent(text string, last bool) []byte {
 	choice := openai.ChunkChoice{}
 	if j.chat {
 		choice.Delta = &openai.Delta{Content: text}
@@ -237,7 +246,7 @@
 	return j.encode(openai.Chunk{Choices: []openai.ChunkChoice{choice}})
 }
 
-func (j *engineJob) usage() []byte {
+func (j *engineJob) usageEvent() []byte {
 	usage := openai.Usage{
 		PromptTokens: j.job.PromptTokens, CompletionTokens: j.job.Emitted, TotalTokens: j.job.PromptTokens + j.job.Emitted,
 		PromptDetails: &openai.PromptDetails{CachedTokens: j.job.Cached},
@@ -254,20 +263,20 @@
 	chunk.Model = "stand-in"
 	data, err := json.Marshal(chunk)
 	if err != nil {
-		panic(err) // unreachable: the chunk holds plain values only
+		panic(err) // unreachable: all values of a chunk can be encoded
 	}
 	return data
 }
 
-// submit enters a request. It returns the existing job for a known id, which
-// counts as a second submission.
+// submit starts a request. For a known id it returns the existing job and counts
+// another submission.
 func (e *Engine) submit(job *enginesim.Job, chat bool, body string) *engineJob {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	execution := e.record(job.ID, body)
+	execution := e.recordSubmission(job.ID, body)
 	execution.Priority = int(job.Rank)
-	if known, found := e.jobs[job.ID]; found {
-		return known
+	if existing, found := e.jobs[job.ID]; found {
+		return existing
 	}
 	entry := &engineJob{job: job, execution: execution, chat: chat, changed: make(chan struct{})}
 	e.jobs[job.ID] = entry
@@ -279,18 +288,19 @@
 	return entry
 }
 
-// record counts a submission. The mutex is held.
-func (e *Engine) record(id, body string) *Execution {
+// recordSubmission counts a submission. The caller holds the mutex.
+func (e *Engine) recordSubmission(id, body string) *Execution {
 	execution, found := e.executions[id]
 	if !found {
 		execution = &Execution{RequestID: id, Replica: e.ID, Body: body, At: time.Now()}
 		e.executions[id] = execution
-		e.order = append(e.order, id)
+		e.requestIDs = append(e.requestIDs, id)
 	}
 	execution.Count++
 	return execution
 }
 
+// cancel ends a request that is not done. Its id is unknown afterwards.
 func (e *Engine) cancel(id string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -306,7 +316,8 @@
 	entry.changed = make(chan struct{})
 }
 
-// report returns the newest report that is at least ReportLag old.
+// report returns the latest report that is at least ReportLag old, or the oldest report
+// if all are younger.
 func (e *Engine) report() structs.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -316,33 +327,32 @@
 	current.Replica, current.Sequence = e.ID, e.sequence
 	current.Models = append([]string(nil), e.models...)
 	current.Role = structs.RoleBoth
-	e.reports = append(e.reports, datedReport{at: now, report: current})
-	chosen := e.reports[0]
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.ReportLag {
+	e.reports = append(e.reports, timedReport{takenAt: now, report: current})
+	latest := e.reports[0]
+	for len(e.reports) > 1 && now.Sub(e.reports[1].takenAt) >= e.ReportLag {
 		e.reports = e.reports[1:]
-		chosen = e.reports[0]
+		latest = e.reports[0]
 	}
-	chosen.report.Age = now.Sub(chosen.at)
-	chosen.report.Leaving = e.leaving
-	return chosen.report
+	latest.report.Age = now.Sub(latest.takenAt)
+	latest.report.Leaving = e.leaving
+	return latest.report
 }
 
-// eventLossInterval is how many batches of cache events pass for each that is
-// lost.
-const eventLossInterval = 10
+// batchesPerEventLoss is the number of batches of cache events of which one is lost.
+const batchesPerEventLoss = 10
 
-// cacheEvents returns the events after the sequence number. Now and then a
-// batch is lost, which shows as a gap.
+// cacheEvents returns the events after the sequence number. A lost batch appears as a
+// gap in the sequence numbers.
 func (e *Engine) cacheEvents(after uint64) []structs.CacheEvent {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	fresh := e.engine.CacheEvents()
-	e.eventGap++
-	if e.eventGap%eventLossInterval != 0 {
-		e.events = append(e.events, fresh...)
+	batch := e.engine.CacheEvents()
+	e.eventBatches++
+	if e.eventBatches%batchesPerEventLoss != 0 {
+		e.events = append(e.events, batch...)
 	}
-	const kept = 4096
-	if excess := len(e.events) - kept; excess > 0 {
+	const maxEvents = 4096
+	if excess := len(e.events) - maxEvents; excess > 0 {
 		e.events = e.events[excess:]
 	}
 	for i, event := range e.events {
@@ -353,8 +363,9 @@
 	return nil
 }
 
-// load follows an order; it returns false if the fence is stale.
-func (e *Engine) load(model string, fence int64) bool {
+// loadModel executes an order to load a model. It returns false if the order is
+// rejected because its fence is stale.
+func (e *Engine) loadModel(model string, fence int64) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	accepted := !e.ChecksFence || fence >= e.fence
@@ -363,8 +374,8 @@
 		return false
 	}
 	e.fence = max(e.fence, fence)
-	for _, held := range e.models {
-		if held == model {
+	for _, loaded := range e.models {
+		if loaded == model {
 			return true
 		}
 	}
@@ -372,19 +383,19 @@
 	return true
 }
 
-// outputTokens draws the length of an answer from the request id, if the
-// request does not give one.
-func outputTokens(id string, wanted, limit int) int {
-	if wanted > 0 {
-		return min(wanted, max(limit, 1))
+// outputTokens returns the length of an answer: requested if positive, otherwise a
+// length derived from the request id. The length is bounded by limit.
+func outputTokens(id string, requested, limit int) int {
+	if requested > 0 {
+		return min(requested, max(limit, 1))
 	}
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(id)) // never fails
-	const shortest, spread = 8, 56
-	return min(shortest+int(digest.Sum32()%spread), max(limit, 1))
+	const minTokens, tokenRange = 8, 56
+	return min(minTokens+int(digest.Sum32()%tokenRange), max(limit, 1))
 }
 
-// SetReportLag changes the age of the load that the engine reports.
+// SetReportLag sets the minimum age of the load reports that the engine returns.
 func (e *Engine) SetReportLag(lag time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/lab/standin/enginehttp.go
+++ b/lab/standin/enginehttp.go
@@ -17,28 +17,29 @@
 	"github.com/thornwalk/thornwalk/transport/backendhttp"
 )
 
-// engineBody is what the stand-in reads beside the OpenAI-compatible fields.
-type engineBody struct {
+// engineRequestBody has the fields of a request that the engine reads in addition to
+// the OpenAI-compatible ones.
+type engineRequestBody struct {
 	Priority  int `json:"priority"`
 	MaxTokens int `json:"max_tokens"`
-	// LabOutputTokens fixes the length of the answer, for tests and load.
+	// LabOutputTokens sets the length of the answer if it is positive.
 	LabOutputTokens int `json:"lab_output_tokens"`
 }
 
-// Handler returns the HTTP side.
+// Handler returns the HTTP interface of the engine.
 func (e *Engine) Handler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(openai.PathChat, func(w http.ResponseWriter, r *http.Request) { e.serveGenerate(w, r, true) }).Methods(http.MethodPost)
-	router.HandleFunc(openai.PathCompletions, func(w http.ResponseWriter, r *http.Request) { e.serveGenerate(w, r, false) }).Methods(http.MethodPost)
+	router.HandleFunc(openai.PathChat, func(w http.ResponseWriter, r *http.Request) { e.serveCompletion(w, r, true) }).Methods(http.MethodPost)
+	router.HandleFunc(openai.PathCompletions, func(w http.ResponseWriter, r *http.Request) { e.serveCompletion(w, r, false) }).Methods(http.MethodPost)
 	router.HandleFunc(backendhttp.PathRequests+"{id}/events", e.serveEvents).Methods(http.MethodGet)
 	router.HandleFunc(backendhttp.PathRequests+"{id}", e.serveCancel).Methods(http.MethodDelete)
 	router.HandleFunc(backendhttp.PathLoad, func(w http.ResponseWriter, _ *http.Request) { encode(w, e.report()) }).Methods(http.MethodGet)
 	router.HandleFunc(backendhttp.PathCacheEvents, e.serveCacheEvents).Methods(http.MethodGet)
-	router.HandleFunc(backendhttp.PathLoadModel, e.serveLoad).Methods(http.MethodPost)
+	router.HandleFunc(backendhttp.PathLoadModel, e.serveLoadModel).Methods(http.MethodPost)
 	return router
 }
 
-func (e *Engine) serveGenerate(writer http.ResponseWriter, request *http.Request, chat bool) {
+func (e *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request, chat bool) {
 	content, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
@@ -47,7 +48,7 @@
 	misbehavior := e.misbehavior(id)
 	if misbehavior == ForgetsRequest {
 		e.mutex.Lock()
-		e.record(id, string(content))
+		e.recordSubmission(id, string(content))
 		e.mutex.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -56,8 +57,8 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var extra engineBody
-	_ = json.Unmarshal(content, &extra) // parsed above already
+	var extra engineRequestBody
+	_ = json.Unmarshal(content, &extra) // ParseRequest has checked the syntax
 	job := e.submit(&enginesim.Job{
 		ID: id, Rank: structs.Rank(extra.Priority), PromptTokens: prefix.Tokens(len(parsed.Prompt)),
 		OutputTokens: outputTokens(id, extra.LabOutputTokens, extra.MaxTokens),
@@ -67,22 +68,22 @@
 	case DiesBeforeAnswer:
 		panic(http.ErrAbortHandler)
 	case AnswersLate:
-		time.Sleep(LateBy)
+		time.Sleep(LateAnswerDelay)
 	}
-	e.stream(writer, request, job, 0, misbehavior)
+	e.streamEvents(writer, request, job, 0, misbehavior)
 }
 
 func (e *Engine) misbehavior(id string) Misbehavior {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.misbehave == nil {
-		return Behaves
+		return NoMisbehavior
 	}
 	return e.misbehave(id)
 }
 
 func (e *Engine) serveEvents(writer http.ResponseWriter, request *http.Request) {
-	after, _ := strconv.Atoi(request.Header.Get(backendhttp.HeaderLastEventID)) // absent means all
+	after, _ := strconv.Atoi(request.Header.Get(backendhttp.HeaderLastEventID)) // all events if absent
 	e.mutex.Lock()
 	job, found := e.jobs[mux.Vars(request)["id"]]
 	e.mutex.Unlock()
@@ -90,14 +91,14 @@
 		http.Error(writer, "unknown request", http.StatusNotFound)
 		return
 	}
-	e.stream(writer, request, job, after, Behaves)
+	e.streamEvents(writer, request, job, after, NoMisbehavior)
 }
 
-// eventsBeforeDeath is how many events DiesMidAnswer sends.
-const eventsBeforeDeath = 3
+// eventsBeforeDisconnect is the number of events that DiesMidAnswer sends.
+const eventsBeforeDisconnect = 3
 
-// stream sends the job's events after the given number until the last.
-func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, misbehavior Misbehavior) {
+// streamEvents writes the events of the job after the given number until the last one.
+func (e *Engine) streamEvents(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, misbehavior Misbehavior) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	sent := after
@@ -110,13 +111,13 @@
 		e.mutex.Unlock()
 		for _, event := range events {
 			sent++
-			if misbehavior == DiesMidAnswer && sent > eventsBeforeDeath {
+			if misbehavior == DiesMidAnswer && sent > eventsBeforeDisconnect {
 				panic(http.ErrAbortHandler)
 			}
 			output.write(sent, event)
 		}
 		if done {
-			output.end(sent)
+			output.finish(sent)
 			return
 		}
 		if controller.Flush() != nil || !present {
@@ -132,42 +133,42 @@
 	}
 }
 
-// eventWriter writes events, and misbehaves.
+// eventWriter writes the events of an answer and applies the misbehavior.
 type eventWriter struct {
 	writer      io.Writer
 	job         *engineJob
 	misbehavior Misbehavior
-	held        []byte
+	delayed     []byte
 }
 
 func (w *eventWriter) write(number int, event []byte) {
 	switch w.misbehavior {
 	case AnswersTwice:
-		w.put(number, event)
+		w.writeEvent(number, event)
 	case AnswersOutOfOrder:
-		if w.held == nil {
-			w.held = event
+		if w.delayed == nil {
+			w.delayed = event
 			return
 		}
-		w.put(number, event)
-		number, event, w.held = number-1, w.held, nil
+		w.writeEvent(number, event)
+		number, event, w.delayed = number-1, w.delayed, nil
 	case AnswersForOther:
 		other := *w.job.job
 		other.ID = "other-request"
-		foreign := engineJob{job: &other, chat: w.job.chat}
-		w.put(number, foreign.chunk("not yours ", false))
+		otherJob := engineJob{job: &other, chat: w.job.chat}
+		w.writeEvent(number, otherJob.tokenEvent("not yours ", false))
 	}
-	w.put(number, event)
+	w.writeEvent(number, event)
 }
 
-func (w *eventWriter) put(number int, data []byte) {
+func (w *eventWriter) writeEvent(number int, data []byte) {
 	fmt.Fprintf(w.writer, "id: %d\ndata: %s\n\n", number, data)
 }
 
-// end writes what is held back and the mark of a whole answer.
-func (w *eventWriter) end(number int) {
-	if w.held != nil {
-		w.put(number, w.held)
+// finish writes a delayed event and the event that marks a complete answer.
+func (w *eventWriter) finish(number int) {
+	if w.delayed != nil {
+		w.writeEvent(number, w.delayed)
 	}
 	fmt.Fprintf(w.writer, "data: %s\n\n", openai.DoneEvent)
 }
@@ -177,16 +178,16 @@
 }
 
 func (e *Engine) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
-	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64) // absent means all
+	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64) // all events if absent
 	encode(writer, e.cacheEvents(after))
 }
 
-func (e *Engine) serveLoad(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) serveLoadModel(writer http.ResponseWriter, request *http.Request) {
 	var order backendhttp.LoadOrder
 	if !decode(writer, request, &order) {
 		return
 	}
-	if !e.load(order.Model, order.Fence) {
+	if !e.loadModel(order.Model, order.Fence) {
 		http.Error(writer, "stale fence", http.StatusConflict)
 	}
 }
--- a/lab/standin/machines.go
+++ b/lab/standin/machines.go
@@ -14,51 +14,53 @@
 	"github.com/thornwalk/thornwalk/transport/machinelist"
 )
 
-// Machines stands in for the platform's machine list. It lags.
+// Machines is a stand-in for the platform's machine list. Changes become visible with a
+// delay. It is safe for concurrent use.
 type Machines struct {
-	// Lag is the time after which a change shows.
+	// Lag is the time until a change becomes visible.
 	Lag time.Duration
 
 	mutex    sync.Mutex
 	changes  []machineChange
 	down     bool
 	machines map[string]outside.Machine
-	// version rises with each change that shows.
+	// version increases with each change that becomes visible.
 	version int
 }
 
 type machineChange struct {
-	at      time.Time
-	machine outside.Machine
-	removed bool
+	visibleAt time.Time
+	machine   outside.Machine
+	removed   bool
 }
 
-// NewMachines returns an empty list.
+// NewMachines returns an empty machine list with the given Lag.
 func NewMachines(lag time.Duration) *Machines {
 	return &Machines{Lag: lag, machines: map[string]outside.Machine{}}
 }
 
-// Add enters or changes a machine.
-func (m *Machines) Add(machine outside.Machine) { m.enter(machine, false) }
+// Add adds or replaces a machine.
+func (m *Machines) Add(machine outside.Machine) { m.addChange(machine, false) }
 
-// Remove takes a machine off the list.
-func (m *Machines) Remove(name string) { m.enter(outside.Machine{Name: name}, true) }
+// Remove removes a machine.
+func (m *Machines) Remove(name string) { m.addChange(outside.Machine{Name: name}, true) }
 
-// SetDown makes the list refuse requests.
+// SetDown sets whether the list rejects requests with status 503.
 func (m *Machines) SetDown(down bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.down = down
 }
 
-func (m *Machines) enter(machine outside.Machine, removed bool) {
+func (m *Machines) addChange(machine outside.Machine, removed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.changes = append(m.changes, machineChange{at: time.Now().Add(m.Lag), machine: machine, removed: removed})
+	m.changes = append(m.changes, machineChange{visibleAt: time.Now().Add(m.Lag), machine: machine, removed: removed})
 }
 
-// list returns the machines whose changes show by now.
-func (m *Machines) list() ([]outside.Machine, int, bool) {
+// visibleMachines applies the changes that are visible by now and returns the machines
+// sorted by name and the version. It returns false if the list is down.
+func (m *Machines) visibleMachines() ([]outside.Machine, int, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.down {
@@ -68,7 +70,7 @@
 	pending := m.changes[:0]
 	for _, change := range m.changes {
 		switch {
-		case change.at.After(now):
+		case change.visibleAt.After(now):
 			pending = append(pending, change)
 		case change.removed:
 			m.version++
@@ -87,11 +89,11 @@
 	return machines, m.version, true
 }
 
-// Handler returns the HTTP side.
+// Handler returns the HTTP interface of the machine list.
 func (m *Machines) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(machinelist.Path, func(writer http.ResponseWriter, request *http.Request) {
-		machines, version, up := m.list()
+		machines, version, up := m.visibleMachines()
 		tag := fmt.Sprintf("%q", strconv.Itoa(version))
 		switch {
 		case !up:
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -13,17 +13,17 @@
 	"github.com/thornwalk/thornwalk/transport/backendhttp"
 )
 
-// Service stands in for a plain service, such as a registry of permits.
+// Service is a stand-in for a plain service. It is safe for concurrent use.
 type Service struct {
 	ID structs.ReplicaID
-	// CallTime is the time that one call takes.
+	// CallTime is the duration of a call.
 	CallTime time.Duration
-	// Slots bounds the calls that run at once; more wait.
+	// Slots is the maximum number of concurrent calls. Further calls are queued.
 	Slots int
 
 	mutex      sync.Mutex
 	executions map[string]*Execution
-	order      []string
+	requestIDs []string
 	running    int
 	waiting    int
 	leaving    bool
@@ -32,12 +32,13 @@
 	slots      chan struct{}
 }
 
-// NewService returns a stand-in.
+// NewService returns a service.
 func NewService(id structs.ReplicaID, callTime time.Duration, slots int) *Service {
 	return &Service{ID: id, CallTime: callTime, Slots: slots, executions: map[string]*Execution{}, slots: make(chan struct{}, slots)}
 }
 
-// SetMisbehavior sets how requests fail; nil for none.
+// SetMisbehavior sets the function that selects the fault of each call. Nil means no
+// faults.
 func (s *Service) SetMisbehavior(misbehave func(requestID string) Misbehavior) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -51,18 +52,18 @@
 	s.leaving = true
 }
 
-// Executions returns the records of all calls.
+// Executions returns the records of all calls in the order of their first submission.
 func (s *Service) Executions() []Execution {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	executions := make([]Execution, 0, len(s.order))
-	for _, id := range s.order {
+	executions := make([]Execution, 0, len(s.requestIDs))
+	for _, id := range s.requestIDs {
 		executions = append(executions, *s.executions[id])
 	}
 	return executions
 }
 
-// ServiceAnswer is the body of an answer.
+// ServiceAnswer is the body of the answer to a call.
 type ServiceAnswer struct {
 	RequestID string `json:"request_id"`
 	Replica   string `json:"replica"`
@@ -72,7 +73,7 @@
 	Execution int    `json:"execution"`
 }
 
-// Handler returns the HTTP side.
+// Handler returns the HTTP interface of the service.
 func (s *Service) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(backendhttp.PathLoad, func(w http.ResponseWriter, _ *http.Request) { encode(w, s.report()) })
@@ -96,12 +97,12 @@
 		return
 	}
 	id := request.Header.Get(backendhttp.HeaderRequestID)
-	execution, misbehavior := s.begin(id, request.Header.Get("Idempotency-Key"), string(content))
+	execution, misbehavior := s.recordCall(id, request.Header.Get("Idempotency-Key"), string(content))
 	s.slots <- struct{}{}
-	s.shift(1, -1)
+	s.adjustCounts(1, -1)
 	time.Sleep(s.CallTime)
 	<-s.slots
-	s.shift(-1, 0)
+	s.adjustCounts(-1, 0)
 	s.mutex.Lock()
 	execution.Done = true
 	count := execution.Count
@@ -110,34 +111,34 @@
 	case DiesBeforeAnswer, ForgetsRequest:
 		panic(http.ErrAbortHandler)
 	case AnswersLate:
-		time.Sleep(LateBy)
+		time.Sleep(LateAnswerDelay)
 	case DiesMidAnswer:
 		writer.Header().Set("Content-Length", strconv.Itoa(1<<16))
-		_, _ = writer.Write([]byte(`{"request_id":`)) // the connection is closed below
+		_, _ = writer.Write([]byte(`{"request_id":`)) // the connection is aborted below
 		_ = http.NewResponseController(writer).Flush()
 		panic(http.ErrAbortHandler)
 	}
 	encode(writer, ServiceAnswer{RequestID: id, Replica: string(s.ID), Method: request.Method, Path: request.URL.RequestURI(), Body: string(content), Execution: count})
 }
 
-func (s *Service) begin(id, key, body string) (*Execution, Misbehavior) {
+func (s *Service) recordCall(id, key, body string) (*Execution, Misbehavior) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	execution, found := s.executions[id]
 	if !found {
 		execution = &Execution{RequestID: id, Replica: s.ID, Key: key, Body: body, At: time.Now()}
 		s.executions[id] = execution
-		s.order = append(s.order, id)
+		s.requestIDs = append(s.requestIDs, id)
 	}
 	execution.Count++
 	s.waiting++
 	if s.misbehave == nil {
-		return execution, Behaves
+		return execution, NoMisbehavior
 	}
 	return execution, s.misbehave(id)
 }
 
-func (s *Service) shift(running, waiting int) {
+func (s *Service) adjustCounts(running, waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.running += running
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -12,41 +12,41 @@
 	"github.com/thornwalk/thornwalk/transport/etcdstore"
 )
 
-// StoreFault is what the store does to a call.
+// StoreFault is a fault in the handling of a store call.
 type StoreFault int
 
-// The faults of the store.
+// Faults of the store.
 const (
 	StoreWorks StoreFault = iota
-	// StoreRefuses answers 503 without effect.
+	// StoreRefuses returns status 503 without executing the call.
 	StoreRefuses
-	// StoreLosesAnswer takes effect and closes the connection.
+	// StoreLosesAnswer executes the call and closes the connection without a response.
 	StoreLosesAnswer
-	// StoreHangs takes no effect and never answers.
+	// StoreHangs neither executes the call nor responds.
 	StoreHangs
-	// StoreDelays takes effect after StoreDelay has passed, when the caller may
-	// have given up.
+	// StoreDelays executes the call after StoreDelay, when the caller may have given up.
 	StoreDelays
 )
 
 // StoreDelay is the delay of StoreDelays.
 const StoreDelay = 3 * time.Second
 
-// Store stands in for the platform's key-value service.
+// Store is a stand-in for the platform's key-value service. It is safe for concurrent
+// use.
 type Store struct {
-	// Latency is added to each call.
+	// Latency delays each call. It must be set before the store serves requests.
 	Latency time.Duration
 
-	mutex    sync.Mutex
-	fault    func(path string) StoreFault
-	revision int64
-	keys     map[string]storedKey
-	leases   map[int64]*storedLease
-	nextID   int64
-	changed  chan struct{}
-	calls    map[string]int
-	history  []StoreWrite
-	started  time.Time
+	mutex       sync.Mutex
+	fault       func(path string) StoreFault
+	revision    int64
+	keys        map[string]storedKey
+	leases      map[int64]*storedLease
+	lastLeaseID int64
+	changed     chan struct{}
+	calls       map[string]int
+	writes      []StoreWrite
+	started     time.Time
 }
 
 type storedKey struct {
@@ -60,7 +60,7 @@
 	expires time.Time
 }
 
-// StoreWrite is one write as the store saw it.
+// StoreWrite is a write in the history of the store.
 type StoreWrite struct {
 	Key      string
 	Revision int64
@@ -72,14 +72,15 @@
 	return &Store{keys: map[string]storedKey{}, leases: map[int64]*storedLease{}, changed: make(chan struct{}), calls: map[string]int{}, started: time.Now()}
 }
 
-// SetFault sets the function that decides each call's fault; nil for none.
+// SetFault sets the function that selects the fault of each call by its path. Nil means
+// no faults.
 func (s *Store) SetFault(fault func(path string) StoreFault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// Calls returns the number of calls by path; a waiting watch counts as one.
+// Calls returns the number of calls by path. A watch counts as one call.
 func (s *Store) Calls() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -90,12 +91,12 @@
 	return calls
 }
 
-// Writes returns all writes of the key in order.
+// Writes returns all writes of the key in the order of their revisions.
 func (s *Store) Writes(key string) []StoreWrite {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var writes []StoreWrite
-	for _, write := range s.history {
+	for _, write := range s.writes {
 		if write.Key == key {
 			writes = append(writes, write)
 		}
@@ -103,18 +104,20 @@
 	return writes
 }
 
-// Put writes a key directly, as a test or another program would.
+// Put writes a key without a lease and without latency or faults.
 func (s *Store) Put(key string, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.put(key, value, 0)
 }
 
-// Handler returns the HTTP side.
+// Handler returns the HTTP interface of the store.
 func (s *Store) Handler() http.Handler {
 	router := mux.NewRouter()
 	handle := func(path string, serve func(http.ResponseWriter, *http.Request)) {
-		router.HandleFunc(path, func(writer http.ResponseWriter, request *http.Request) { s.withFault(path, writer, request, serve) })
+		router.HandleFunc(path, func(writer http.ResponseWriter, request *http.Request) {
+			s.serveWithFault(path, writer, request, serve)
+		})
 	}
 	handle(etcdstore.PathRange, s.serveRange)
 	handle(etcdstore.PathTxn, s.serveTxn)
@@ -125,7 +128,7 @@
 	return router
 }
 
-func (s *Store) withFault(path string, writer http.ResponseWriter, request *http.Request, serve func(http.ResponseWriter, *http.Request)) {
+func (s *Store) serveWithFault(path string, writer http.ResponseWriter, request *http.Request, serve func(http.ResponseWriter, *http.Request)) {
 	s.mutex.Lock()
 	s.calls[path]++
 	fault := StoreWorks
@@ -150,7 +153,7 @@
 	}
 }
 
-// discardWriter drops an answer.
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header               { return d.header }
@@ -167,7 +170,7 @@
 
 func encode(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(value) // the caller is gone if this fails
+	_ = json.NewEncoder(writer).Encode(value) // fails only if the caller has closed the connection
 }
 
 func (s *Store) serveRange(writer http.ResponseWriter, request *http.Request) {
@@ -176,16 +179,16 @@
 		return
 	}
 	s.mutex.Lock()
-	s.expire()
-	answer := etcdstore.RangeResponse{Header: etcdstore.Header{Revision: s.revision}}
+	s.removeExpiredLeases()
+	response := etcdstore.RangeResponse{Header: etcdstore.Header{Revision: s.revision}}
 	if stored, found := s.keys[string(message.Key)]; found {
-		answer.KVs = append(answer.KVs, keyValue(message.Key, stored))
+		response.KVs = append(response.KVs, newKeyValue(message.Key, stored))
 	}
 	s.mutex.Unlock()
-	encode(writer, answer)
+	encode(writer, response)
 }
 
-func keyValue(key []byte, stored storedKey) etcdstore.KeyValue {
+func newKeyValue(key []byte, stored storedKey) etcdstore.KeyValue {
 	return etcdstore.KeyValue{Key: key, Value: stored.value, ModRevision: stored.revision}
 }
 
@@ -195,7 +198,7 @@
 		return
 	}
 	s.mutex.Lock()
-	s.expire()
+	s.removeExpiredLeases()
 	succeeded := true
 	for _, compare := range message.Compare {
 		succeeded = succeeded && s.keys[string(compare.Key)].revision == compare.ModRevision
@@ -207,41 +210,44 @@
 			}
 		}
 	}
-	answer := etcdstore.TxnResponse{Header: etcdstore.Header{Revision: s.revision}, Succeeded: succeeded}
+	response := etcdstore.TxnResponse{Header: etcdstore.Header{Revision: s.revision}, Succeeded: succeeded}
 	s.mutex.Unlock()
-	encode(writer, answer)
+	encode(writer, response)
 }
 
-// put writes a key and wakes watches. The mutex is held.
+// put writes a key and wakes the watches. The caller holds the mutex.
 func (s *Store) put(key string, value []byte, lease int64) {
 	s.revision++
 	s.keys[key] = storedKey{value: value, revision: s.revision, lease: lease}
-	s.history = append(s.history, StoreWrite{Key: key, Revision: s.revision, Value: value})
-	s.wake()
+	s.writes = append(s.writes, StoreWrite{Key: key, Revision: s.revision, Value: value})
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
+// notifyWatches wakes all watches. The caller holds the mutex.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire drops the keys of leases that ran out. The mutex is held.
-func (s *Store) expire() {
+// removeExpiredLeases removes expired leases and their keys. The caller holds the
+// mutex.
+func (s *Store) removeExpiredLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
 		if now.After(lease.expires) {
-			s.dropLease(id)
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *Store) dropLease(id int64) {
+// removeLease removes a lease and its keys. The caller holds the mutex.
+func (s *Store) removeLease(id int64) {
 	delete(s.leases, id)
 	for key, stored := range s.keys {
 		if stored.lease == id {
 			s.revision++
 			delete(s.keys, key)
-			s.wake()
+			s.notifyWatches()
 		}
 	}
 }
@@ -252,8 +258,8 @@
 		return
 	}
 	s.mutex.Lock()
-	s.nextID++
-	id := s.nextID
+	s.lastLeaseID++
+	id := s.lastLeaseID
 	ttl := time.Duration(message.TTL) * time.Second
 	s.leases[id] = &storedLease{ttl: ttl, expires: time.Now().Add(ttl)}
 	s.mutex.Unlock()
@@ -266,14 +272,14 @@
 		return
 	}
 	s.mutex.Lock()
-	s.expire()
-	answer := etcdstore.KeepAliveResponse{Result: etcdstore.LeaseResponse{ID: message.ID}}
+	s.removeExpiredLeases()
+	response := etcdstore.KeepAliveResponse{Result: etcdstore.LeaseResponse{ID: message.ID}}
 	if lease, found := s.leases[message.ID]; found {
 		lease.expires = time.Now().Add(lease.ttl)
-		answer.Result.TTL = int64(lease.ttl / time.Second)
+		response.Result.TTL = int64(lease.ttl / time.Second)
 	}
 	s.mutex.Unlock()
-	encode(writer, answer)
+	encode(writer, response)
 }
 
 func (s *Store) serveRevoke(writer http.ResponseWriter, request *http.Request) {
@@ -282,7 +288,7 @@
 		return
 	}
 	s.mutex.Lock()
-	s.dropLease(message.ID)
+	s.removeLease(message.ID)
 	s.mutex.Unlock()
 	encode(writer, etcdstore.LeaseResponse{})
 }
@@ -293,16 +299,18 @@
 		return
 	}
 	encode(writer, etcdstore.WatchResponse{Result: etcdstore.WatchResult{Created: true}})
-	_ = http.NewResponseController(writer).Flush() // a broken connection shows below
-	stored, err := s.await(request.Context(), string(message.Create.Key), message.Create.StartRevision)
+	_ = http.NewResponseController(writer).Flush() // if the connection is broken, the request context ends
+	stored, err := s.awaitRevision(request.Context(), string(message.Create.Key), message.Create.StartRevision)
 	if err != nil {
 		return
 	}
-	event := etcdstore.WatchEvent{Type: "PUT", KV: keyValue(message.Create.Key, stored)}
+	event := etcdstore.WatchEvent{Type: "PUT", KV: newKeyValue(message.Create.Key, stored)}
 	encode(writer, etcdstore.WatchResponse{Result: etcdstore.WatchResult{Events: []etcdstore.WatchEvent{event}}})
 }
 
-func (s *Store) await(ctx context.Context, key string, revision int64) (storedKey, error) {
+// awaitRevision blocks until the key was written at the revision or later, and returns
+// its entry.
+func (s *Store) awaitRevision(ctx context.Context, key string, revision int64) (storedKey, error) {
 	for {
 		s.mutex.Lock()
 		stored := s.keys[key]
--- a/lab/workload/arrivals.go
+++ b/lab/workload/arrivals.go
@@ -28,17 +28,17 @@
 
 // thinkTime is the mean time between the turns of a conversation, counted
 // from the agreed end of the turn before.
-const thinkTime = 4 * time.Second
+const meanThinkTime = 4 * time.Second
 
 // Longest lengths, as multiples of the medians. Answers are bounded by the
 // max_tokens of their route; prompts range over a hundredfold.
 const (
-	longestPrompt = 12
-	LongestOutput = 2
+	maxPromptFactor = 12
+	MaxOutputFactor = 2
 )
 
 // maximumPrompt bounds prompts, as an engine's context does.
-const maximumPrompt = 16000
+const maxPromptTokens = 16000
 
 // burstShare is the part of a run that the burst takes, in its middle.
 const burstShare = 1.0 / 6
@@ -56,10 +56,10 @@
 // of all requests, with every shared prefix computed once, equals the engines'
 // capacity with full batches. The same arguments give the same arrivals.
 func Generate(deployment *Deployment, load float64, duration time.Duration, seed uint64) []Arrival {
-	rate := load * Capacity(deployment) / sessionWork(deployment)
+	rate := load * Capacity(deployment) / meanSessionWork(deployment)
 	g := &generator{deployment: deployment, random: rand.New(rand.NewPCG(seed, 1)), duration: duration}
 	for kind := range deployment.Kinds {
-		g.sessionsOf(kind, rate*deployment.Kinds[kind].Share)
+		g.drawSessions(kind, rate*deployment.Kinds[kind].Share)
 	}
 	sort.SliceStable(g.arrivals, func(i, j int) bool { return g.arrivals[i].At < g.arrivals[j].At })
 	for i := range g.arrivals {
@@ -69,7 +69,7 @@
 }
 
 // sessionsOf draws Poisson arrivals of sessions, thinned outside bursts.
-func (g *generator) sessionsOf(kind int, rate float64) {
+func (g *generator) drawSessions(kind int, rate float64) {
 	factor := 1.0
 	if kind == g.deployment.BurstKind {
 		factor = max(1, g.deployment.BurstFactor)
@@ -77,20 +77,20 @@
 	warmUp := -20 * time.Second // sessions that are under way at the start
 	for at := warmUp; at < g.duration; {
 		at += time.Duration(g.random.ExpFloat64() / (rate * factor) * float64(time.Second))
-		if !g.inBurst(at) && g.random.Float64() > 1/factor {
+		if !g.isInBurst(at) && g.random.Float64() > 1/factor {
 			continue
 		}
-		g.session(kind, at)
+		g.drawSession(kind, at)
 	}
 }
 
-func (g *generator) inBurst(at time.Duration) bool {
+func (g *generator) isInBurst(at time.Duration) bool {
 	middle := g.duration / 2
 	half := time.Duration(burstShare / 2 * float64(g.duration))
 	return at > middle-half && at < middle+half
 }
 
-func (g *generator) session(kindIndex int, at time.Duration) {
+func (g *generator) drawSession(kindIndex int, at time.Duration) {
 	kind := &g.deployment.Kinds[kindIndex]
 	g.sessions++
 	session := g.sessions
@@ -98,32 +98,32 @@
 	for g.random.Float64() > 1/kind.Turns && turns < 10 {
 		turns++
 	}
-	zone := g.zone()
-	tenant := g.tenant()
+	zone := g.drawZone()
+	tenant := g.drawTenant()
 	context := kind.SharedTokens
 	for turn := range turns {
-		prompt := logNormal(g.random, kind.Prompt, kind.PromptSpread, longestPrompt)
+		prompt := logNormal(g.random, kind.Prompt, kind.PromptSpread, maxPromptFactor)
 		if turn > 0 {
 			prompt = max(1, prompt/4)
 		}
-		output := logNormal(g.random, kind.Output, kind.OutputSpread, LongestOutput)
-		context = min(context+prompt, maximumPrompt)
+		output := logNormal(g.random, kind.Output, kind.OutputSpread, MaxOutputFactor)
+		context = min(context+prompt, maxPromptTokens)
 		if at >= 0 && at < g.duration {
 			g.arrivals = append(g.arrivals, Arrival{
 				At: at, Kind: kindIndex, Zone: zone, Tenant: tenant, Session: session, Turn: turn,
 				Node:         g.random.IntN(g.deployment.NodesPerZone[zone]),
 				PromptTokens: context, OutputTokens: output,
-				Chain: chain(kindIndex, session, kind.SharedTokens, context),
+				Chain: blockChain(kindIndex, session, kind.SharedTokens, context),
 			})
 		}
 		context += output
-		at += kind.Deadline/2 + time.Duration(g.random.ExpFloat64()*float64(thinkTime))
+		at += kind.Deadline/2 + time.Duration(g.random.ExpFloat64()*float64(meanThinkTime))
 	}
 }
 
-func (g *generator) zone() int { return g.random.IntN(len(g.deployment.Zones)) }
+func (g *generator) drawZone() int { return g.random.IntN(len(g.deployment.Zones)) }
 
-func (g *generator) tenant() int {
+func (g *generator) drawTenant() int {
 	draw := g.random.Float64()
 	for i, share := range g.deployment.TenantShares {
 		if draw -= share; draw < 0 {
@@ -142,7 +142,7 @@
 
 // chain numbers the blocks of a prompt: those of the kind's shared beginning
 // are the same for all sessions, the rest belong to the session.
-func chain(kind, session, shared, tokens int) []uint64 {
+func blockChain(kind, session, shared, tokens int) []uint64 {
 	blocks := make([]uint64, tokens/structs.BlockTokens)
 	for i := range blocks {
 		owner := uint64(session)<<24 | 1<<63
@@ -160,23 +160,23 @@
 	total := 0.0
 	for _, zone := range deployment.Engines {
 		for _, spec := range zone {
-			total += speedOf(spec) / speedOf(deployment.Engines[0][0])
+			total += tokensPerSecond(spec) / tokensPerSecond(deployment.Engines[0][0])
 		}
 	}
 	return total
 }
 
 // speedOf is the tokens a second of an engine with a full batch.
-func speedOf(spec enginesim.Spec) float64 {
+func tokensPerSecond(spec enginesim.Spec) float64 {
 	step := spec.BaseStep + time.Duration(spec.Slots)*spec.PerSequence
 	return float64(spec.Slots) / step.Seconds()
 }
 
 // sessionWork is the mean time that a session takes of the first engine, with
 // full batches and every prefix computed once.
-func sessionWork(deployment *Deployment) float64 {
+func meanSessionWork(deployment *Deployment) float64 {
 	reference := deployment.Engines[0][0]
-	perToken := 1 / speedOf(reference)
+	perToken := 1 / tokensPerSecond(reference)
 	work := 0.0
 	for index, kind := range deployment.Kinds {
 		prompt := meanLength(kind.Prompt, kind.PromptSpread) * (1 + (kind.Turns-1)/4)
--- a/lab/workload/deployment.go
+++ b/lab/workload/deployment.go
@@ -58,7 +58,7 @@
 }
 
 // Engine generations: the newest is about twice as fast as the oldest.
-func spec(generation string, accelerators int, base time.Duration, factor float64) enginesim.Spec {
+func newSpec(generation string, accelerators int, base time.Duration, factor float64) enginesim.Spec {
 	perAccelerator := func(one time.Duration) time.Duration {
 		return time.Duration(float64(one) * factor / float64(accelerators))
 	}
@@ -77,7 +77,7 @@
 	for i, count := range accelerators {
 		factor := factors[i%len(factors)]
 		base := time.Duration(float64(fastest) * factor)
-		specs[i] = spec(fmt.Sprintf("g%d", len(factors)-i%len(factors)), count, base, factor)
+		specs[i] = newSpec(fmt.Sprintf("g%d", len(factors)-i%len(factors)), count, base, factor)
 	}
 	return specs
 }
