--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity works out the cost of control at the target size from
-// recorded measurements of fleets, by linear fits, and holds it against the
-// budgets.
+// Package capacity extrapolates the cost of control to the target size from recorded
+// fleet measurements by linear fits, and compares it with the budgets. It does not
+// measure.
 package capacity
 
 import (
@@ -18,9 +18,8 @@
 	"github.com/thornwalk/thornwalk/lab/fleet"
 )
 
-// Target is the size that the system is built towards, for one zone of seven,
-// and the budgets of a node. The store's rates are those of the largest deployment that
-// the users described so far, of 295 nodes.
+// Target is the target size, for one of seven zones, and the budgets of a node.
+// StoreReads and StoreWrites are the store's budgets of calls per second for all zones.
 var Target = struct {
 	Nodes, Replicas, Tenants                     float64
 	ClaimsPerZone                                float64
@@ -32,13 +31,13 @@
 	StoreReads: 16000, StoreWrites: 3200, Zones: 7, InForceLimit: 5,
 }
 
-// Measurement is one recorded run.
+// Measurement is the recorded result of a fleet run.
 type Measurement struct {
 	File string
 	fleet.Result
 }
 
-// Load reads the recorded runs of a folder, in the order of their names.
+// Load returns the measurements in the folder, sorted by file name.
 func Load(folder string) ([]Measurement, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "fleet-*.json"))
 	if err != nil {
@@ -53,14 +52,14 @@
 		}
 		m := Measurement{File: filepath.Base(file)}
 		if err := json.Unmarshal(content, &m.Result); err != nil {
-			return nil, fmt.Errorf("%s: %w", file, err)
+			return nil, fmt.Errorf("decode measurement %s: %w", file, err)
 		}
 		measurements = append(measurements, m)
 	}
 	return measurements, nil
 }
 
-// metric is one measured figure of a run.
+// metric is a figure of a measurement with its budget, both in the unit.
 type metric struct {
 	name, unit string
 	value      func(*Measurement) float64
@@ -84,7 +83,7 @@
 	return m.StoreCalls["/v3/kv/range"] + m.StoreCalls["/v3/watch"] + m.StoreCalls["/v3/lease/keepalive"]
 }
 
-// series is the runs in which one size varies.
+// series is a set of measurements in which one size varies.
 type series struct {
 	name     string
 	prefixes []string
@@ -98,14 +97,14 @@
 	{"claims a second in a zone", []string{"fleet-rate-", "fleet-nodes-56"}, func(m *Measurement) float64 { return m.Rate }, Target.ClaimsPerZone},
 }
 
-// Fit is a straight line through measurements of one metric.
+// Fit is a straight line fitted to the measurements of a metric.
 type Fit struct {
 	Intercept, Slope float64
-	// Residual is the root mean square distance of the measurements from it.
+	// Residual is the root mean square distance of the measurements from the line.
 	Residual float64
 }
 
-// At returns the value of the line.
+// At returns the value of the line at the size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
 func fitLine(sizes, values []float64) Fit {
@@ -120,43 +119,45 @@
 	return line
 }
 
-// Write writes the tables as Markdown: the raw figures, the fits and what they
-// give at the target, for each series.
+// Write writes Markdown tables with the measurements, the fits and their values at the
+// target size for each series.
 func Write(writer io.Writer, measurements []Measurement) {
 	for _, s := range allSeries {
-		chosen := s.selectRuns(measurements)
-		if len(chosen) < 3 {
+		runs := s.selectRuns(measurements)
+		if len(runs) < 3 {
 			fmt.Fprintf(writer, "## By %s\n\nnot measured at three sizes\n\n", s.name)
 			continue
 		}
-		s.write(writer, chosen)
+		s.write(writer, runs)
 	}
 	writeMultiZone(writer, measurements)
 }
 
+// selectRuns returns the measurements whose file names have one of the prefixes, sorted
+// by size.
 func (s *series) selectRuns(measurements []Measurement) []Measurement {
-	var chosen []Measurement
+	var runs []Measurement
 	for _, m := range measurements {
 		for _, prefix := range s.prefixes {
 			if strings.HasPrefix(m.File, prefix) {
-				chosen = append(chosen, m)
+				runs = append(runs, m)
 			}
 		}
 	}
-	sort.Slice(chosen, func(i, j int) bool { return s.size(&chosen[i]) < s.size(&chosen[j]) })
-	return chosen
+	sort.Slice(runs, func(i, j int) bool { return s.size(&runs[i]) < s.size(&runs[j]) })
+	return runs
 }
 
-func (s *series) write(writer io.Writer, chosen []Measurement) {
+func (s *series) write(writer io.Writer, runs []Measurement) {
 	fmt.Fprintf(writer, "## By %s\n\n| metric of a node |", s.name)
-	for i := range chosen {
-		fmt.Fprintf(writer, " %.0f |", s.size(&chosen[i]))
+	for i := range runs {
+		fmt.Fprintf(writer, " %.0f |", s.size(&runs[i]))
 	}
-	fmt.Fprintf(writer, " fit | residual | at %.0f | budget |\n|---|%s---|---|---|---|\n", s.target, strings.Repeat("---:|", len(chosen)))
+	fmt.Fprintf(writer, " fit | residual | at %.0f | budget |\n|---|%s---|---|---|---|\n", s.target, strings.Repeat("---:|", len(runs)))
 	for _, m := range metrics {
-		sizes, values := make([]float64, len(chosen)), make([]float64, len(chosen))
-		for i := range chosen {
-			sizes[i], values[i] = s.size(&chosen[i]), m.value(&chosen[i])
+		sizes, values := make([]float64, len(runs)), make([]float64, len(runs))
+		for i := range runs {
+			sizes[i], values[i] = s.size(&runs[i]), m.value(&runs[i])
 		}
 		line := fitLine(sizes, values)
 		fmt.Fprintf(writer, "| %s (%s) |", m.name, m.unit)
@@ -175,7 +176,8 @@
 	return fmt.Sprintf("%.2f", budget)
 }
 
-// writeWhole shows the runs of several zones, which check the fits.
+// writeMultiZone writes the measurements with several zones, which serve as a check of
+// the fits.
 func writeMultiZone(writer io.Writer, measurements []Measurement) {
 	fmt.Fprintf(writer, "## Several zones at once\n\n| run | nodes | replicas | zones | claims/s | processor %% | heap MB | KB/s | writes/s | reads/s | change in force s | views agree s |\n|---|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|\n")
 	for i := range measurements {
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -44,14 +44,18 @@
 	Model         string
 	Engines       []enginesim.Spec
 	// ZoneEngines replaces Engines, zone by zone in the order of Zones.
-	ZoneEngines    [][]enginesim.Spec
-	PlainService   string
-	PlainReplicas  int
-	CallTime       time.Duration
-	Settings       *settings.Tree
-	MachineLag     time.Duration
-	ReportLag      time.Duration
-	StoreLatency   time.Duration
+	ZoneEngines   [][]enginesim.Spec
+	PlainService  string
+	PlainReplicas int
+	// CallTime is the duration of a call of PlainService.
+	CallTime time.Duration
+	Settings *settings.Tree
+	// MachineLag is the time until a change of the machine list becomes visible,
+	// ReportLag the minimum age of engine load reports.
+	MachineLag   time.Duration
+	ReportLag    time.Duration
+	StoreLatency time.Duration
+	// FencelessZones makes all engines accept load orders with a stale fence.
 	FencelessZones bool
 	// Host returns the network as seen from the named host.
 	Host func(name string) network.Network
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the main job on embedded stand-ins: three zones of three
-// nodes each, mixed traffic of four tiers, a change of the settings, a back end
-// that leaves and a node that stops while it runs, and a verdict at the end.
+// Package demo runs mixed traffic of four tiers on an embedded cluster of three zones
+// with three nodes each. During the run it changes the settings, lets a back end leave
+// and drains a node; at the end it checks the guarantees.
 package demo
 
 import (
@@ -34,7 +34,7 @@
 	WastedPrefill  int    `json:"wasted_prefill_tokens"`
 }
 
-// Result is the outcome of the demo.
+// Result is the result of a demo.
 type Result struct {
 	Rows           []Row    `json:"tiers"`
 	ChangeInForce  string   `json:"change_in_force"`
@@ -44,17 +44,17 @@
 	Violations     []string `json:"violations"`
 }
 
-// Options describe a run.
+// Options are the options of a run.
 type Options struct {
 	Duration time.Duration
-	// Rate is the submissions a second.
+	// Rate is the mean number of submissions per second.
 	Rate float64
 	Seed uint64
-	// Progress is told what happens.
+	// Progress is called with a line of text for each event of the run.
 	Progress func(string)
 }
 
-// traffic is one kind of request in the mix.
+// requestKind is a kind of request in the mix.
 type requestKind struct {
 	route, tier, service string
 	rank                 structs.Rank
@@ -74,17 +74,18 @@
 	{route: "registar-app", tier: "appeals", rank: 1, service: "registar-app", share: 0.1, tenant: "restaurants", plain: true, keyed: true, promptWords: 5, deadline: 5 * time.Second},
 }
 
-// engineSpecs are three generations, with few slots so that work queues.
+// engineSpecs are three engine generations with few slots, so that requests are queued.
 var engineSpecs = []enginesim.Spec{
 	{Generation: "g3", Accelerators: 4, Slots: 16, BaseStep: 6 * time.Millisecond, PerSequence: 80 * time.Microsecond, PerPrefillToken: 30 * time.Microsecond, ChunkTokens: 512, CacheBlocks: 800, KVTokens: 80000},
 	{Generation: "g2", Accelerators: 4, Slots: 12, BaseStep: 9 * time.Millisecond, PerSequence: 120 * time.Microsecond, PerPrefillToken: 45 * time.Microsecond, ChunkTokens: 512, CacheBlocks: 800, KVTokens: 60000},
 	{Generation: "g1", Accelerators: 3, Slots: 8, BaseStep: 12 * time.Millisecond, PerSequence: 150 * time.Microsecond, PerPrefillToken: 60 * time.Microsecond, ChunkTokens: 384, CacheBlocks: 600, KVTokens: 40000},
 }
 
-// Zones are those of the Agency.
+// Zones are the zones of the Agency deployment.
 var Zones = []string{"trakiya", "kapana", "maritsa"}
 
-// StartCluster starts the demo's deployment on loopback.
+// StartCluster starts the demo's cluster on loopback and blocks until its nodes are
+// ready. The caller must call Stop.
 func StartCluster(ctx context.Context, seed uint64, logDecisions bool) (*cluster.Cluster, error) {
 	tree, err := examples.Settings("agency")
 	if err != nil {
@@ -99,7 +100,7 @@
 	})
 }
 
-// run is the state of one demo.
+// run is the state of a demo.
 type run struct {
 	cluster *cluster.Cluster
 	options Options
@@ -113,7 +114,8 @@
 	result    Result
 }
 
-// Run runs the demo on a started cluster.
+// Run runs the demo on a started cluster and blocks until all requests have ended. It
+// does not stop the cluster.
 func Run(ctx context.Context, c *cluster.Cluster, options Options) (Result, error) {
 	r := &run{
 		cluster: c, options: options, random: rand.New(rand.NewPCG(options.Seed, 3)),
@@ -132,11 +134,11 @@
 	return r.summarize(), nil
 }
 
-// send submits the mix, open loop, and waits for every end.
+// send submits the mix in an open loop and waits until all requests have ended.
 func (r *run) send(ctx context.Context) {
 	var group sync.WaitGroup
-	begun := time.Now()
-	for number := 0; time.Since(begun) < r.options.Duration && ctx.Err() == nil; number++ {
+	start := time.Now()
+	for number := 0; time.Since(start) < r.options.Duration && ctx.Err() == nil; number++ {
 		submission := r.newSubmission(number)
 		group.Go(func() {
 			observation := r.caller.Send(ctx, submission)
@@ -148,7 +150,7 @@
 }
 
 func (r *run) newSubmission(number int) *cluster.Submission {
-	kind := r.pickTraffic()
+	kind := r.pickKind()
 	zone := Zones[r.random.IntN(len(Zones))]
 	s := &cluster.Submission{
 		Marker: fmt.Sprintf("demo-%d", number), Zone: zone, Address: r.pickAddress(zone), TenantKey: kind.tenant + "-key",
@@ -161,32 +163,33 @@
 	return s
 }
 
-// prompt begins with what the kind shares and goes on with one of a number of
-// conversations.
+// prompt returns a prompt that starts with the prefix of its kind and continues with
+// the text of the conversation.
 func prompt(kind requestKind, conversation int) string {
 	shared := strings.Repeat("Rules of "+kind.route+". ", 40)
 	return shared + strings.Repeat(fmt.Sprintf("Case %d says more. ", conversation), kind.promptWords/4)
 }
 
-func (r *run) pickTraffic() requestKind {
-	draw := r.random.Float64()
+func (r *run) pickKind() requestKind {
+	remaining := r.random.Float64()
 	for _, kind := range mix {
-		if draw -= kind.share; draw < 0 {
+		if remaining -= kind.share; remaining < 0 {
 			return kind
 		}
 	}
 	return mix[0]
 }
 
-// address is the balancer: it picks a node of the zone that is ready.
+// pickAddress returns the caller address of a random ready node of the zone, as a load
+// balancer would. Without a ready node it returns that of the first node.
 func (r *run) pickAddress(zone string) string {
 	var ready []string
 	for index := range r.cluster.Options.NodesPerZone {
 		n := r.cluster.Node(cluster.NodeName(zone, index))
 		r.mutex.Lock()
-		down := r.drained[n.Name()]
+		drained := r.drained[n.Name()]
 		r.mutex.Unlock()
-		if !down && n.Ready() {
+		if !drained && n.Ready() {
 			ready = append(ready, n.CallerAddress())
 		}
 	}
@@ -199,20 +202,20 @@
 func (r *run) record(s *cluster.Submission, o checker.Observation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for name, at := range r.stopTimes {
+	for name, stoppedAt := range r.stopTimes {
 		n := r.cluster.Node(name)
-		o.Stopped = o.Stopped || (s.Address == n.CallerAddress() && o.EndedAt.After(at))
+		o.Stopped = o.Stopped || (s.Address == n.CallerAddress() && o.EndedAt.After(stoppedAt))
 	}
 	r.history.Observations = append(r.history.Observations, o)
 }
 
-// events changes the settings, lets a back end leave and stops a node, each at
-// its part of the run.
+// runEvents changes the settings, lets a back end leave and drains a node, after one,
+// two and three quarters of the run.
 func (r *run) runEvents(ctx context.Context) {
-	part := r.options.Duration / 4
-	time.Sleep(part)
+	quarter := r.options.Duration / 4
+	time.Sleep(quarter)
 	r.changeSettings(ctx)
-	time.Sleep(part)
+	time.Sleep(quarter)
 	engine := r.cluster.Engines[0]
 	r.options.Progress("back end " + string(engine.ID) + " begins to leave")
 	r.mutex.Lock()
@@ -220,13 +223,13 @@
 	r.result.LeftBackend = string(engine.ID)
 	r.mutex.Unlock()
 	engine.SetLeaving()
-	time.Sleep(part)
+	time.Sleep(quarter)
 	r.stopNode(ctx)
 }
 
 func (r *run) changeSettings(ctx context.Context) {
 	first := r.cluster.Node(cluster.NodeName(Zones[0], 0))
-	begun := time.Now()
+	start := time.Now()
 	change := settingsync.Change{ID: uuid.NewString(), Author: "demo", Base: first.Settings().Generation, Edits: []settingsync.Edit{
 		{Path: "tenants/public", Key: "weight", Text: "0.05"},
 	}}
@@ -235,20 +238,21 @@
 		r.result.ChangeInForce = err.Error()
 		return
 	}
-	for time.Since(begun) < checker.InForceLimit {
+	for time.Since(start) < checker.InForceLimit {
 		if r.allNodesReached(record.Generation) {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	taken := time.Since(begun).Round(time.Millisecond)
-	r.options.Progress(fmt.Sprintf("settings generation %d in force on every node after %s", record.Generation, taken))
+	elapsed := time.Since(start).Round(time.Millisecond)
+	r.options.Progress(fmt.Sprintf("settings generation %d in force on every node after %s", record.Generation, elapsed))
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.result.ChangeInForce = taken.String()
+	r.result.ChangeInForce = elapsed.String()
 	r.history.Generations = append(r.history.Generations, r.sampleAllNodes(record.Generation)...)
 }
 
+// allNodesReached reports whether all nodes have at least the settings generation.
 func (r *run) allNodesReached(generation uint64) bool {
 	for _, name := range r.cluster.Names() {
 		if r.cluster.Node(name).Settings().Generation < generation {
@@ -294,7 +298,7 @@
 	return samples
 }
 
-// judge checks the history and sums it up by tier.
+// summarize checks the history and returns the result.
 func (r *run) summarize() Result {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -307,7 +311,7 @@
 	return r.result
 }
 
-// Rows sums a history up by tier, highest first.
+// Rows returns the results of a history by tier, the highest tier first.
 func Rows(history *checker.History) []Row {
 	inTime := map[string]bool{}
 	rows := map[string]*Row{}
@@ -315,8 +319,8 @@
 	tiers := map[string]string{}
 	for i := range history.Observations {
 		o := &history.Observations[i]
-		row, known := rows[o.Tier]
-		if !known {
+		row, found := rows[o.Tier]
+		if !found {
 			row = &Row{Tier: o.Tier}
 			rows[o.Tier] = row
 			ranks[o.Tier] = o.Rank
@@ -337,8 +341,8 @@
 	}
 	for _, execution := range history.Executions {
 		marker := history.MarkerOf(execution)
-		row, known := rows[tiers[marker]]
-		if !known {
+		row, found := rows[tiers[marker]]
+		if !found {
 			continue
 		}
 		row.WastedPrefill += execution.Recomputed
--- a/lab/emulator/baselines.go
+++ b/lab/emulator/baselines.go
@@ -7,19 +7,19 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// chooser picks a replica for a request at a node.
+// chooser selects the replica of a request at a node.
 type chooser func(n *baselineNode, r *record) *replica
 
-// baselineNode hands each request to an engine at once; the engines honour
-// priorities. It stands for what operators would otherwise run.
+// baselineNode dispatches each request to an engine on arrival, without queueing. The
+// engines order requests by rank.
 type baselineNode struct {
 	simulation *simulation
 	replicas   []*replica
 	choose     chooser
 	random     *rand.Rand
 	next       int
-	// reported is the last reported load, and own the requests that this node
-	// has at each replica.
+	// reportedLoad is the load in the latest report of each replica, inFlight the
+	// number of requests of this node at each replica.
 	reportedLoad map[structs.ReplicaID]int
 	inFlight     map[structs.ReplicaID]int
 }
@@ -61,8 +61,8 @@
 	return best
 }
 
-// powerOfTwo compares two random replicas by the larger of the reported load
-// and this node's own requests there.
+// powerOfTwo selects the less loaded of two random replicas. The load of a replica is
+// the larger of its reported load and this node's requests in flight.
 func powerOfTwo(n *baselineNode, _ *record) *replica {
 	first := n.random.IntN(len(n.replicas))
 	second := n.random.IntN(len(n.replicas) - 1)
@@ -76,8 +76,8 @@
 	return n.replicas[first]
 }
 
-// prefixHash sends a conversation always to the same replica, by the part of
-// the prompt behind what its whole kind shares.
+// prefixHash always selects the same replica for a conversation. The key is the first
+// block of the prompt after the part that all requests of its kind share.
 func prefixHash(n *baselineNode, r *record) *replica {
 	key := uint64(r.arrival.Session)
 	if shared := n.simulation.kind(r).SharedTokens / structs.BlockTokens; len(r.arrival.Chain) > shared {
--- a/lab/emulator/eventloop.go
+++ b/lab/emulator/eventloop.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// event is a function to run at a time; equal times run in order of entry.
+// event is a function to be run at a time. Events with the same time run in the order
+// in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// loop is the event queue of one run.
+// eventLoop is the event queue of a simulation. Times are relative to its start.
 type eventLoop struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 }
 
-// after schedules run at the delay from now.
+// after schedules run after the delay.
 func (l *eventLoop) after(delay time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.events, event{at: l.now + delay, sequence: l.sequence, run: run})
 }
 
-// every schedules run at each interval until the time.
+// every schedules run at each interval until the given time.
 func (l *eventLoop) every(interval, until time.Duration, run func()) {
 	var tick func()
 	tick = func() {
@@ -37,7 +38,7 @@
 	l.after(interval, tick)
 }
 
-// runUntil runs events in order up to the time.
+// runUntil runs the events up to the given time in order.
 func (l *eventLoop) runUntil(end time.Duration) {
 	for len(l.events) > 0 && l.events[0].at <= end {
 		next := heap.Pop(&l.events).(event)
--- a/lab/emulator/experiment.go
+++ b/lab/emulator/experiment.go
@@ -11,7 +11,7 @@
 	"github.com/thornwalk/thornwalk/protocol/errkind"
 )
 
-// Policies lists the policies in the order of reports.
+// Policies are the names of all policies in the order of reports.
 var Policies = []string{"round-robin", "least-reported-load", "power-of-two", "prefix-hash", "thornwalk", "oracle"}
 
 var choosers = map[string]chooser{
@@ -21,7 +21,7 @@
 	"prefix-hash":         prefixHash,
 }
 
-// Experiment is a set of runs on the same arrivals.
+// Experiment is a set of runs of several policies on the same arrivals.
 type Experiment struct {
 	Deployment workload.Deployment
 	Load       float64
@@ -29,13 +29,14 @@
 	Duration   time.Duration
 	Policies   []string
 	Conditions Conditions
-	// Adjust changes the options of the thornwalk and oracle policies; nil
-	// leaves them as they are.
+	// Adjust changes the scheduler options of the policies thornwalk and oracle. Nil
+	// means no changes.
 	Adjust func(*scheduler.Options)
 }
 
-// Run runs the policies, each in its own goroutine and on its own world, and
-// returns their results in the order of the names.
+// Run runs all policies concurrently, each in its own simulation, and returns their
+// results in the order of Policies. The error is of kind BadRequest if a policy is
+// unknown.
 func (e *Experiment) Run() ([]Result, error) {
 	for _, policy := range e.Policies {
 		if _, known := choosers[policy]; !known && policy != "thornwalk" && policy != "oracle" {
@@ -102,7 +103,7 @@
 	return lengths
 }
 
-// String names the run for messages.
+// String returns the deployment, load and seed.
 func (e *Experiment) String() string {
 	return fmt.Sprintf("%s load %.2f seed %d", e.Deployment.Name, e.Load, e.Seed)
 }
--- a/lab/emulator/oracle.go
+++ b/lab/emulator/oracle.go
@@ -4,7 +4,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// oraclePrefixes answers from the engines' caches themselves.
+// oraclePrefixes looks prefixes up in the engines' caches, without delay or loss.
 type oraclePrefixes struct {
 	simulation *simulation
 	zone       int
@@ -22,13 +22,13 @@
 
 func (o oraclePrefixes) Holders(chain []uint64) []structs.ReplicaID {
 	var holders []structs.ReplicaID
-	longest := 0
+	maxCached := 0
 	for _, r := range o.simulation.zones[o.zone] {
 		cached := o.CachedTokens(r.ID, chain)
-		if cached > longest {
-			holders, longest = holders[:0], cached
+		if cached > maxCached {
+			holders, maxCached = holders[:0], cached
 		}
-		if cached == longest && cached > 0 {
+		if cached == maxCached && cached > 0 {
 			holders = append(holders, r.ID)
 		}
 	}
@@ -38,7 +38,7 @@
 func (oraclePrefixes) Sent(structs.ReplicaID, []uint64)            {}
 func (oraclePrefixes) Event(structs.ReplicaID, structs.CacheEvent) {}
 
-// oracleLengths knows the length of every answer.
+// oracleLengths has the actual answer length of each request, by request id.
 type oracleLengths struct {
 	byRequest map[string]int
 }
--- a/lab/emulator/result.go
+++ b/lab/emulator/result.go
@@ -10,32 +10,35 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// ShedGuard is the time after a refusal for load in which no lower tier of the
-// zone may be admitted; one that is admitted sooner, or was waiting at the
-// time and was dispatched later, is a shed inversion.
+// ShedGuard is the time after the rejection of a request for overload during which the
+// zone must not admit a request of a lower tier. See Result.ShedInversions.
 const ShedGuard = 100 * time.Millisecond
 
-// Result is the outcome of one policy on one run. Shares are 0 to 1.
+// Result is the result of one policy in an experiment. Shares are from 0 to 1.
 type Result struct {
-	Policy     string             `json:"policy"`
-	Deployment string             `json:"deployment"`
-	Load       float64            `json:"load"`
-	Seed       uint64             `json:"seed"`
-	Goodput    map[string]float64 `json:"goodput"`
-	// GoodputTotal is the share of all requests answered in time.
-	GoodputTotal float64 `json:"goodput_total"`
-	// WastedPrefillTokens counts prompt tokens computed whose request was not
-	// answered in time, or that were cached in the zone when computed again.
+	Policy     string  `json:"policy"`
+	Deployment string  `json:"deployment"`
+	Load       float64 `json:"load"`
+	Seed       uint64  `json:"seed"`
+	// Goodput is the share of the requests of each tier that were answered within their
+	// deadline, GoodputTotal that of all requests.
+	Goodput      map[string]float64 `json:"goodput"`
+	GoodputTotal float64            `json:"goodput_total"`
+	// WastedPrefillTokens counts computed prompt tokens of requests that were not
+	// answered within their deadline, and those that an engine of the zone had cached.
 	WastedPrefillTokens int     `json:"wasted_prefill_tokens"`
 	WastedPrefillShare  float64 `json:"wasted_prefill_share"`
 	TTFTP95MS           float64 `json:"ttft_p95_ms"`
 	DispatchedTwice     int     `json:"dispatched_twice"`
 	FalseNotRun         int     `json:"false_not_run"`
-	ShedInversions      int     `json:"shed_inversions"`
-	Requests            int     `json:"requests"`
+	// ShedInversions counts rejections for overload at a time when a request of a lower
+	// tier of the zone was queued and was dispatched later, or less than ShedGuard
+	// before such a request was admitted.
+	ShedInversions int `json:"shed_inversions"`
+	Requests       int `json:"requests"`
 }
 
-// maximumTTFT bounds the histogram of times to the first token, in microseconds.
+// maxTTFTMicros is the upper bound of the histogram of times to the first token.
 const maxTTFTMicros = int64(time.Hour / time.Microsecond)
 
 func (s *simulation) result(policy string, load float64, seed uint64) Result {
@@ -43,20 +46,20 @@
 	sent := map[string]int{}
 	inTime := map[string]int{}
 	firstTokens := hdrhistogram.New(1, maxTTFTMicros, 3)
-	total, computed := 0, 0
+	inTimeTotal, computed := 0, 0
 	for i := range s.records {
 		r := &s.records[i]
 		tier := s.kind(r).Tier
 		sent[tier]++
-		good := r.answered && r.answeredAt-r.admittedAt <= s.kind(r).Deadline
-		if good {
+		answeredInTime := r.answered && r.answeredAt-r.admittedAt <= s.kind(r).Deadline
+		if answeredInTime {
 			inTime[tier]++
-			total++
+			inTimeTotal++
 		}
 		computed += r.job.Prefilled
-		result.WastedPrefillTokens += wastedTokens(r, good)
+		result.WastedPrefillTokens += wastedTokens(r, answeredInTime)
 		if r.firstTokenAt > 0 {
-			_ = firstTokens.RecordValue(min((r.firstTokenAt - r.admittedAt).Microseconds(), maxTTFTMicros)) // clamped
+			_ = firstTokens.RecordValue(min((r.firstTokenAt - r.admittedAt).Microseconds(), maxTTFTMicros)) // always in range
 		}
 		if r.dispatches > 1 {
 			result.DispatchedTwice++
@@ -68,15 +71,15 @@
 	for tier, count := range sent {
 		result.Goodput[tier] = roundShare(float64(inTime[tier]) / float64(count))
 	}
-	result.GoodputTotal = roundShare(float64(total) / float64(max(1, len(s.records))))
+	result.GoodputTotal = roundShare(float64(inTimeTotal) / float64(max(1, len(s.records))))
 	result.WastedPrefillShare = roundShare(float64(result.WastedPrefillTokens) / float64(max(1, computed)))
 	result.TTFTP95MS = math.Round(float64(firstTokens.ValueAtQuantile(95))/100) / 10
 	result.ShedInversions = s.countShedInversions()
 	return result
 }
 
-func wastedTokens(r *record, good bool) int {
-	if good {
+func wastedTokens(r *record, answeredInTime bool) int {
+	if answeredInTime {
 		return r.job.Recomputed
 	}
 	return r.job.Prefilled
@@ -84,12 +87,12 @@
 
 func roundShare(share float64) float64 { return math.Round(share*10000) / 10000 }
 
-// span is the time in which a shedding of a higher tier would have been an
-// inversion with respect to one dispatched request.
+// span is the time during which the rejection of a higher tier counts as an inversion
+// because of one dispatched request.
 type span struct{ start, end time.Duration }
 
-// inversions counts refusals for load while a lower tier of the same zone was
-// waiting and later dispatched, or was admitted within ShedGuard.
+// countShedInversions counts the shed inversions of all zones and tiers, as defined at
+// Result.ShedInversions.
 func (s *simulation) countShedInversions() int {
 	count := 0
 	for zone := range s.zones {
@@ -117,8 +120,8 @@
 	return false
 }
 
-// lowerSpans returns the spans of lower tiers by start, with running maxima of
-// the ends.
+// lowerTierSpans returns the spans of the tiers below rank, sorted by start. The end of
+// each span is the maximum of the ends up to it, as isCovered requires.
 func (s *simulation) lowerTierSpans(zone int, rank structs.Rank) []span {
 	var spans []span
 	for i := range s.records {
@@ -134,7 +137,8 @@
 	return spans
 }
 
+// isCovered reports whether any of the spans contains the time.
 func isCovered(spans []span, at time.Duration) bool {
-	after := sort.Search(len(spans), func(i int) bool { return spans[i].start > at })
-	return after > 0 && spans[after-1].end > at
+	firstAfter := sort.Search(len(spans), func(i int) bool { return spans[i].start > at })
+	return firstAfter > 0 && spans[firstAfter-1].end > at
 }
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -11,28 +11,28 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Conditions are the disturbances of a run.
+// Conditions are the disturbances in a simulation.
 type Conditions struct {
-	// PollInterval is the time between load reports of a replica; each is
-	// delivered after a delay between LagMin and LagMax.
+	// PollInterval is the time between load reports of a replica. Each report is
+	// delivered after a random delay from MinLag to MaxLag.
 	PollInterval, MinLag, MaxLag time.Duration
-	// EventInterval is the time between batches of cache events, EventLag
-	// their delay and EventLoss the share of batches that are lost.
+	// EventInterval is the time between batches of cache events, EventLag their delay
+	// and EventLossShare the share of lost batches.
 	EventInterval, EventLag time.Duration
 	EventLossShare          float64
-	// SlowFactor slows the fastest engine of the first zone in the third
-	// quarter of the run.
+	// SlowdownFactor multiplies the step time of the first engine of the first zone
+	// during the third quarter of the run.
 	SlowdownFactor float64
 }
 
-// DefaultConditions are those of the experiment.
+// DefaultConditions are the conditions of the published experiments.
 var DefaultConditions = Conditions{
 	PollInterval: 100 * time.Millisecond, MinLag: 50 * time.Millisecond, MaxLag: 250 * time.Millisecond,
 	EventInterval: 500 * time.Millisecond, EventLag: 300 * time.Millisecond, EventLossShare: 0.1,
 	SlowdownFactor: 3,
 }
 
-// record is what the emulator itself saw of one request.
+// record is the simulation's record of a request.
 type record struct {
 	arrival      *workload.Arrival
 	job          enginesim.Job
@@ -43,7 +43,7 @@
 	answeredAt   time.Duration
 	rejectedAt   time.Duration
 	reason       structs.Reason
-	// dispatches counts submissions at engines, as the engines saw them.
+	// dispatches counts the submissions that reached an engine.
 	dispatches int
 	dispatched bool
 	rejected   bool
@@ -51,7 +51,7 @@
 	abandoned  bool
 }
 
-// replica is one emulated engine.
+// replica is an emulated engine.
 type replica struct {
 	structs.Replica
 	engine   *enginesim.Engine
@@ -61,21 +61,21 @@
 	step     func()
 }
 
-// node is one emulated entry node under some policy.
+// node is an emulated entry node with some policy.
 type node interface {
-	// arrive takes a request from a caller.
+	// arrive handles a request from a caller.
 	arrive(*record)
-	// report and cacheEvents deliver late news of a replica of the zone.
+	// report and cacheEvents deliver delayed updates of a replica of the zone.
 	report(structs.LoadReport)
 	cacheEvents(structs.ReplicaID, []structs.CacheEvent)
-	// firstToken and done tell the progress of a dispatched request.
+	// firstToken and done report the progress of a dispatched request.
 	firstToken(*record)
 	done(*record)
-	// abandon tells that the caller gave up at its deadline.
+	// abandon reports that the caller has given up at its deadline.
 	abandon(*record)
 }
 
-// world is one run.
+// simulation is the state of one run of one policy.
 type simulation struct {
 	eventLoop
 	deployment *workload.Deployment
@@ -119,7 +119,7 @@
 	return r
 }
 
-// run plays the arrivals and lets the requests that are under way end.
+// run processes the arrivals and continues until all requests have ended.
 func (s *simulation) run(arrivals []workload.Arrival) {
 	s.records = make([]record, len(arrivals))
 	for i := range arrivals {
@@ -132,12 +132,13 @@
 	s.runUntil(s.duration + s.settleTime())
 }
 
+// settleTime is the time after the last arrival within which all requests end.
 func (s *simulation) settleTime() time.Duration {
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, kind := range s.deployment.Kinds {
-		longest = max(longest, kind.Deadline)
+		maxDeadline = max(maxDeadline, kind.Deadline)
 	}
-	return longest + time.Second
+	return maxDeadline + time.Second
 }
 
 func (s *simulation) kind(r *record) *workload.Kind { return &s.deployment.Kinds[r.arrival.Kind] }
@@ -150,7 +151,7 @@
 	s.node(r).arrive(r)
 }
 
-// expire is the caller's hanging up; the node cancels at the engine.
+// expire ends the request of a caller at its deadline, at the node and at the engine.
 func (s *simulation) expire(r *record) {
 	if r.answered || r.rejected {
 		return
@@ -180,7 +181,7 @@
 	})
 }
 
-// refuse ends the request as not run.
+// reject ends the request without a run.
 func (s *simulation) reject(r *record, reason structs.Reason) {
 	r.rejected = true
 	r.rejectedAt = s.now
@@ -203,7 +204,7 @@
 	s.beginStep(r)
 }
 
-// tell carries first and last tokens back to the node.
+// sendProgress reports first and last tokens to the node after the network delay.
 func (s *simulation) sendProgress(r *record, first, done bool) {
 	s.after(s.deployment.WithinZone, func() {
 		if first && r.firstTokenAt == 0 {
@@ -218,7 +219,7 @@
 	})
 }
 
-// startReports delivers load reports and cache events late, and loses some.
+// startReports schedules the load reports and cache events of all replicas.
 func (s *simulation) startReports() {
 	end := s.duration + s.settleTime()
 	for zone, replicas := range s.zones {
@@ -241,8 +242,8 @@
 	report := s.reportOf(r)
 	r.sequence++
 	report.Sequence = r.sequence
-	spread := s.conditions.MaxLag - s.conditions.MinLag
-	report.Age = s.conditions.MinLag + time.Duration(s.random.Int64N(int64(spread)+1))
+	lagRange := s.conditions.MaxLag - s.conditions.MinLag
+	report.Age = s.conditions.MinLag + time.Duration(s.random.Int64N(int64(lagRange)+1))
 	s.after(report.Age, func() {
 		for _, n := range s.nodes[zone] {
 			n.report(report)
@@ -264,7 +265,7 @@
 	if s.conditions.SlowdownFactor <= 1 {
 		return
 	}
-	slow := s.zones[0][0].engine
-	s.after(s.duration/2, func() { slow.Slowdown = s.conditions.SlowdownFactor })
-	s.after(s.duration*3/4, func() { slow.Slowdown = 1 })
+	slowed := s.zones[0][0].engine
+	s.after(s.duration/2, func() { slowed.Slowdown = s.conditions.SlowdownFactor })
+	s.after(s.duration*3/4, func() { slowed.Slowdown = 1 })
 }
--- a/lab/emulator/thornwalk.go
+++ b/lab/emulator/thornwalk.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// tickInterval is the time between looks at deadlines and leases.
+	// tickInterval is the time between checks of deadlines and floor leases.
 	tickInterval = 20 * time.Millisecond
-	// demandInterval is the least time between repeated demands for a floor.
+	// minDemandInterval is the minimum time between two sends of the same floor demand.
 	minDemandInterval = 100 * time.Millisecond
 )
 
-// thornwalkNode drives the daemon's scheduler and shed floor.
+// thornwalkNode is a node with the daemon's scheduler and shed floor.
 type thornwalkNode struct {
 	simulation  *simulation
 	zone        int
@@ -32,18 +32,19 @@
 	member      *shedding.Member
 	byID        map[string]*record
 	lastDemands map[scheduler.Demand]time.Duration
-	// fresh makes the node see the present load of every replica; for the oracle.
+	// seesCurrentLoad gives the node the current load of every replica before it
+	// schedules. It is set for the oracle only.
 	seesCurrentLoad bool
 }
 
 func newThornwalkNode(s *simulation, zone, index int, options scheduler.Options, random *rand.Rand) *thornwalkNode {
-	lowest := s.deployment.LowestRank()
+	lowestRank := s.deployment.LowestRank()
 	name := fmt.Sprintf("%s-node-%d", s.deployment.Zones[zone], index)
 	n := &thornwalkNode{
 		simulation: s, zone: zone, name: name,
 		scheduler: scheduler.New(options, random),
-		owner:     shedding.NewOwner(name, lowest, options.FloorDemandTTL),
-		member:    shedding.NewMember(name, lowest),
+		owner:     shedding.NewOwner(name, lowestRank, options.FloorDemandTTL),
+		member:    shedding.NewMember(name, lowestRank),
 		byID:      map[string]*record{}, lastDemands: map[scheduler.Demand]time.Duration{},
 	}
 	n.scheduler.SetLiveNodes(s.deployment.NodesPerZone[zone])
@@ -54,15 +55,15 @@
 	return n
 }
 
-// join tells the node its peers, itself included.
+// setPeers sets the nodes of the zone, including this one, and their names.
 func (n *thornwalkNode) setPeers(peers map[string]*thornwalkNode, members []string) {
 	n.peers, n.members = peers, members
 }
 
 func (n *thornwalkNode) arrive(r *record) {
 	n.byID[r.arrival.ID] = r
-	plan, refused := n.scheduler.Submit(n.simulation.now, n.request(r))
-	if refused {
+	plan, rejected := n.scheduler.Submit(n.simulation.now, n.request(r))
+	if rejected {
 		n.execute(plan)
 	}
 	n.schedule()
@@ -79,6 +80,7 @@
 	}
 }
 
+// schedule executes the decisions for queued requests.
 func (n *thornwalkNode) schedule() {
 	if n.seesCurrentLoad && n.scheduler.Waiting() > 0 {
 		for _, r := range n.simulation.zones[n.zone] {
@@ -91,6 +93,7 @@
 	n.sendDemands()
 }
 
+// execute dispatches or rejects a request as the scheduler decided.
 func (n *thornwalkNode) execute(plan structs.Plan) {
 	r := n.byID[plan.Request.ID]
 	if plan.Verdict == structs.VerdictDispatch {
@@ -101,19 +104,20 @@
 	n.simulation.reject(r, plan.Reason)
 }
 
-// newsDelay is the time in which heartbeats carry news to the other nodes.
+// announceDelay is the time until sent prefixes reach the other nodes with heartbeats.
 const announceDelay = 300 * time.Millisecond
 
-// tellSent tells the other nodes the end of the prefix that a replica was sent.
+// announceSent sends the last block of a prefix that was sent to a replica to the other
+// nodes.
 func (n *thornwalkNode) announceSent(id structs.ReplicaID, chain []uint64) {
 	if len(chain) == 0 {
 		return
 	}
-	end := chain[len(chain)-1:]
+	lastBlock := chain[len(chain)-1:]
 	n.simulation.after(announceDelay, func() {
 		for _, name := range n.members {
 			if name != n.name {
-				n.peers[name].scheduler.Prefixes().Sent(id, end)
+				n.peers[name].scheduler.Prefixes().Sent(id, lastBlock)
 			}
 		}
 	})
@@ -160,19 +164,19 @@
 	n.schedule()
 }
 
-// sendDemands carries demands to the owner of the floor.
+// sendDemands sends floor demands to the owner of the floor of each service.
 func (n *thornwalkNode) sendDemands() {
 	for _, demand := range n.scheduler.Demands(n.simulation.now) {
-		last, sent := n.lastDemands[demand]
-		if sent && n.simulation.now-last < minDemandInterval {
+		sentAt, sent := n.lastDemands[demand]
+		if sent && n.simulation.now-sentAt < minDemandInterval {
 			continue
 		}
 		n.lastDemands[demand] = n.simulation.now
-		owner := n.peers[rendezvous.Top(n.members, rendezvous.Key(demand.Service), 1)[0]]
+		ownerNode := n.peers[rendezvous.Top(n.members, rendezvous.Key(demand.Service), 1)[0]]
 		message := shedding.Demand{Service: demand.Service, Rank: demand.Rank, From: n.name}
 		n.simulation.after(n.simulation.deployment.WithinZone, func() {
-			owner.owner.Demand(n.simulation.now, message)
-			owner.advanceFloor(message.Service)
+			ownerNode.owner.Demand(n.simulation.now, message)
+			ownerNode.advanceFloor(message.Service)
 		})
 	}
 }
@@ -184,10 +188,11 @@
 	}
 }
 
-// deliver applies a floor at a peer and carries the acknowledgement back.
-func (n *thornwalkNode) deliverFloor(peer *thornwalkNode, set shedding.FloorUpdate) {
-	ack := peer.member.Apply(n.simulation.now, set)
-	peer.applyFloor(set.Service)
+// deliverFloor applies a floor update at a peer and returns the acknowledgement to the
+// owner.
+func (n *thornwalkNode) deliverFloor(peer *thornwalkNode, update shedding.FloorUpdate) {
+	ack := peer.member.Apply(n.simulation.now, update)
+	peer.applyFloor(update.Service)
 	n.simulation.after(n.simulation.deployment.WithinZone, func() {
 		n.owner.Ack(ack)
 		n.advanceFloor(ack.Service)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs many hollow nodes and replicas in one process: the nodes
-// run the daemon's own code for membership, settings, load reports, limits and
-// claims on a network in memory, and what they cost is measured.
+// Package fleet measures the cost of control in a fleet of nodes and replicas in one
+// process. The nodes run the daemon's own code for membership, settings, load reports,
+// limits and claims on a network in memory; the engines get no requests.
 package fleet
 
 import (
@@ -26,53 +26,54 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Options describe a fleet.
+// Options are the options of a fleet.
 type Options struct {
 	Nodes, Replicas, Zones, Tenants int
 	Duration                        time.Duration
-	// WarmUp is the time before the measurement in which news of the start
-	// spreads.
+	// WarmUp is the time before the measurement in which the updates of the start reach
+	// all nodes.
 	WarmUp time.Duration
-	// Rate is the requests a second over all nodes. Each is keyed and must not
-	// be repeated, so that it costs a registration and a claim.
+	// Rate is the number of requests per second over all nodes. Each has a key and a
+	// route that is not repeatable, so that it needs a registration and a claim.
 	Rate         float64
 	PollInterval time.Duration
 	Heartbeat    time.Duration
 	Progress     func(string)
 }
 
-// Result is what was measured. Figures of a node are means over the nodes.
+// Result is the result of a measurement. Figures per node are means over the nodes.
 type Result struct {
 	Nodes    int     `json:"nodes"`
 	Replicas int     `json:"replicas"`
 	Zones    int     `json:"zones"`
 	Tenants  int     `json:"tenants"`
 	Rate     float64 `json:"rate"`
-	// CPUShare is the share of a core that a node used, with its part of the
-	// stand-ins, which run in the same process: an upper bound.
+	// CPUShare is the share of a core per node. It includes the stand-ins, which run in
+	// the same process, and is therefore an upper bound.
 	CPUShare float64 `json:"cpu_share"`
-	// HeapBytes is the live heap for each node, stand-ins included.
+	// HeapBytes is the live heap per node, including the stand-ins.
 	HeapBytes int64 `json:"heap_bytes"`
-	// InBytes and OutBytes are bytes a second of a node over all connections,
-	// PeerBytes those sent to peers by kind of message.
+	// InBytes and OutBytes are the bytes per second and node over all connections,
+	// PeerBytes those sent to peers by message kind.
 	InBytes   float64            `json:"in_bytes_s"`
 	OutBytes  float64            `json:"out_bytes_s"`
 	PeerBytes map[string]float64 `json:"peer_out_bytes_s"`
-	// StoreCalls is the store's calls a second in all zones together, by path.
+	// StoreCalls is the number of store calls per second of all zones together, by
+	// path.
 	StoreCalls map[string]float64 `json:"store_calls_s"`
-	// SettingsBytes is the size of the settings in the store.
+	// SettingsBytes is the size of the initial settings in the store.
 	SettingsBytes int `json:"settings_bytes"`
-	// ChangeInForce is the time until a change was in force on every node.
+	// ChangeInForce is the time until a settings change was active on every node.
 	ChangeInForce time.Duration `json:"change_in_force_ns"`
-	// ViewsAgree is the time after killing a tenth of the nodes until every
-	// other node's view was right.
+	// ViewsAgree is the time from the killing of a tenth of the nodes until every other
+	// node had the correct number of live nodes.
 	ViewsAgree time.Duration `json:"views_agree_ns"`
 	Killed     int           `json:"killed"`
 	Answered   int64         `json:"answered"`
 	Sent       int64         `json:"sent"`
 }
 
-// fleet is a running fleet.
+// fleet is the state of a measurement.
 type fleet struct {
 	options        Options
 	cluster        *cluster.Cluster
@@ -82,7 +83,7 @@
 	answeredInTime atomic.Int64
 }
 
-// Run starts the fleet, measures it and stops it.
+// Run starts a fleet, measures it and stops it.
 func Run(ctx context.Context, options Options) (Result, error) {
 	f := &fleet{options: options, fabric: memnet.New()}
 	var err error
@@ -102,7 +103,7 @@
 	return result, nil
 }
 
-// hollowEngine is an engine that is never asked to generate.
+// idleEngine is the spec of an engine that gets no requests.
 var idleEngine = enginesim.Spec{Generation: "g3", Accelerators: 4, Slots: 32, BaseStep: 6 * time.Millisecond, PerSequence: 80 * time.Microsecond, PerPrefillToken: 30 * time.Microsecond, ChunkTokens: 512, CacheBlocks: 16, KVTokens: 160000}
 
 func (f *fleet) clusterOptions() cluster.Options {
@@ -124,7 +125,8 @@
 	}
 }
 
-// settings is a tree with the given number of tenants, some of them limited.
+// newSettings returns settings with the number of tenants of the options, each with a
+// rate limit.
 func (f *fleet) newSettings() *settings.Tree {
 	branches := []settings.Branch{
 		{Path: "node", Settings: []settings.Setting{{Key: "poll_interval", Text: f.options.PollInterval.String()}, {Key: "heartbeat_interval", Text: f.options.Heartbeat.String()}}},
@@ -141,7 +143,7 @@
 
 func tenantKey(number int) string { return fmt.Sprintf("key-%d", number) }
 
-// measureSteady measures the fleet while it serves at the given rate.
+// measureSteady measures the fleet while it serves requests at the rate of the options.
 func (f *fleet) measureSteady(ctx context.Context, result *Result) {
 	runtime.GC()
 	var memory runtime.MemStats
@@ -149,22 +151,22 @@
 	result.HeapBytes = int64(memory.HeapAlloc) / int64(f.options.Nodes)
 	cpuBefore, storeBefore := processTime(), f.cluster.Store.Calls()
 	inBefore, outBefore, peersBefore := f.in.Load(), f.out.Load(), f.peerBytes()
-	begun := time.Now()
+	start := time.Now()
 	f.sendLoad(ctx)
-	seconds := time.Since(begun).Seconds()
+	elapsedSeconds := time.Since(start).Seconds()
 	nodes := float64(f.options.Nodes)
-	result.CPUShare = (processTime() - cpuBefore).Seconds() / seconds / nodes
-	result.InBytes = float64(f.in.Load()-inBefore) / seconds / nodes
-	result.OutBytes = float64(f.out.Load()-outBefore) / seconds / nodes
+	result.CPUShare = (processTime() - cpuBefore).Seconds() / elapsedSeconds / nodes
+	result.InBytes = float64(f.in.Load()-inBefore) / elapsedSeconds / nodes
+	result.OutBytes = float64(f.out.Load()-outBefore) / elapsedSeconds / nodes
 	result.PeerBytes = map[string]float64{}
 	for kind, bytes := range f.peerBytes() {
-		if rate := float64(bytes-peersBefore[kind]) / seconds / nodes; rate > 0 {
+		if rate := float64(bytes-peersBefore[kind]) / elapsedSeconds / nodes; rate > 0 {
 			result.PeerBytes[kind] = rate
 		}
 	}
 	result.StoreCalls = map[string]float64{}
 	for path, count := range f.cluster.Store.Calls() {
-		if rate := float64(count-storeBefore[path]) / seconds; rate > 0 {
+		if rate := float64(count-storeBefore[path]) / elapsedSeconds; rate > 0 {
 			result.StoreCalls[path] = rate
 		}
 	}
@@ -174,7 +176,8 @@
 	result.Sent, result.Answered = f.sent.Load(), f.answeredInTime.Load()
 }
 
-// processTime is the processor time of the process so far.
+// processTime returns the processor time that the process has used, or zero if it is
+// unknown.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -183,7 +186,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// peerBytes sums what the nodes sent to peers, by kind of message.
+// peerBytes returns the bytes that all nodes sent to peers, by message kind.
 func (f *fleet) peerBytes() map[string]int64 {
 	totals := map[string]int64{}
 	for _, name := range f.cluster.Names() {
@@ -197,7 +200,8 @@
 	return totals
 }
 
-// load sends keyed requests at the rate for the duration.
+// sendLoad sends keyed requests at the rate of the options and waits until they have
+// ended.
 func (f *fleet) sendLoad(ctx context.Context) {
 	if f.options.Rate <= 0 {
 		time.Sleep(f.options.Duration)
@@ -205,10 +209,10 @@
 	}
 	caller := cluster.NewCaller(f.fabric.Host("caller"))
 	names := f.cluster.Names()
-	begun := time.Now()
+	start := time.Now()
 	var group sync.WaitGroup
-	for number := 0; time.Since(begun) < f.options.Duration && ctx.Err() == nil; number++ {
-		due := begun.Add(time.Duration(float64(number) / f.options.Rate * float64(time.Second)))
+	for number := 0; time.Since(start) < f.options.Duration && ctx.Err() == nil; number++ {
+		due := start.Add(time.Duration(float64(number) / f.options.Rate * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		name := names[number%len(names)]
 		submission := &cluster.Submission{
@@ -225,53 +229,59 @@
 	group.Wait()
 }
 
-// waitLimit bounds the waits of the measurements below.
+// waitTimeout is the timeout of waitUntil.
 const waitTimeout = 60 * time.Second
 
+// measureSettingsChange measures the time until a settings change is active on every
+// node.
 func (f *fleet) measureSettingsChange(ctx context.Context, result *Result) error {
 	first := f.cluster.Node(f.cluster.Names()[0])
-	begun := time.Now()
+	start := time.Now()
 	record, err := first.Change(ctx, settingsync.Change{ID: uuid.NewString(), Author: "fleet", Base: first.Settings().Generation, Edits: []settingsync.Edit{
 		{Path: "tenants", Key: "burst", Text: "50"},
 	}})
 	if err != nil {
 		return err
 	}
-	result.ChangeInForce = f.waitUntil(begun, func(n *node.Node) bool { return n.Settings().Generation >= record.Generation }, nil)
+	result.ChangeInForce = f.waitUntil(start, func(n *node.Node) bool { return n.Settings().Generation >= record.Generation }, nil)
 	f.options.Progress(fmt.Sprintf("a change was in force on every node after %s", result.ChangeInForce))
 	return nil
 }
 
-// measureLoss kills every tenth node.
+// measureNodeLoss kills every tenth node and measures the time until the others have
+// noticed.
 func (f *fleet) measureNodeLoss(result *Result) {
-	dead := map[string]bool{}
-	killed := map[string]int{}
+	killedNodes := map[string]bool{}
+	killedByZone := map[string]int{}
 	for index, name := range f.cluster.Names() {
 		if index%10 == 0 && f.options.Nodes > 1 {
-			dead[name] = true
-			killed[zoneOfNode(name)]++
+			killedNodes[name] = true
+			killedByZone[zoneOfNode(name)]++
 		}
 	}
-	result.Killed = len(dead)
+	result.Killed = len(killedNodes)
 	var group sync.WaitGroup
-	for name := range dead {
+	for name := range killedNodes {
 		group.Go(f.cluster.Node(name).Kill)
 	}
 	group.Wait()
 	result.ViewsAgree = f.waitUntil(time.Now(), func(n *node.Node) bool {
-		return n.LiveNodes() == f.cluster.Options.NodesPerZone-killed[zoneOfNode(n.Name())]
-	}, dead)
-	f.options.Progress(fmt.Sprintf("%d nodes killed; all views were right after %s", len(dead), result.ViewsAgree))
+		return n.LiveNodes() == f.cluster.Options.NodesPerZone-killedByZone[zoneOfNode(n.Name())]
+	}, killedNodes)
+	f.options.Progress(fmt.Sprintf("%d nodes killed; all views were right after %s", len(killedNodes), result.ViewsAgree))
 }
 
+// zoneOfNode returns the zone in the name of a node.
 func zoneOfNode(name string) string {
 	zone, _, _ := strings.Cut(name, "-")
 	return zone
 }
 
-// until returns the time until the condition holds on every node not excluded.
-func (f *fleet) waitUntil(begun time.Time, holds func(*node.Node) bool, excluded map[string]bool) time.Duration {
-	for time.Since(begun) < waitTimeout {
+// waitUntil waits until the condition holds on all nodes that are not excluded, or
+// until waitTimeout after start. It returns the time since start, rounded to
+// milliseconds.
+func (f *fleet) waitUntil(start time.Time, holds func(*node.Node) bool, excluded map[string]bool) time.Duration {
+	for time.Since(start) < waitTimeout {
 		all := true
 		for _, name := range f.cluster.Names() {
 			all = all && (excluded[name] || holds(f.cluster.Node(name)))
@@ -281,5 +291,5 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(begun).Round(time.Millisecond)
+	return time.Since(start).Round(time.Millisecond)
 }
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -8,8 +8,8 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// countingNetwork counts the bytes that a node sends and receives over all its
-// connections, by whoever they were opened.
+// countingNetwork counts the bytes that a node sends and receives over all connections,
+// including accepted ones.
 type countingNetwork struct {
 	network.Network
 	in, out *atomic.Int64
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -1,5 +1,6 @@
-// Package loadgen sends open-loop arrivals at a running deployment on loopback,
-// bounded in count and time, and measures what callers see.
+// Package loadgen sends an open-loop workload to a running deployment on loopback and
+// measures the results from the view of the callers. It rejects addresses that are not
+// on loopback.
 package loadgen
 
 import (
@@ -21,25 +22,26 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Limits of a run, whatever is asked for.
+// Limits of a run. Options beyond them are reduced.
 const (
 	MaxRequests = 100_000
 	MaxDuration = 10 * time.Minute
 )
 
-// Options describe a run.
+// Options are the options of a run.
 type Options struct {
 	Deployment workload.Deployment
-	// Addresses are the callers' addresses of the nodes, zone by zone in turn.
+	// Addresses are the caller addresses of the nodes. Requests are distributed
+	// round-robin.
 	Addresses []string
-	// TenantKeys are the bearer keys of the tenants, the largest first.
+	// TenantKeys are the bearer keys of the tenants, in the order of their shares.
 	TenantKeys []string
 	Load       float64
 	Duration   time.Duration
 	Seed       uint64
 }
 
-// Row is what the callers of one tier saw.
+// Row is the result of one tier.
 type Row struct {
 	Tier           string  `json:"tier"`
 	Sent           int     `json:"sent"`
@@ -52,16 +54,16 @@
 	WrongOrPartial int     `json:"wrong_or_partial"`
 }
 
-// tierCount sums one tier while a run goes on.
+// tierCount accumulates the result of one tier.
 type tierCount struct {
 	row       Row
 	inTime    int
 	histogram *hdrhistogram.Histogram
 }
 
-// Run sends the deployment's arrivals and returns a row for each tier in the
-// order of the kinds. The error is of kind BadRequest if an address is not on
-// loopback.
+// Run sends the deployment's workload, blocks until all requests have ended and returns
+// a row for each tier in the order of the kinds. If the context ends, it sends no
+// further requests. The error is of kind BadRequest if an address is not on loopback.
 func Run(ctx context.Context, options Options) ([]Row, error) {
 	for _, address := range options.Addresses {
 		if err := checkLoopback(address); err != nil {
@@ -75,9 +77,9 @@
 	counts := map[string]*tierCount{}
 	var mutex sync.Mutex
 	var group sync.WaitGroup
-	begun := time.Now()
+	start := time.Now()
 	for i := range arrivals {
-		time.Sleep(time.Until(begun.Add(arrivals[i].At)))
+		time.Sleep(time.Until(start.Add(arrivals[i].At)))
 		if ctx.Err() != nil {
 			break
 		}
@@ -97,13 +99,13 @@
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
 	if err != nil || ip == nil || !ip.IsLoopback() {
-		return errkind.New(errkind.BadRequest, "%q is not an address on loopback", address)
+		return errkind.New(errkind.BadRequest, "check target address: %q is not an address on loopback", address)
 	}
 	return nil
 }
 
-// submission makes a request of an arrival. Prompts of one conversation begin
-// alike; lengths in tokens become lengths in bytes.
+// newSubmission returns the request of an arrival. Prompts of a conversation share a
+// prefix; a token becomes bytesPerToken bytes.
 func newSubmission(options *Options, arrival *workload.Arrival, number int) *cluster.Submission {
 	kind := &options.Deployment.Kinds[arrival.Kind]
 	s := &cluster.Submission{
@@ -126,16 +128,17 @@
 	return shared + own
 }
 
+// repeatToLength repeats the text up to the length in bytes.
 func repeatToLength(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
-// longestAnswer bounds the histogram, in microseconds.
+// maxAnswerMicros is the upper bound of the histogram of answer times.
 const maxAnswerMicros = int64(time.Hour / time.Microsecond)
 
 func countObservation(counts map[string]*tierCount, o *checker.Observation) {
-	entry, known := counts[o.Tier]
-	if !known {
+	entry, found := counts[o.Tier]
+	if !found {
 		entry = &tierCount{row: Row{Tier: o.Tier}, histogram: hdrhistogram.New(1, maxAnswerMicros, 3)}
 		counts[o.Tier] = entry
 	}
@@ -153,12 +156,12 @@
 		entry.row.Unknown++
 	}
 	if o.Outcome == structs.OutcomeAnswered {
-		_ = entry.histogram.RecordValue(min(o.EndedAt.Sub(o.SentAt).Microseconds(), maxAnswerMicros)) // clamped
+		_ = entry.histogram.RecordValue(min(o.EndedAt.Sub(o.SentAt).Microseconds(), maxAnswerMicros)) // always in range
 	}
 }
 
 func tierRows(deployment *workload.Deployment, counts map[string]*tierCount) []Row {
-	var all []Row
+	var tiers []Row
 	for _, kind := range deployment.Kinds {
 		entry, found := counts[kind.Tier]
 		if !found {
@@ -167,7 +170,7 @@
 		entry.row.Goodput = float64(entry.inTime) / float64(entry.row.Sent)
 		entry.row.AnswerP50MS = float64(entry.histogram.ValueAtQuantile(50)) / 1000
 		entry.row.AnswerP95MS = float64(entry.histogram.ValueAtQuantile(95)) / 1000
-		all = append(all, entry.row)
+		tiers = append(tiers, entry.row)
 	}
-	return all
+	return tiers
 }
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -300,7 +300,7 @@
 	return execution
 }
 
-// cancel ends a request that is not done. Its id is unknown afterwards.
+// cancel ends a request that is not done and removes its job. Its execution is kept.
 func (e *Engine) cancel(id string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/lab/workload/arrivals.go
+++ b/lab/workload/arrivals.go
@@ -11,8 +11,10 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Arrival is one request as the callers send it.
+// Arrival is a request of a generated workload. Kind, Zone, Node and Tenant are indices
+// into the deployment; Node is the index within the zone.
 type Arrival struct {
+	// At is the time since the start of the run.
 	At           time.Duration
 	ID           string
 	Kind         int
@@ -22,28 +24,30 @@
 	PromptTokens int
 	OutputTokens int
 	Chain        []uint64
-	// Session numbers the conversation and Turn its turns.
+	// Session identifies the conversation. Turn is the number of the turn in it, from
+	// zero.
 	Session, Turn int
 }
 
-// thinkTime is the mean time between the turns of a conversation, counted
-// from the agreed end of the turn before.
+// meanThinkTime is the mean time between half the deadline of a turn and the next turn
+// of the conversation.
 const meanThinkTime = 4 * time.Second
 
-// Longest lengths, as multiples of the medians. Answers are bounded by the
-// max_tokens of their route; prompts range over a hundredfold.
+// Maximum lengths as multiples of the medians. MaxOutputFactor also gives the max_tokens
+// of a route.
 const (
 	maxPromptFactor = 12
 	MaxOutputFactor = 2
 )
 
-// maximumPrompt bounds prompts, as an engine's context does.
+// maxPromptTokens is the maximum length of a prompt, given by the context of the
+// engines.
 const maxPromptTokens = 16000
 
-// burstShare is the part of a run that the burst takes, in its middle.
+// burstShare is the share of the run, in its middle, that the burst takes.
 const burstShare = 1.0 / 6
 
-// generator draws one run's arrivals.
+// generator generates the arrivals of one run.
 type generator struct {
 	deployment *Deployment
 	random     *rand.Rand
@@ -52,9 +56,10 @@
 	sessions   int
 }
 
-// Generate draws the arrivals of a run. Load one is the rate at which the work
-// of all requests, with every shared prefix computed once, equals the engines'
-// capacity with full batches. The same arguments give the same arrivals.
+// Generate returns the arrivals of a run in the order of their times. Load 1 is the
+// rate at which the mean work of all requests, with each shared prefix computed once,
+// equals the capacity of the engines with full batches. The same arguments give the
+// same arrivals.
 func Generate(deployment *Deployment, load float64, duration time.Duration, seed uint64) []Arrival {
 	rate := load * Capacity(deployment) / meanSessionWork(deployment)
 	g := &generator{deployment: deployment, random: rand.New(rand.NewPCG(seed, 1)), duration: duration}
@@ -68,13 +73,14 @@
 	return g.arrivals
 }
 
-// sessionsOf draws Poisson arrivals of sessions, thinned outside bursts.
+// drawSessions generates sessions with Poisson arrivals at the rate per second,
+// multiplied by the burst factor during the burst.
 func (g *generator) drawSessions(kind int, rate float64) {
 	factor := 1.0
 	if kind == g.deployment.BurstKind {
 		factor = max(1, g.deployment.BurstFactor)
 	}
-	warmUp := -20 * time.Second // sessions that are under way at the start
+	warmUp := -20 * time.Second // so that sessions are in progress at the start
 	for at := warmUp; at < g.duration; {
 		at += time.Duration(g.random.ExpFloat64() / (rate * factor) * float64(time.Second))
 		if !g.isInBurst(at) && g.random.Float64() > 1/factor {
@@ -86,8 +92,8 @@
 
 func (g *generator) isInBurst(at time.Duration) bool {
 	middle := g.duration / 2
-	half := time.Duration(burstShare / 2 * float64(g.duration))
-	return at > middle-half && at < middle+half
+	halfBurst := time.Duration(burstShare / 2 * float64(g.duration))
+	return at > middle-halfBurst && at < middle+halfBurst
 }
 
 func (g *generator) drawSession(kindIndex int, at time.Duration) {
@@ -124,38 +130,38 @@
 func (g *generator) drawZone() int { return g.random.IntN(len(g.deployment.Zones)) }
 
 func (g *generator) drawTenant() int {
-	draw := g.random.Float64()
+	remaining := g.random.Float64()
 	for i, share := range g.deployment.TenantShares {
-		if draw -= share; draw < 0 {
+		if remaining -= share; remaining < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// logNormal draws a length of at least one token and at most the given
-// multiple of the median.
-func logNormal(random *rand.Rand, median int, spread, longest float64) int {
+// logNormal returns a log-normal length of at least one token and at most maxFactor
+// times the median.
+func logNormal(random *rand.Rand, median int, spread, maxFactor float64) int {
 	value := float64(median) * math.Exp(spread*random.NormFloat64())
-	return int(min(max(value, 1), longest*float64(median)))
+	return int(min(max(value, 1), maxFactor*float64(median)))
 }
 
-// chain numbers the blocks of a prompt: those of the kind's shared beginning
-// are the same for all sessions, the rest belong to the session.
+// blockChain returns the block numbers of a prompt. Blocks of the shared prefix of the
+// kind are the same for all sessions; the others are unique to the session.
 func blockChain(kind, session, shared, tokens int) []uint64 {
 	blocks := make([]uint64, tokens/structs.BlockTokens)
 	for i := range blocks {
-		owner := uint64(session)<<24 | 1<<63
+		namespace := uint64(session)<<24 | 1<<63
 		if (i+1)*structs.BlockTokens <= shared {
-			owner = uint64(kind+1) << 48
+			namespace = uint64(kind+1) << 48
 		}
-		blocks[i] = owner | uint64(i)
+		blocks[i] = namespace | uint64(i)
 	}
 	return blocks
 }
 
-// Capacity returns the engine time that the deployment has in one second: one
-// for each engine.
+// Capacity returns the engine time per second of the deployment, in seconds of its
+// first engine.
 func Capacity(deployment *Deployment) float64 {
 	total := 0.0
 	for _, zone := range deployment.Engines {
@@ -166,14 +172,14 @@
 	return total
 }
 
-// speedOf is the tokens a second of an engine with a full batch.
+// tokensPerSecond returns the decoding rate of an engine with a full batch.
 func tokensPerSecond(spec enginesim.Spec) float64 {
 	step := spec.BaseStep + time.Duration(spec.Slots)*spec.PerSequence
 	return float64(spec.Slots) / step.Seconds()
 }
 
-// sessionWork is the mean time that a session takes of the first engine, with
-// full batches and every prefix computed once.
+// meanSessionWork returns the mean time of a session on the first engine, in seconds,
+// with full batches and each prefix computed once.
 func meanSessionWork(deployment *Deployment) float64 {
 	reference := deployment.Engines[0][0]
 	perToken := 1 / tokensPerSecond(reference)
--- a/lab/workload/deployment.go
+++ b/lab/workload/deployment.go
@@ -1,6 +1,6 @@
-// Package workload describes the two users' deployments at today's sizes and
-// generates their traffic from a seed: unlike lengths, conversations whose
-// turns share a prefix, few large tenants and bursts.
+// Package workload describes the deployments of two users and generates their traffic
+// from a seed, with log-normal lengths, conversations whose turns share a prefix, a few
+// large tenants and bursts. It does not send requests.
 package workload
 
 import (
@@ -11,22 +11,20 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Kind is one kind of request with its agreed waiting time.
+// Kind is a kind of request with its deadline.
 type Kind struct {
 	Name string
 	Tier string
 	Rank structs.Rank
-	// Share is the part of all sessions that are of this kind.
+	// Share is the share of sessions that are of this kind.
 	Share float64
-	// Deadline is the agreed waiting time to the whole answer. The users do not
-	// give it; it is taken as twice the time of a median answer at the target's
-	// pace, 0.46 s to the first token and 32 ms for each, with a margin for the
-	// long prompts of commissioning logs.
+	// Deadline is the agreed maximum time until the answer is complete.
 	Deadline time.Duration
-	// SharedTokens is the prompt that all requests of the kind begin with.
+	// SharedTokens is the length of the prefix that all prompts of the kind share.
 	SharedTokens int
-	// Prompt and Output are medians of log-normal lengths, in tokens, with
-	// the standard deviations of their logarithms.
+	// Prompt and Output are the medians of the log-normal lengths of prompts and
+	// answers, in tokens. PromptSpread and OutputSpread are the standard deviations of
+	// the logarithms.
 	Prompt, Output             int
 	PromptSpread, OutputSpread float64
 	// Turns is the mean number of turns of a conversation.
@@ -34,7 +32,7 @@
 	Repeatable bool
 }
 
-// Deployment is a user's system at one size.
+// Deployment is a user's deployment of thornwalk.
 type Deployment struct {
 	Name         string
 	Service      string
@@ -42,25 +40,26 @@
 	Model        string
 	Zones        []string
 	NodesPerZone []int
-	// Engines lists the specs of the replicas of each zone.
+	// Engines has the specs of the engine replicas of each zone.
 	Engines [][]enginesim.Spec
 	// BetweenZones and ToClients are one-way delays.
 	BetweenZones, ToClients time.Duration
-	// WithinZone is the assumed one-way delay inside a zone.
+	// WithinZone is the one-way delay within a zone.
 	WithinZone time.Duration
 	Kinds      []Kind
-	// TenantShares are the parts of the traffic of the tenants.
+	// TenantShares are the shares of the sessions that belong to each tenant.
 	TenantShares []float64
-	// BurstKind is the kind whose sessions arrive BurstFactor times as often
-	// in the middle sixth of a run.
+	// BurstKind is the index of the kind whose sessions arrive BurstFactor times as
+	// often during the middle sixth of a run.
 	BurstKind   int
 	BurstFactor float64
 }
 
-// Engine generations: the newest is about twice as fast as the oldest.
+// newSpec returns the spec of a replica with the given number of accelerators. The
+// factor multiplies the time per sequence and token; it is 1 for the newest generation.
 func newSpec(generation string, accelerators int, base time.Duration, factor float64) enginesim.Spec {
-	perAccelerator := func(one time.Duration) time.Duration {
-		return time.Duration(float64(one) * factor / float64(accelerators))
+	perAccelerator := func(single time.Duration) time.Duration {
+		return time.Duration(float64(single) * factor / float64(accelerators))
 	}
 	return enginesim.Spec{
 		Generation: generation, Accelerators: accelerators,
@@ -70,19 +69,22 @@
 	}
 }
 
-// zoneSpecs returns one replica of each generation.
-func zoneSpecs(fastest time.Duration, accelerators ...int) []enginesim.Spec {
+// zoneSpecs returns one replica for each number of accelerators, of the generations in
+// turn from the newest to the oldest. fastestStep is the base step time of the newest
+// generation.
+func zoneSpecs(fastestStep time.Duration, accelerators ...int) []enginesim.Spec {
 	factors := []float64{1, 1.4, 1.9}
 	specs := make([]enginesim.Spec, len(accelerators))
 	for i, count := range accelerators {
 		factor := factors[i%len(factors)]
-		base := time.Duration(float64(fastest) * factor)
+		base := time.Duration(float64(fastestStep) * factor)
 		specs[i] = newSpec(fmt.Sprintf("g%d", len(factors)-i%len(factors)), count, base, factor)
 	}
 	return specs
 }
 
-// Agency is the municipal office: 3 zones, 8 nodes, 9 replicas on 32 engines.
+// Agency returns the deployment of a municipal office with 3 zones, 8 nodes and 9
+// replicas on 32 accelerators.
 func Agency() Deployment {
 	return Deployment{
 		Name: "agency", Service: "ezik-servers", PlainService: "registar-app", Model: "ezik",
@@ -105,7 +107,8 @@
 	}
 }
 
-// Coop is the heating co-op: 3 zones, 8 nodes, 12 replicas on 38 engines.
+// Coop returns the deployment of a heating co-op with 3 zones, 8 nodes and 12 replicas
+// on 38 accelerators.
 func Coop() Deployment {
 	return Deployment{
 		Name: "coop", Service: "thornwalk-llm", PlainService: "member-portal", Model: "oberland",
@@ -128,7 +131,7 @@
 	}
 }
 
-// ByName returns the deployment with the name.
+// ByName returns the deployment with the name. It returns false if there is none.
 func ByName(name string) (Deployment, bool) {
 	switch name {
 	case "agency":
