--- a/lab/cluster/caller.go
+++ b/lab/cluster/caller.go
@@ -91,7 +91,7 @@
 	return &Caller{client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
-// Send sends the submission, blocks until its end and returns what the caller observed.
+// Send sends the submission, blocks until it has ended and returns the observation.
 func (c *Caller) Send(ctx context.Context, s *Submission) checker.Observation {
 	o := checker.Observation{Marker: s.Marker, Zone: s.Zone, Service: s.Service, Tier: s.Tier, Rank: s.Rank, Deadline: s.Deadline, SentAt: time.Now()}
 	request, err := s.newRequest(ctx)
