--- a/lab/emulator/oracle.go
+++ b/lab/emulator/oracle.go
@@ -4,16 +4,16 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// oraclePrefixes answers from the engines' caches themselves.
+// oraclePrefixes looks prefixes up in the engines' caches, without delay or loss.
 type oraclePrefixes struct {
-	world *world
-	zone  int
+	simulation *simulation
+	zone       int
 }
 
 func (o oraclePrefixes) CachedTokens(id structs.ReplicaID, chain []uint64) int {
-	engine := o.world.byID[id].engine
+	engine := o.simulation.byID[id].engine
 	for i, block := range chain {
-		if !engine.Holds(block) {
+		if !engine.IsCached(block) {
 			return i * structs.BlockTokens
 		}
 	}
@@ -22,13 +22,13 @@
 
 func (o oraclePrefixes) Holders(chain []uint64) []structs.ReplicaID {
 	var holders []structs.ReplicaID
-	longest := 0
-	for _, r := range o.world.zones[o.zone] {
+	maxCached := 0
+	for _, r := range o.simulation.zones[o.zone] {
 		cached := o.CachedTokens(r.ID, chain)
-		if cached > longest {
-			holders, longest = holders[:0], cached
+		if cached > maxCached {
+			holders, maxCached = holders[:0], cached
 		}
-		if cached == longest && cached > 0 {
+		if cached == maxCached && cached > 0 {
 			holders = append(holders, r.ID)
 		}
 	}
@@ -38,13 +38,13 @@
 func (oraclePrefixes) Sent(structs.ReplicaID, []uint64)            {}
 func (oraclePrefixes) Event(structs.ReplicaID, structs.CacheEvent) {}
 
-// oracleLengths knows the length of every answer.
+// oracleLengths has the actual answer length of each request, by request id.
 type oracleLengths struct {
-	lengths map[string]int
+	byRequest map[string]int
 }
 
 func (o oracleLengths) Percentile(request *structs.Request, _ float64) int {
-	return o.lengths[request.ID]
+	return o.byRequest[request.ID]
 }
 
 func (oracleLengths) Observe(*structs.Request, int) {}
