--- a/test/entry/answers_test.go
+++ b/test/entry/answers_test.go
@@ -14,15 +14,15 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-func TestPlainAnswerIsWholeAndCarriesWhatItMust(t *testing.T) {
-	play(t, func(s *scene) {
+func TestPlainResponseIsCompleteWithRequiredHeaders(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		for _, node := range hosts {
-			got := s.get(node, http.MethodPost, "/once/a/b?x=1", nil)
+			got := s.do(node, http.MethodPost, "/once/a/b?x=1", nil)
 			s.Expect(got.status).To(gomega.Equal(200))
 			s.Expect(got.body).To(gomega.Equal(platformsim.PlainBody(got.header.Get("X-Attempt-Id"))))
 			s.Expect(got.header.Get("X-Server-Stamp")).NotTo(gomega.BeEmpty())
 		}
-		runs := append(s.plain[0].Runs(), s.plain[1].Runs()...)
+		runs := append(s.plainReplicas[0].Runs(), s.plainReplicas[1].Runs()...)
 		s.Expect(runs).To(gomega.HaveLen(3))
 		for _, run := range runs {
 			s.Expect(run.Target).To(gomega.Equal("/once/a/b?x=1"))
@@ -34,15 +34,15 @@
 	})
 }
 
-func TestStreamComesEventByEvent(t *testing.T) {
-	play(t, func(s *scene) {
-		got := s.get("n1", http.MethodPost, "/stream/x", nil)
+func TestStreamDeliversAllEventsInOrder(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		got := s.do("n1", http.MethodPost, "/stream/x", nil)
 		s.Expect(got.status).To(gomega.Equal(200))
-		s.Expect(got.body).To(gomega.Equal(events(got, 6)))
+		s.Expect(got.body).To(gomega.Equal(streamBody(got, 6)))
 	})
 }
 
-func events(got reply, count int) string {
+func streamBody(got reply, count int) string {
 	var text strings.Builder
 	for number := 1; number <= count; number++ {
 		text.WriteString(platformsim.Event(got.header.Get("X-Attempt-Id"), number))
@@ -50,42 +50,42 @@
 	return text.String()
 }
 
-func TestRefusalsBeforeAReplica(t *testing.T) {
-	play(t, func(s *scene) {
-		s.Expect(s.get("n1", http.MethodGet, "/nowhere/", nil).status).To(gomega.Equal(404))
-		wrongKey := s.get("n1", http.MethodGet, "/safe/", func(r *http.Request) { r.Header.Set("Authorization", "Bearer other") })
+func TestInvalidRequestsAreRejectedBeforeAnyReplica(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.Expect(s.do("n1", http.MethodGet, "/nowhere/", nil).status).To(gomega.Equal(404))
+		wrongKey := s.do("n1", http.MethodGet, "/safe/", func(r *http.Request) { r.Header.Set("Authorization", "Bearer other") })
 		s.Expect(wrongKey.status).To(gomega.Equal(401))
-		large := s.get("n1", http.MethodPost, "/once/", func(r *http.Request) {
+		large := s.do("n1", http.MethodPost, "/once/", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 2<<20))), 2<<20
 		})
 		s.Expect(large.status).To(gomega.Or(gomega.Equal(413), gomega.Equal(0)))
-		s.Expect(s.allRuns()).To(gomega.BeEmpty())
+		s.Expect(s.runCounts()).To(gomega.BeEmpty())
 	})
 }
 
-func TestProvenRejectionIsTriedElsewhere(t *testing.T) {
-	play(t, func(s *scene) {
-		s.onAll(s.plain, first(platformsim.Shed))
-		got := s.get("n1", http.MethodPost, "/once/", nil)
+func TestRequestRejectedByAReplicaIsRetriedElsewhere(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.setBehavior(s.plainReplicas, firstOnly(platformsim.Shed))
+		got := s.do("n1", http.MethodPost, "/once/", nil)
 		s.Expect(got.status).To(gomega.Equal(200))
-		s.onAll(s.plain, always(platformsim.Shed))
-		refused := s.get("n1", http.MethodPost, "/once/", nil)
+		s.setBehavior(s.plainReplicas, always(platformsim.Shed))
+		refused := s.do("n1", http.MethodPost, "/once/", nil)
 		s.Expect(refused.status).To(gomega.Equal(503))
 		s.Expect(refused.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 		s.Expect(refused.took).To(gomega.BeNumerically("<", 1500*time.Millisecond))
-		s.Expect(s.allRuns()).To(gomega.HaveLen(1))
+		s.Expect(s.runCounts()).To(gomega.HaveLen(1))
 	})
 }
 
-func TestRequestThatMustNotRunTwiceIsNeverSentAgain(t *testing.T) {
+func TestUnsafeRequestIsNotRetried(t *testing.T) {
 	for name, behavior := range map[string]platformsim.Behavior{"reset": platformsim.Reset, "cut": platformsim.Cut, "unsigned": platformsim.Unsigned} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				s.onAll(s.plain, always(behavior))
-				s.onAll(s.engines, always(behavior))
-				got := s.get("n1", http.MethodPost, "/once/", nil)
+			runScenario(t, func(s *scenario) {
+				s.setBehavior(s.plainReplicas, always(behavior))
+				s.setBehavior(s.engines, always(behavior))
+				got := s.do("n1", http.MethodPost, "/once/", nil)
 				s.Expect(got.status).To(gomega.Equal(502))
-				for id, count := range s.allRuns() {
+				for id, count := range s.runCounts() {
 					s.Expect(count).To(gomega.Equal(1), id)
 				}
 			})
@@ -93,18 +93,18 @@
 	}
 }
 
-func TestRepeatableRequestRunsElsewhereWithinItsAttempts(t *testing.T) {
+func TestSafeRequestIsRetriedWithinItsAttempts(t *testing.T) {
 	for name, behavior := range map[string]platformsim.Behavior{
 		"reset": platformsim.Reset, "cut": platformsim.Cut, "failed": platformsim.Fail, "silent": platformsim.Silent, "unsigned": platformsim.Unsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				s.plain[0].SetBehavior(always(behavior))
+			runScenario(t, func(s *scenario) {
+				s.plainReplicas[0].SetBehavior(always(behavior))
 				for range 4 {
-					got := s.get("n1", http.MethodGet, "/safe/", nil)
+					got := s.do("n1", http.MethodGet, "/safe/", nil)
 					s.Expect(got.status).To(gomega.Equal(200))
 				}
-				for id, count := range s.allRuns() {
+				for id, count := range s.runCounts() {
 					s.Expect(count).To(gomega.BeNumerically("<=", 2), id)
 				}
 			})
@@ -112,13 +112,13 @@
 	}
 }
 
-func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
+func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
 	for name, behavior := range map[string]platformsim.Behavior{"before": platformsim.Stray, "behind": platformsim.Surplus, "unframed": platformsim.Unframed} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				s.onAll(s.plain, always(behavior))
+			runScenario(t, func(s *scenario) {
+				s.setBehavior(s.plainReplicas, always(behavior))
 				for range 5 {
-					got := s.get("n1", http.MethodPost, "/once/", nil)
+					got := s.do("n1", http.MethodPost, "/once/", nil)
 					s.Expect(got.status).To(gomega.Equal(200))
 					s.Expect(got.body).To(gomega.Equal(platformsim.PlainBody(got.header.Get("X-Attempt-Id"))))
 				}
@@ -127,42 +127,42 @@
 	}
 }
 
-func TestBrokenStreamIsNotPassedOnAsWhole(t *testing.T) {
-	play(t, func(s *scene) {
-		s.onAll(s.engines, always(platformsim.Cut))
-		got := s.get("n1", http.MethodPost, "/stream/", nil)
-		s.Expect(got.whole).To(gomega.BeFalse())
+func TestBrokenStreamIsNotForwardedAsComplete(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.setBehavior(s.engines, always(platformsim.Cut))
+		got := s.do("n1", http.MethodPost, "/stream/", nil)
+		s.Expect(got.complete).To(gomega.BeFalse())
 		s.Expect(got.body).NotTo(gomega.BeEmpty())
-		s.Expect(events(got, 6)).To(gomega.HavePrefix(got.body))
+		s.Expect(streamBody(got, 6)).To(gomega.HavePrefix(got.body))
 	})
 }
 
-func TestResumableStreamGoesOnAtAnotherReplica(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherReplica(t *testing.T) {
 	for name, behavior := range map[string]platformsim.Behavior{"cut": platformsim.Cut, "reset": platformsim.Reset, "silent": platformsim.Silent} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				s.onAll(s.engines, firstOfAll(behavior))
-				got := s.get("n1", http.MethodPost, "/resume/", nil)
+			runScenario(t, func(s *scenario) {
+				s.setBehavior(s.engines, firstAtAnyReplica(behavior))
+				got := s.do("n1", http.MethodPost, "/resume/", nil)
 				s.Expect(got.status).To(gomega.Equal(200))
-				s.Expect(got.whole).To(gomega.BeTrue())
-				s.Expect(got.body).To(gomega.Equal(events(got, 6)))
+				s.Expect(got.complete).To(gomega.BeTrue())
+				s.Expect(got.body).To(gomega.Equal(streamBody(got, 6)))
 			})
 		})
 	}
 }
 
 // firstOfAll treats the first request at any replica so.
-func firstOfAll(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
-	return first(behavior)
+func firstAtAnyReplica(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
+	return firstOnly(behavior)
 }
 
-func TestQuotaHoldsOverAllNodes(t *testing.T) {
-	play(t, func(s *scene) {
+func TestQuotaIsSharedByAllNodes(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		s.configure(func(c *entrylab.Configuration) { c.Tenants[0].Rate, c.Tenants[0].Burst = 10, 30 })
 		time.Sleep(500 * time.Millisecond)
 		answered, refused := 0, 0
 		for i := range 60 {
-			switch got := s.get(hosts[i%3], http.MethodGet, "/safe/", nil); got.status {
+			switch got := s.do(hosts[i%3], http.MethodGet, "/safe/", nil); got.status {
 			case 200:
 				answered++
 			case 429:
@@ -174,12 +174,12 @@
 		}
 		s.Expect(refused).To(gomega.BeNumerically(">", 30))
 		s.Expect(answered).To(gomega.BeNumerically(">=", 3))
-		s.Expect(len(s.allRuns())).To(gomega.Equal(answered))
+		s.Expect(len(s.runCounts())).To(gomega.Equal(answered))
 	})
 }
 
-func TestPlacesAreNotOverfilledAndUrgentGoesFirst(t *testing.T) {
-	play(t, func(s *scene) {
+func TestSlotsAreNotExceededAndUrgentRequestsGoFirst(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		s.configure(func(c *entrylab.Configuration) {
 			for i := range c.Routes {
 				c.Routes[i].Target = 1500
@@ -192,7 +192,7 @@
 		}
 		done := make(chan ended, 30)
 		send := func(node, path string) {
-			go func() { done <- ended{path, s.get(node, http.MethodPost, path, nil)} }()
+			go func() { done <- ended{path, s.do(node, http.MethodPost, path, nil)} }()
 		}
 		for i := range 12 {
 			send(hosts[i%3], "/late/")
@@ -222,10 +222,10 @@
 	})
 }
 
-func TestCallerThatLeavesIsFeltAtTheReplica(t *testing.T) {
-	play(t, func(s *scene) {
-		s.onAll(s.engines, always(platformsim.Silent))
-		client := &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DialContext: s.dialCaller, DisableKeepAlives: true}}
+func TestRequestIsCancelledAtTheReplicaWhenTheCallerLeaves(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.setBehavior(s.engines, always(platformsim.Silent))
+		client := &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DialContext: s.dialFromCaller, DisableKeepAlives: true}}
 		request, _ := http.NewRequest(http.MethodPost, "http://"+entrylab.CallersAddress("n1")+"/stream/", strings.NewReader("x"))
 		request.Host = "service.example"
 		request.Header.Set("X-Attempt-Id", "leaver")
@@ -239,10 +239,10 @@
 	})
 }
 
-func TestOperatorsSeeStatusAndMetrics(t *testing.T) {
-	play(t, func(s *scene) {
-		s.get("n1", http.MethodGet, "/safe/", nil)
-		s.get("n1", http.MethodGet, "/nowhere/", nil)
+func TestStatusAndMetricsAreServedToOperators(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.do("n1", http.MethodGet, "/safe/", nil)
+		s.do("n1", http.MethodGet, "/nowhere/", nil)
 		ask := func(path string) reply {
 			request, err := http.NewRequest(http.MethodGet, "http://"+entrylab.OperatorsAddress("n1")+path, nil)
 			s.Expect(err).NotTo(gomega.HaveOccurred())
--- a/test/entry/evacuation_test.go
+++ b/test/entry/evacuation_test.go
@@ -17,36 +17,36 @@
 
 const (
 	// emptiedLimit is the time in which an order of the operators has to be kept everywhere.
-	emptiedLimit = 5 * time.Second
+	evacuationLimit = 5 * time.Second
 	// coldLimit is what a cold replica bears in any second: coldRate a second, half as many more
 	// and five on top.
-	coldRate  = 10.0
-	coldLimit = 20
-	coldTime  = 3 * time.Second
+	coldRate         = 10.0
+	maxColdPerSecond = 20
+	coldTime         = 3 * time.Second
 	// evacuateEast is the operators' key of the zone.
-	evacuateEast = "op/evacuate/east"
+	evacuateEastKey = "op/evacuate/east"
 )
 
 // evacuationScene is five nodes and six replicas of one service in two zones, under load.
-type evacuationScene struct {
-	scene
-	nodes      []string
-	east, west []*platformsim.Replica
-	mutex      sync.Mutex
-	answers    map[int]int
+type evacuationScenario struct {
+	scenario
+	nodes           []string
+	east, west      []*platformsim.Replica
+	mutex           sync.Mutex
+	repliesByStatus map[int]int
 	// before is a copy of the store from before the order.
-	before *platformsim.StoreCopy
+	backup *platformsim.StoreCopy
 }
 
-func playEvacuation(t *testing.T, test func(s *evacuationScene)) {
+func runEvacuation(t *testing.T, test func(s *evacuationScenario)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &evacuationScene{scene: scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}, answers: map[int]int{}}
+		s := &evacuationScenario{scenario: scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}, repliesByStatus: map[int]int{}}
 		s.nodes = []string{"n1", "n2", "n3", "n4", "n5"}
 		s.start(s.nodes, []string{"east", "west"}, nil)
 		s.configureCold()
 		for i := range 3 {
-			s.east = append(s.east, s.zoneReplica(fmt.Sprint("x", i), "east", 0))
-			s.west = append(s.west, s.zoneReplica(fmt.Sprint("w", i), "west", 0))
+			s.east = append(s.east, s.addZoneReplica(fmt.Sprint("x", i), "east", 0))
+			s.west = append(s.west, s.addZoneReplica(fmt.Sprint("w", i), "west", 0))
 		}
 		s.awaitReady()
 		defer s.stop(s.nodes)
@@ -54,7 +54,7 @@
 	})
 }
 
-func (s *evacuationScene) configureCold() {
+func (s *evacuationScenario) configureCold() {
 	s.configure(func(c *entrylab.Configuration) {
 		c.Routes = []entrylab.Route{{Name: "safe", Host: "service.example", PathPrefix: "/safe/", Kind: "safe", Timeout: 4000, Target: 400, Service: "pool", Attempts: 2}}
 		c.Services = append(c.Services, entrylab.Service{Name: "pool", ColdTime: coldTime.Seconds(), ColdRate: coldRate})
@@ -62,22 +62,22 @@
 }
 
 // zoneReplica starts a replica that serves 80 requests a second.
-func (s *evacuationScene) zoneReplica(host, zone string, warmup time.Duration) *platformsim.Replica {
+func (s *evacuationScenario) addZoneReplica(host, zone string, warmup time.Duration) *platformsim.Replica {
 	replica := &platformsim.Replica{ID: "i-" + host, Service: "pool", Zone: zone, Slots: 4, Step: 50 * time.Millisecond, Warmup: warmup}
-	s.Expect(s.lab.AddReplica(host, replica)).To(gomega.Succeed())
+	s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 	return replica
 }
 
 // load sends requests to the nodes in turn until the time is over.
-func (s *evacuationScene) load(passed time.Duration, perSecond int) {
+func (s *evacuationScenario) load(passed time.Duration, perSecond int) {
 	var group sync.WaitGroup
 	pause := time.Second / time.Duration(perSecond)
 	for i := range int(passed / pause) {
 		node := s.nodes[i%len(s.nodes)]
 		group.Go(func() {
-			status := s.get(node, http.MethodGet, "/safe/x", nil).status
+			status := s.do(node, http.MethodGet, "/safe/x", nil).status
 			s.mutex.Lock()
-			s.answers[status]++
+			s.repliesByStatus[status]++
 			s.mutex.Unlock()
 		})
 		time.Sleep(pause)
@@ -86,7 +86,7 @@
 }
 
 // arrivedAfter counts the requests that came to the replicas after the moment.
-func arrivedAfter(replicas []*platformsim.Replica, since time.Time) int {
+func arrivalsAfter(replicas []*platformsim.Replica, since time.Time) int {
 	count := 0
 	for _, replica := range replicas {
 		for _, arrival := range replica.Arrived() {
@@ -100,7 +100,7 @@
 
 // most returns the largest number of requests that came to one of the replicas in a second of the
 // span.
-func most(replicas []*platformsim.Replica, from time.Time, span time.Duration) int {
+func maxArrivalsPerSecond(replicas []*platformsim.Replica, from time.Time, span time.Duration) int {
 	largest := 0
 	for _, replica := range replicas {
 		arrived := replica.Arrived()
@@ -121,90 +121,90 @@
 }
 
 // What may happen while a zone is emptied, each of which a node could miss the order by.
-func TestAnEmptiedZoneGetsNothing(t *testing.T) {
-	for name, course := range map[string]func(s *evacuationScene){
-		"calm":                     func(*evacuationScene) {},
-		"the store goes away":      func(s *evacuationScene) { s.lab.Store.SetDown(true) },
-		"history is forgotten":     func(s *evacuationScene) { s.lab.Store.Compact() },
-		"the scheduling node ends": func(s *evacuationScene) { s.lab.Node(s.scheduler()).Kill() },
-		"a node starts": func(s *evacuationScene) {
-			s.lab.Node("n5").Kill()
-			s.Expect(s.lab.StartNode("n5", "east")).To(gomega.Succeed())
+func TestEvacuatedZoneReceivesNoRequests(t *testing.T) {
+	for name, course := range map[string]func(s *evacuationScenario){
+		"calm":                     func(*evacuationScenario) {},
+		"the store goes away":      func(s *evacuationScenario) { s.deployment.Store.SetDown(true) },
+		"history is forgotten":     func(s *evacuationScenario) { s.deployment.Store.Compact() },
+		"the scheduling node ends": func(s *evacuationScenario) { s.deployment.Node(s.scheduler()).Kill() },
+		"a node starts": func(s *evacuationScenario) {
+			s.deployment.Node("n5").Kill()
+			s.Expect(s.deployment.StartNode("n5", "east")).To(gomega.Succeed())
 		},
-		"the store turns two nodes away": func(s *evacuationScene) {
-			s.lab.Store.Refuse("n1", true)
-			s.lab.Store.Refuse("n2", true)
+		"the store turns two nodes away": func(s *evacuationScenario) {
+			s.deployment.Store.Refuse("n1", true)
+			s.deployment.Store.Refuse("n2", true)
 		},
-		"all nodes start again": func(s *evacuationScene) {
+		"all nodes start again": func(s *evacuationScenario) {
 			for i, node := range s.nodes {
-				s.lab.Node(node).Kill()
-				s.Expect(s.lab.StartNode(node, []string{"east", "west"}[i%2])).To(gomega.Succeed())
+				s.deployment.Node(node).Kill()
+				s.Expect(s.deployment.StartNode(node, []string{"east", "west"}[i%2])).To(gomega.Succeed())
 			}
 		},
-		"a copy that lacks the order": func(s *evacuationScene) {
-			s.lab.Store.Restore(s.before)
-			time.AfterFunc(time.Second, func() { s.lab.Store.PutJSON(evacuateEast, struct{}{}) })
+		"a copy that lacks the order": func(s *evacuationScenario) {
+			s.deployment.Store.Restore(s.backup)
+			time.AfterFunc(time.Second, func() { s.deployment.Store.PutJSON(evacuateEastKey, struct{}{}) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playEvacuation(t, func(s *evacuationScene) {
+			runEvacuation(t, func(s *evacuationScenario) {
 				s.load(time.Second, 50)
-				s.Expect(arrivedAfter(s.east, time.Time{})).To(gomega.BeNumerically(">", 0))
-				s.before = s.lab.Store.Copy()
-				s.lab.Store.PutJSON(evacuateEast, struct{}{})
+				s.Expect(arrivalsAfter(s.east, time.Time{})).To(gomega.BeNumerically(">", 0))
+				s.backup = s.deployment.Store.Copy()
+				s.deployment.Store.PutJSON(evacuateEastKey, struct{}{})
 				acknowledged := time.Now()
 				time.Sleep(300 * time.Millisecond)
 				course(s)
-				s.load(emptiedLimit+2*time.Second, 50)
-				s.Expect(arrivedAfter(s.east, acknowledged.Add(emptiedLimit))).To(gomega.BeZero())
-				s.Expect(arrivedAfter(s.west, acknowledged.Add(emptiedLimit))).To(gomega.BeNumerically(">=", 90), "the other zone serves")
+				s.load(evacuationLimit+2*time.Second, 50)
+				s.Expect(arrivalsAfter(s.east, acknowledged.Add(evacuationLimit))).To(gomega.BeZero())
+				s.Expect(arrivalsAfter(s.west, acknowledged.Add(evacuationLimit))).To(gomega.BeNumerically(">=", 90), "the other zone serves")
 			})
 		})
 	}
 }
 
 // Taken back, the zone serves again, and its replicas, which may be cold, get few requests at first.
-func TestAZoneThatIsTakenBackIsWarmedSlowly(t *testing.T) {
-	playEvacuation(t, func(s *evacuationScene) {
-		s.lab.Store.PutJSON(evacuateEast, struct{}{})
+func TestReplicasSlowStartAfterAnEvacuationIsLifted(t *testing.T) {
+	runEvacuation(t, func(s *evacuationScenario) {
+		s.deployment.Store.PutJSON(evacuateEastKey, struct{}{})
 		s.load(2*time.Second, 300)
-		s.lab.Store.Delete(evacuateEast)
+		s.deployment.Store.Delete(evacuateEastKey)
 		back := time.Now()
 		s.load(2*coldTime, 300)
-		s.Expect(arrivedAfter(s.east, back)).To(gomega.BeNumerically(">", 3*coldLimit))
-		s.Expect(most(s.east, back, coldTime-time.Second)).To(gomega.BeNumerically("<=", coldLimit))
-		s.Expect(most(s.east, back.Add(coldTime), coldTime)).To(gomega.BeNumerically(">", coldLimit), "warm again")
+		s.Expect(arrivalsAfter(s.east, back)).To(gomega.BeNumerically(">", 3*maxColdPerSecond))
+		s.Expect(maxArrivalsPerSecond(s.east, back, coldTime-time.Second)).To(gomega.BeNumerically("<=", maxColdPerSecond))
+		s.Expect(maxArrivalsPerSecond(s.east, back.Add(coldTime), coldTime)).To(gomega.BeNumerically(">", maxColdPerSecond), "warm again")
 	})
 }
 
 // A replica that starts beside full ones is where places are free.
-func TestReplicasThatStartUnderLoadAreWarmedSlowly(t *testing.T) {
-	for name, course := range map[string]func(s *evacuationScene){
-		"calm": func(*evacuationScene) {},
-		"scheduling nodes end one after the other": func(s *evacuationScene) {
+func TestReplicasThatStartUnderLoadSlowStart(t *testing.T) {
+	for name, course := range map[string]func(s *evacuationScenario){
+		"calm": func(*evacuationScenario) {},
+		"scheduling nodes end one after the other": func(s *evacuationScenario) {
 			for range 3 {
 				time.Sleep(400 * time.Millisecond)
 				node := s.scheduler()
-				s.lab.Node(node).Kill()
-				s.Expect(s.lab.StartNode(node, "east")).To(gomega.Succeed())
+				s.deployment.Node(node).Kill()
+				s.Expect(s.deployment.StartNode(node, "east")).To(gomega.Succeed())
 			}
 		},
-		"a zone is cut off": func(s *evacuationScene) {
+		"a zone is cut off": func(s *evacuationScenario) {
 			s.fabric.CutGroups([]string{"n1", "n3", "n5"}, []string{"n2", "n4"})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playEvacuation(t, func(s *evacuationScene) {
+			runEvacuation(t, func(s *evacuationScenario) {
 				s.load(time.Second, 400)
 				begun := time.Now()
 				var cold []*platformsim.Replica
 				for i := range 2 {
-					cold = append(cold, s.zoneReplica(fmt.Sprint("c", i), "west", coldTime))
+					cold = append(cold, s.addZoneReplica(fmt.Sprint("c", i), "west", coldTime))
 				}
 				go course(s)
 				s.load(2*coldTime, 600)
-				s.Expect(most(cold, begun, coldTime-time.Second)).To(gomega.BeNumerically("<=", coldLimit))
-				s.Expect(arrivedAfter(cold, begun.Add(coldTime))).To(gomega.BeNumerically(">", 0))
+				s.Expect(maxArrivalsPerSecond(cold, begun, coldTime-time.Second)).To(gomega.BeNumerically("<=", maxColdPerSecond))
+				s.Expect(arrivalsAfter(cold, begun.Add(coldTime))).To(gomega.BeNumerically(">", 0))
 			})
 		})
 	}
@@ -212,25 +212,25 @@
 
 // An order for a zone that nobody knows changes nothing, and one that was emptied, taken back and
 // emptied again within a round is emptied.
-func TestOrdersInQuickSuccessionAndForUnknownZones(t *testing.T) {
-	playEvacuation(t, func(s *evacuationScene) {
-		s.lab.Store.PutJSON("op/evacuate/nowhere", "text")
+func TestEvacuationOrdersInQuickSuccessionAndForUnknownZones(t *testing.T) {
+	runEvacuation(t, func(s *evacuationScenario) {
+		s.deployment.Store.PutJSON("op/evacuate/nowhere", "text")
 		for range 5 {
-			s.lab.Store.PutJSON(evacuateEast, struct{}{})
-			s.lab.Store.Delete(evacuateEast)
+			s.deployment.Store.PutJSON(evacuateEastKey, struct{}{})
+			s.deployment.Store.Delete(evacuateEastKey)
 		}
-		s.lab.Store.PutJSON(evacuateEast, struct{}{})
+		s.deployment.Store.PutJSON(evacuateEastKey, struct{}{})
 		last := time.Now()
 		s.load(3*time.Second, 50)
-		s.Expect(arrivedAfter(s.east, last.Add(time.Second))).To(gomega.BeZero())
-		s.Expect(s.answers[http.StatusOK]).To(gomega.Equal(150))
+		s.Expect(arrivalsAfter(s.east, last.Add(time.Second))).To(gomega.BeZero())
+		s.Expect(s.repliesByStatus[http.StatusOK]).To(gomega.Equal(150))
 		for _, node := range s.nodes {
-			told := s.lab.Node(node).Status().Evacuations
+			told := s.deployment.Node(node).Status().Evacuations
 			s.Expect(told).To(gomega.HaveLen(2), node)
 		}
-		s.lab.Store.PutJSON("op/evacuate/west", struct{}{})
+		s.deployment.Store.PutJSON("op/evacuate/west", struct{}{})
 		time.Sleep(time.Second)
-		refused := s.get("n1", http.MethodGet, "/safe/x", nil)
+		refused := s.do("n1", http.MethodGet, "/safe/x", nil)
 		s.Expect(refused.status).To(gomega.Equal(http.StatusServiceUnavailable), "both zones are emptied")
 		s.Expect(refused.took).To(gomega.BeNumerically("<", 100*time.Millisecond), "at once")
 		s.Expect(refused.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
--- a/test/entry/lines_test.go
+++ b/test/entry/event_log_test.go
@@ -17,27 +17,27 @@
 )
 
 // lines collects what all nodes write.
-type lines struct {
+type logBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (l *lines) Write(content []byte) (int, error) {
+func (l *logBuffer) Write(content []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.buffer.Write(content)
 }
 
-func (l *lines) reader() io.Reader {
+func (l *logBuffer) reader() io.Reader {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return bytes.NewReader(bytes.Clone(l.buffer.Bytes()))
 }
 
 // tell returns the story of the request from the nodes' lines.
-func (s *scene) tell(id string) string {
+func (s *scenario) requestHistory(id string) string {
 	time.Sleep(10 * time.Millisecond) // virtual time, for the writers
-	told, err := story.Read(id, s.lines.reader())
+	told, err := story.Read(id, s.logs.reader())
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	var text strings.Builder
 	told.Write(&text)
@@ -45,22 +45,22 @@
 }
 
 // named sends the request under the id.
-func named(id string) func(*http.Request) {
+func withRequestID(id string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }
 }
 
-func TestLinesLeadFromARefusedRequestToItsCause(t *testing.T) {
-	play(t, func(s *scene) {
-		for _, replica := range s.plain {
+func TestEventLogExplainsARejectedRequest(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		for _, replica := range s.plainReplicas {
 			replica.Step = 2 * time.Second
 		}
 		var group sync.WaitGroup
 		for range 4 {
-			group.Go(func() { s.get("n1", http.MethodGet, "/safe/", nil) })
+			group.Go(func() { s.do("n1", http.MethodGet, "/safe/", nil) })
 		}
 		time.Sleep(50 * time.Millisecond)
-		s.Expect(s.get("n2", http.MethodGet, "/safe/", named("refused")).status).To(gomega.Equal(503))
-		told := s.tell("refused")
+		s.Expect(s.do("n2", http.MethodGet, "/safe/", withRequestID("refused")).status).To(gomega.Equal(503))
+		told := s.requestHistory("refused")
 		s.Expect(told).To(gomega.And(
 			gomega.ContainSubstring("request.received"), gomega.ContainSubstring("version=1"),
 			gomega.ContainSubstring("request.placed by="+s.scheduler()+" outcome=refused"),
@@ -70,11 +70,11 @@
 	})
 }
 
-func TestLinesLeadFromABrokenRequestToItsCause(t *testing.T) {
-	play(t, func(s *scene) {
-		s.onAll(s.plain, always(platformsim.Reset))
-		s.Expect(s.get("n1", http.MethodPost, "/once/", named("broken")).status).To(gomega.Equal(502))
-		told := s.tell("broken")
+func TestEventLogExplainsABrokenRequest(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.setBehavior(s.plainReplicas, always(platformsim.Reset))
+		s.Expect(s.do("n1", http.MethodPost, "/once/", withRequestID("broken")).status).To(gomega.Equal(502))
+		told := s.requestHistory("broken")
 		s.Expect(told).To(gomega.And(
 			gomega.ContainSubstring("outcome=granted"), gomega.MatchRegexp(`request.sent replica=i-p\d by=n\d outcome=broken`),
 			gomega.ContainSubstring("unknown, status 502"), gomega.ContainSubstring("its answer was cut"),
@@ -82,10 +82,10 @@
 	})
 }
 
-func TestLinesOfARequestWhoseCallerLeftHaveAnEnd(t *testing.T) {
-	play(t, func(s *scene) {
+func TestEventLogRecordsTheEndOfARequestWhoseCallerLeft(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		s.engines[0].Step, s.engines[1].Step = time.Second, time.Second
-		client := &http.Client{Transport: &http.Transport{DialContext: s.dialCaller, DisableKeepAlives: true}, Timeout: 1500 * time.Millisecond}
+		client := &http.Client{Transport: &http.Transport{DialContext: s.dialFromCaller, DisableKeepAlives: true}, Timeout: 1500 * time.Millisecond}
 		request, err := http.NewRequest(http.MethodPost, "http://n1:8221/stream/", strings.NewReader("body"))
 		s.Expect(err).NotTo(gomega.HaveOccurred())
 		request.Host = "service.example"
@@ -96,30 +96,30 @@
 		_, err = io.ReadAll(response.Body)
 		s.Expect(err).To(gomega.HaveOccurred())
 		time.Sleep(3 * time.Second)
-		s.Expect(s.tell("left")).To(gomega.And(gomega.ContainSubstring("request.ended"), gomega.ContainSubstring("caller closed its connection")))
+		s.Expect(s.requestHistory("left")).To(gomega.And(gomega.ContainSubstring("request.ended"), gomega.ContainSubstring("caller closed its connection")))
 	})
 }
 
 // A node that drops the lines of a request that went well says how many, and
 // still tells a request that failed from its first line on.
-func TestSampledLinesKeepFailedRequestsWhole(t *testing.T) {
-	play(t, func(s *scene) {
-		s.onAll(s.plain, func(r *http.Request) platformsim.Behavior {
+func TestSampledEventLogKeepsAllLinesOfFailedRequests(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.setBehavior(s.plainReplicas, func(r *http.Request) platformsim.Behavior {
 			if strings.HasPrefix(r.Header.Get("X-Attempt-Id"), "broken") {
 				return platformsim.Reset
 			}
 			return platformsim.Answer
 		})
 		for range 1500 { // more than the lines that are written in a second
-			s.get("n1", http.MethodGet, "/nowhere/", nil)
+			s.do("n1", http.MethodGet, "/nowhere/", nil)
 		}
 		time.Sleep(1200 * time.Millisecond)
 		for i := range 40 {
-			s.get("n1", http.MethodGet, "/safe/", named(fmt.Sprint("well", i)))
-			s.get("n1", http.MethodPost, "/once/", named(fmt.Sprint("broken", i)))
+			s.do("n1", http.MethodGet, "/safe/", withRequestID(fmt.Sprint("well", i)))
+			s.do("n1", http.MethodPost, "/once/", withRequestID(fmt.Sprint("broken", i)))
 		}
 		time.Sleep(1200 * time.Millisecond)
-		all, err := io.ReadAll(s.lines.reader())
+		all, err := io.ReadAll(s.logs.reader())
 		s.Expect(err).NotTo(gomega.HaveOccurred())
 		text := string(all)
 		s.Expect(text).To(gomega.ContainSubstring(`"event":"log.sampled"`))
--- a/test/entry/faults_test.go
+++ b/test/entry/faults_test.go
@@ -12,26 +12,26 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-func TestDeathOfTheSchedulingNodeCostsLittle(t *testing.T) {
+func TestRequestsAreServedInTimeWhenTheSchedulingNodeFails(t *testing.T) {
 	for _, how := range []string{"killed", "cut off", "paused"} {
 		t.Run(how, func(t *testing.T) {
-			play(t, func(s *scene) {
-				scheduler, others := s.scheduler(), s.others()
+			runScenario(t, func(s *scenario) {
+				scheduler, others := s.scheduler(), s.followers()
 				switch how {
 				case "killed":
-					s.lab.Node(scheduler).Kill()
+					s.deployment.Node(scheduler).Kill()
 				case "cut off":
 					s.fabric.CutGroups([]string{scheduler}, others)
 				case "paused":
 					s.fabric.Pause(scheduler)
 				}
 				for i := range 6 {
-					got := s.get(others[i%2], http.MethodGet, "/safe/", nil)
+					got := s.do(others[i%2], http.MethodGet, "/safe/", nil)
 					s.Expect(got.status).To(gomega.Equal(200))
 					s.Expect(got.took).To(gomega.BeNumerically("<", 800*time.Millisecond))
 				}
 				s.fabric.Resume(scheduler)
-				for id, count := range s.allRuns() {
+				for id, count := range s.runCounts() {
 					s.Expect(count).To(gomega.Equal(1), id)
 				}
 			})
@@ -39,59 +39,59 @@
 	}
 }
 
-func TestNodesCutOffFromEachOtherGoOnServing(t *testing.T) {
-	play(t, func(s *scene) {
+func TestPartitionedNodesServe(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		s.fabric.CutGroups([]string{"n1"}, []string{"n2", "n3"})
 		time.Sleep(time.Second)
 		for range 3 {
 			for _, node := range hosts {
-				s.Expect(s.get(node, http.MethodPost, "/stream/", nil).status).To(gomega.Equal(200))
+				s.Expect(s.do(node, http.MethodPost, "/stream/", nil).status).To(gomega.Equal(200))
 			}
 		}
 		s.fabric.Heal()
 		time.Sleep(2 * time.Second)
 		for _, node := range hosts {
-			s.Expect(s.lab.Node(node).Status().Live).To(gomega.HaveLen(2), node)
+			s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(2), node)
 		}
 	})
 }
 
 func TestCrashedReplicaIsAvoided(t *testing.T) {
-	play(t, func(s *scene) {
-		s.plain[0].Crash()
+	runScenario(t, func(s *scenario) {
+		s.plainReplicas[0].Crash()
 		for i := range 12 {
-			s.Expect(s.get(hosts[i%3], http.MethodPost, "/once/", nil).status).To(gomega.Equal(200))
+			s.Expect(s.do(hosts[i%3], http.MethodPost, "/once/", nil).status).To(gomega.Equal(200))
 		}
 	})
 }
 
-func TestReplicaThatFailsManyRequestsIsSetAside(t *testing.T) {
-	play(t, func(s *scene) {
-		s.plain[0].SetBehavior(always(platformsim.Fail))
+func TestReplicaThatFailsManyRequestsIsQuarantined(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.plainReplicas[0].SetBehavior(always(platformsim.Fail))
 		for i := range 20 {
-			s.get(hosts[i%3], http.MethodPost, "/once/", nil)
+			s.do(hosts[i%3], http.MethodPost, "/once/", nil)
 		}
-		s.Expect(len(s.plain[0].Runs())).To(gomega.BeNumerically("<", 8))
+		s.Expect(len(s.plainReplicas[0].Runs())).To(gomega.BeNumerically("<", 8))
 	})
 }
 
-func TestReusedAddressGetsNoRequestOfAnotherService(t *testing.T) {
-	play(t, func(s *scene) {
-		s.plain[0].ID = "i-other"
+func TestReusedAddressRunsNoRequestOfThePreviousReplica(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		s.plainReplicas[0].ID = "i-other"
 		for i := range 6 {
-			s.Expect(s.get(hosts[i%3], http.MethodPost, "/once/", nil).status).To(gomega.Equal(200))
+			s.Expect(s.do(hosts[i%3], http.MethodPost, "/once/", nil).status).To(gomega.Equal(200))
 		}
-		s.Expect(s.plain[0].Runs()).To(gomega.BeEmpty())
+		s.Expect(s.plainReplicas[0].Runs()).To(gomega.BeEmpty())
 	})
 }
 
 // Replicas across the cut were found one by one, each by callers whose connects hung for
 // 300 ms.
-func TestCutBetweenZonesCostsFewCallersTheirTime(t *testing.T) {
-	play(t, func(s *scene) {
+func TestPartitionBetweenZonesDelaysNoRequests(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		for _, host := range []string{"w1", "w2", "w3", "w4"} {
 			replica := &platformsim.Replica{ID: "i-" + host, Service: "registry", Zone: "west", Slots: 2, Step: 20 * time.Millisecond}
-			s.Expect(s.lab.AddReplica(host, replica)).To(gomega.Succeed())
+			s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 		}
 		time.Sleep(time.Second)
 		s.fabric.CutGroups([]string{"n2", "w1", "w2", "w3", "w4"}, []string{"n1", "n3", "p1", "p2"})
@@ -101,7 +101,7 @@
 			var group sync.WaitGroup
 			for i := range 8 { // more than the replicas on this side take at once
 				group.Go(func() {
-					got := s.get([]string{"n1", "n3"}[i%2], http.MethodGet, "/safe/", nil)
+					got := s.do([]string{"n1", "n3"}[i%2], http.MethodGet, "/safe/", nil)
 					if got.status != 200 || got.took > 250*time.Millisecond {
 						slow.Add(1)
 					}
@@ -113,6 +113,6 @@
 		s.Expect(slow.Load()).To(gomega.BeZero())
 		s.fabric.Heal()
 		time.Sleep(time.Second)
-		s.Expect(s.get("n2", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
+		s.Expect(s.do("n2", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 	})
 }
--- a/test/entry/input_test.go
+++ b/test/entry/input_test.go
@@ -14,13 +14,13 @@
 	"github.com/thornwalk/thornwalk/platform"
 )
 
-const head = "Host: service.example\r\nX-Attempt-Id: raw\r\nX-Deadline-Ms: 2000\r\nAuthorization: Bearer key-1\r\n"
+const rawHeaders = "Host: service.example\r\nX-Attempt-Id: raw\r\nX-Deadline-Ms: 2000\r\nAuthorization: Bearer key-1\r\n"
 
 // raw writes the text to a node and returns what comes back.
-func (s *scene) raw(text string) string {
+func (s *scenario) sendRaw(text string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	conn, err := s.dialCaller(ctx, "tcp", entrylab.CallersAddress("n1"))
+	conn, err := s.dialFromCaller(ctx, "tcp", entrylab.CallersAddress("n1"))
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
 	go func() { _, _ = io.WriteString(conn, text) }()
@@ -31,24 +31,24 @@
 
 func TestMalformedRequestsReachNoReplica(t *testing.T) {
 	for name, one := range map[string]struct{ text, status string }{
-		"two lengths":       {"POST /once/ HTTP/1.1\r\n" + head + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nabcde", "400"},
-		"length and chunks": {"POST /once/ HTTP/1.1\r\n" + head + "Content-Length: x\r\n\r\nabc", "400"},
-		"bad chunk":         {"POST /once/ HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n", "400"},
-		"unknown encoding":  {"POST /once/ HTTP/1.1\r\n" + head + "Transfer-Encoding: odd\r\n\r\nabc", "501"},
-		"header flood":      {"GET /safe/ HTTP/1.1\r\n" + head + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 64) + "\r\n", "431"},
+		"two lengths":       {"POST /once/ HTTP/1.1\r\n" + rawHeaders + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nabcde", "400"},
+		"length and chunks": {"POST /once/ HTTP/1.1\r\n" + rawHeaders + "Content-Length: x\r\n\r\nabc", "400"},
+		"bad chunk":         {"POST /once/ HTTP/1.1\r\n" + rawHeaders + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n", "400"},
+		"unknown encoding":  {"POST /once/ HTTP/1.1\r\n" + rawHeaders + "Transfer-Encoding: odd\r\n\r\nabc", "501"},
+		"header flood":      {"GET /safe/ HTTP/1.1\r\n" + rawHeaders + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 64) + "\r\n", "431"},
 		"no request":        {"hello\r\n\r\n", "400"},
-		"space in a name":   {"GET /safe/ HTTP/1.1\r\n" + head + "X Y: z\r\n\r\n", "400"},
+		"space in a name":   {"GET /safe/ HTTP/1.1\r\n" + rawHeaders + "X Y: z\r\n\r\n", "400"},
 		"half a head":       {"GET /safe/ HTTP/1.1\r\nHost: serv", ""},
-		"half a body":       {"POST /once/ HTTP/1.1\r\n" + head + "Content-Length: 100\r\n\r\nabc", "408"},
+		"half a body":       {"POST /once/ HTTP/1.1\r\n" + rawHeaders + "Content-Length: 100\r\n\r\nabc", "408"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				got := s.raw(one.text)
+			runScenario(t, func(s *scenario) {
+				got := s.sendRaw(one.text)
 				if one.status != "" {
 					s.Expect(got).To(gomega.HavePrefix("HTTP/1.1 " + one.status))
 				}
 				s.Expect(got).NotTo(gomega.ContainSubstring("200 OK"))
-				s.Expect(s.allRuns()).To(gomega.BeEmpty())
+				s.Expect(s.runCounts()).To(gomega.BeEmpty())
 			})
 		})
 	}
@@ -56,21 +56,21 @@
 
 // A request hidden behind another's body must not be run as one of its own.
 func TestLengthTogetherWithChunksSmugglesNothing(t *testing.T) {
-	play(t, func(s *scene) {
-		hidden := "GET /safe/hidden HTTP/1.1\r\n" + strings.Replace(head, "raw", "hidden", 1) + "\r\n"
-		s.raw("POST /once/ HTTP/1.1\r\n" + head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n0\r\n\r\n" + hidden)
-		s.Expect(s.allRuns()).NotTo(gomega.HaveKey("hidden"))
+	runScenario(t, func(s *scenario) {
+		hidden := "GET /safe/hidden HTTP/1.1\r\n" + strings.Replace(rawHeaders, "raw", "hidden", 1) + "\r\n"
+		s.sendRaw("POST /once/ HTTP/1.1\r\n" + rawHeaders + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n0\r\n\r\n" + hidden)
+		s.Expect(s.runCounts()).NotTo(gomega.HaveKey("hidden"))
 	})
 }
 
 // Callers send headers that only the daemon may set. A replica that gets them keeps
 // memory for nobody, or refuses because it knows of no such memory.
-func TestHeadersOfTheDaemonAreNotTakenFromCallers(t *testing.T) {
+func TestSystemHeadersFromCallersAreDropped(t *testing.T) {
 	names := platform.Headers()
 	for _, name := range names.SystemOwned() {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(s *scene) {
-				got := s.get("n1", http.MethodPost, "/stream/x", func(r *http.Request) { r.Header.Set(name, "forged") })
+			runScenario(t, func(s *scenario) {
+				got := s.do("n1", http.MethodPost, "/stream/x", func(r *http.Request) { r.Header.Set(name, "forged") })
 				s.Expect(got.status).To(gomega.Equal(200))
 				runs := append(s.engines[0].Runs(), s.engines[1].Runs()...)
 				s.Expect(runs).To(gomega.HaveLen(1))
@@ -82,9 +82,9 @@
 
 // A Connection header may name any header as one of this connection only; what
 // tells the replica what to run is passed on all the same.
-func TestHeadersThatSayWhatToRunArePassedOn(t *testing.T) {
-	play(t, func(s *scene) {
-		got := s.get("n1", http.MethodPost, "/stream/x", func(r *http.Request) {
+func TestEndToEndHeadersNamedInConnectionAreForwarded(t *testing.T) {
+	runScenario(t, func(s *scenario) {
+		got := s.do("n1", http.MethodPost, "/stream/x", func(r *http.Request) {
 			r.Header.Set("Connection", "X-Model, X-Attempt-Id, X-Other")
 			r.Header.Set("X-Model", "m")
 			r.Header.Set("X-Other", "dropped")
--- a/test/entry/large_fleet_test.go
+++ b/test/entry/large_fleet_test.go
@@ -17,25 +17,25 @@
 	largeNodes  = 160
 	strongNodes = 12
 	// startTime is the time after which a large fleet that starts at once has settled.
-	startTime = 4 * time.Second
+	startDuration = 4 * time.Second
 )
 
 // playLarge plays a large fleet whose nodes all start at once.
-func playLarge(t *testing.T, nodes int, test func(s *relayScene)) {
+func runLargeFleet(t *testing.T, nodes int, test func(s *relayScenario)) {
 	t.Helper()
-	playNodes(t, nodes, func(s *relayScene, settings *entry.Settings) {
+	runNodes(t, nodes, func(s *relayScenario, settings *entry.Settings) {
 		settings.Cores, settings.LinkMbps = 0.2, 20
 		if slices.Index(s.nodes, settings.Name)%(nodes/strongNodes) < 1 {
 			settings.Cores, settings.LinkMbps = 0.8, 200
 		}
-	}, startTime, test)
+	}, startDuration, test)
 }
 
 // schedulers returns the nodes that any of the nodes takes for the scheduling one.
-func (s *relayScene) schedulers(nodes []string) []string {
+func (s *relayScenario) schedulers(nodes []string) []string {
 	var names []string
 	for _, node := range nodes {
-		if name := s.lab.Node(node).Status().Scheduler; !slices.Contains(names, name) {
+		if name := s.deployment.Node(node).Status().Scheduler; !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
@@ -43,10 +43,10 @@
 }
 
 // delegates returns the nodes that say to speak for their zone.
-func (s *relayScene) delegates() []string {
+func (s *relayScenario) delegates() []string {
 	var names []string
 	for _, node := range s.nodes {
-		if !s.lab.Node(node).Status().NonDelegate {
+		if !s.deployment.Node(node).Status().NonDelegate {
 			names = append(names, node)
 		}
 	}
@@ -55,67 +55,67 @@
 
 // The work of a start of all nodes grew with the cube of the fleet: each node greeted each other
 // one, was told all names by many, and chose among all nodes anew with each that it heard of.
-func TestAStartOfALargeFleetCostsANodeTheSameAtAnySize(t *testing.T) {
+func TestStartTrafficPerNodeIsIndependentOfFleetSize(t *testing.T) {
 	var costs []float64
 	for _, nodes := range []int{largeNodes, 2 * largeNodes} {
-		playLarge(t, nodes, func(s *relayScene) {
+		runLargeFleet(t, nodes, func(s *relayScenario) {
 			sent := 0.0
 			for _, node := range s.nodes {
 				sent += float64(s.fabric.Sent(node))
 			}
 			costs = append(costs, sent/float64(nodes))
 			s.Expect(s.schedulers(s.nodes)).To(gomega.HaveLen(1))
-			t.Logf("%d nodes: %.0f bytes a node in %v, %d delegates", nodes, sent/float64(nodes), startTime, len(s.delegates()))
+			t.Logf("%d nodes: %.0f bytes a node in %v, %d delegates", nodes, sent/float64(nodes), startDuration, len(s.delegates()))
 		})
 	}
 	gomega.NewWithT(t).Expect(costs[1]).To(gomega.BeNumerically("<", 1.3*costs[0]))
 }
 
-func TestALargeFleetHasFewDelegatesOfEachZone(t *testing.T) {
-	playLarge(t, largeNodes, func(s *relayScene) {
+func TestLargeFleetHasFewDelegatesInEachZone(t *testing.T) {
+	runLargeFleet(t, largeNodes, func(s *relayScenario) {
 		zones := map[string]int{}
 		for _, node := range s.delegates() {
-			zones[relayZone(node)]++
+			zones[zoneOf(node)]++
 		}
 		for _, zone := range relayZones {
 			s.Expect(zones[zone]).To(gomega.BeNumerically("~", 4, 1), zone)
 		}
 		scheduler := s.scheduler()
-		s.Expect(s.lab.Node(scheduler).Status().Live).To(gomega.HaveLen(largeNodes-1), "it hears all")
+		s.Expect(s.deployment.Node(scheduler).Status().Live).To(gomega.HaveLen(largeNodes-1), "it hears all")
 	})
 }
 
 // The death of the scheduling node, of all delegates of a zone, or of half of all nodes: those that
 // live agree again and serve.
-func TestALargeFleetAgreesAgainAfterDeaths(t *testing.T) {
+func TestLargeFleetAgreesOnASchedulerAfterNodesFail(t *testing.T) {
 	const limit = 6 * time.Second
-	for name, victims := range map[string]func(s *relayScene) []string{
-		"the scheduling node": func(s *relayScene) []string { return []string{s.scheduler()} },
-		"all delegates of a zone": func(s *relayScene) []string {
-			return slices.DeleteFunc(s.delegates(), func(node string) bool { return relayZone(node) != relayZones[1] })
+	for name, victims := range map[string]func(s *relayScenario) []string{
+		"the scheduling node": func(s *relayScenario) []string { return []string{s.scheduler()} },
+		"all delegates of a zone": func(s *relayScenario) []string {
+			return slices.DeleteFunc(s.delegates(), func(node string) bool { return zoneOf(node) != relayZones[1] })
 		},
-		"all delegates": func(s *relayScene) []string { return s.delegates() },
-		"half of all": func(s *relayScene) []string {
+		"all delegates": func(s *relayScenario) []string { return s.delegates() },
+		"half of all": func(s *relayScenario) []string {
 			return slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return slices.Index(s.nodes, node)%2 == 0 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playLarge(t, largeNodes, func(s *relayScene) {
+			runLargeFleet(t, largeNodes, func(s *relayScenario) {
 				ended := victims(s)
 				for _, node := range ended {
-					s.lab.Node(node).Kill()
+					s.deployment.Node(node).Kill()
 				}
 				time.Sleep(limit)
 				left := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return slices.Contains(ended, node) })
 				s.Expect(s.schedulers(left)).To(gomega.HaveLen(1))
 				s.Expect(ended).NotTo(gomega.ContainElement(s.schedulers(left)[0]))
 				for _, node := range left[:20] {
-					s.Expect(s.get(node, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK), node)
+					s.Expect(s.do(node, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK), node)
 				}
 				s.configure(nil)
-				time.Sleep(newsLimit)
+				time.Sleep(updateLimit)
 				for _, node := range left {
-					s.Expect(s.lab.Node(node).Status().Version).To(gomega.Equal(s.version), node)
+					s.Expect(s.deployment.Node(node).Status().Version).To(gomega.Equal(s.version), node)
 				}
 			})
 		})
@@ -123,11 +123,11 @@
 }
 
 // A zone that is cut off goes on by itself, and is one with the others again once the cut heals.
-func TestAZoneOfALargeFleetGoesOnByItself(t *testing.T) {
-	playLarge(t, largeNodes, func(s *relayScene) {
+func TestPartitionedZoneOfALargeFleetServes(t *testing.T) {
+	runLargeFleet(t, largeNodes, func(s *relayScenario) {
 		var inside, outside []string
 		for _, node := range s.nodes {
-			if relayZone(node) == relayZones[1] {
+			if zoneOf(node) == relayZones[1] {
 				inside = append(inside, node)
 			} else {
 				outside = append(outside, node)
@@ -139,29 +139,29 @@
 		s.Expect(s.schedulers(outside)).To(gomega.HaveLen(1))
 		s.Expect(inside).To(gomega.ContainElement(s.schedulers(inside)[0]))
 		for i := range 10 {
-			s.Expect(s.get(inside[i], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK), inside[i])
+			s.Expect(s.do(inside[i], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK), inside[i])
 		}
 		s.configure(nil)
 		s.fabric.Heal()
 		time.Sleep(6 * time.Second)
 		s.Expect(s.schedulers(s.nodes)).To(gomega.HaveLen(1))
 		for _, node := range s.nodes {
-			s.Expect(s.lab.Node(node).Status().Version).To(gomega.Equal(s.version), node)
+			s.Expect(s.deployment.Node(node).Status().Version).To(gomega.Equal(s.version), node)
 		}
 		s.Expect(len(s.delegates())).To(gomega.BeNumerically("~", 16, 3))
 	})
 }
 
 // A new process among many is ready and knows the scheduling node within a second.
-func TestANodeThatStartsInALargeFleetFindsItsPlace(t *testing.T) {
-	playLarge(t, largeNodes, func(s *relayScene) {
-		ordinary := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.lab.Node(node).Status().NonDelegate })
+func TestNodeThatRestartsInALargeFleetFindsTheScheduler(t *testing.T) {
+	runLargeFleet(t, largeNodes, func(s *relayScenario) {
+		ordinary := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.deployment.Node(node).Status().NonDelegate })
 		for i := range 5 {
 			node := ordinary[i*7]
-			s.lab.Node(node).Kill()
-			s.Expect(s.lab.StartNode(node, relayZone(node))).To(gomega.Succeed())
+			s.deployment.Node(node).Kill()
+			s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
 			time.Sleep(time.Second)
-			status := s.lab.Node(node).Status()
+			status := s.deployment.Node(node).Status()
 			s.Expect(status.Ready).To(gomega.BeTrue(), node)
 			s.Expect(status.Scheduler).To(gomega.Equal(s.scheduler()), node)
 		}
--- a/test/entry/memory_test.go
+++ b/test/entry/memory_test.go
@@ -29,22 +29,22 @@
 // The deployment of the test of memory, and what is measured of it.
 const (
 	// largeRoutes is what four changes of 1,400 routes each make.
-	largeRoutes = 4 * 1400
+	largeRouteCount = 4 * 1400
 	// pullers is the number of nodes that ask one at once; of 83 nodes three follow
 	// the store, and the others spread over these.
-	pullers = 60
+	pullerCount = 60
 	// pullRate is what a puller's link carries in bytes a second and pullBurst what it
 	// carries at once: so little that no puller has all for minutes, so that what is
 	// measured is held by the sender.
-	pullRate  = 4 << 10
-	pullBurst = 512
+	pullBytesPerSecond = 4 << 10
+	pullBurstBytes     = 512
 	// heldLimit bounds what the sender holds above its calm heap in bytes: a ninth of
 	// the 112 MB that the smallest machines give a process.
-	heldLimit = 12 << 20
+	maxHeldBytes = 12 << 20
 	// watchedTime is longer than a write may take, so that replies that are given up
 	// and asked for again are seen too; lookInterval is the time between two looks.
-	watchedTime  = 4 * time.Second
-	lookInterval = 50 * time.Millisecond
+	watchTime      = 4 * time.Second
+	sampleInterval = 50 * time.Millisecond
 )
 
 // fixedDirectory knows one configuration for good.
@@ -83,63 +83,63 @@
 }
 
 func (s *slowConnection) Read(content []byte) (int, error) {
-	count, err := s.Conn.Read(content[:min(len(content), pullBurst)])
+	count, err := s.Conn.Read(content[:min(len(content), pullBurstBytes)])
 	s.received.Add(int64(count))
-	time.Sleep(time.Duration(count) * time.Second / pullRate)
+	time.Sleep(time.Duration(count) * time.Second / pullBytesPerSecond)
 	return count, err
 }
 
 // bareNode is a node with its log.
-type bareNode struct {
+type loggedNode struct {
 	*entry.Node
 	log *eventlog.Log
 }
 
 // crowd is a node that knows a large configuration, and others that will ask it for
 // that over slow links.
-type crowd struct {
+type pullScenario struct {
 	*gomega.WithT
-	fabric   *memnet.Fabric
-	sender   bareNode
-	pullers  []bareNode
-	received []atomic.Int64
-	written  io.Writer
+	fabric    *memnet.Fabric
+	sender    loggedNode
+	pullers   []loggedNode
+	received  []atomic.Int64
+	logOutput io.Writer
 }
 
 // gather starts the nodes. The pullers know an older configuration, and do not hear of
 // the newer one until the fabric is healed. The lines of all are written as given.
-func gather(t *testing.T, pullers int, written io.Writer) *crowd {
-	c := &crowd{written: written, WithT: gomega.NewWithT(t), fabric: memnet.New(), received: make([]atomic.Int64, pullers)}
-	c.sender = c.start("sender", c.fabric.Host("sender"), documents.Large(2, largeRoutes))
+func startPullers(t *testing.T, pullers int, written io.Writer) *pullScenario {
+	c := &pullScenario{logOutput: written, WithT: gomega.NewWithT(t), fabric: memnet.New(), received: make([]atomic.Int64, pullers)}
+	c.sender = c.start("sender", c.fabric.Host("sender"), documents.Large(2, largeRouteCount))
 	for i := range pullers {
 		host := fmt.Sprintf("puller-%02d", i)
 		c.fabric.Cut("sender", host)
 		c.pullers = append(c.pullers, c.start(host, slowNetwork{c.fabric.Host(host), &c.received[i]}, documents.Large(1, 1)))
 	}
-	time.Sleep(meetingTime)
+	time.Sleep(discoveryTime)
 	return c
 }
 
 // meetingTime is longer than nodes need to hear of each other.
-const meetingTime = 3 * time.Second
+const discoveryTime = 3 * time.Second
 
 // start starts a node over a directory that knows the document.
-func (c *crowd) start(host string, seen network.Network, document *catalog.Document) bareNode {
+func (c *pullScenario) start(host string, seen network.Network, document *catalog.Document) loggedNode {
 	settings := &entry.Settings{
 		Name: host, Zone: "east", Callers: host + ":8221", Readiness: host + ":8224", Operators: host + ":8229", Host: host, PeerPort: 7600,
 		Seeds: []string{"sender:8229"}, Store: "store:8225", StopGrace: 8000, StoreRecoveryWindow: 3000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, ConfigurationBound: 3000, FirstStart: true,
 	}
-	log := eventlog.New(host, c.written)
+	log := eventlog.New(host, c.logOutput)
 	node := entry.New(settings, entry.Dependencies{
 		Network: seen, Datagrams: c.fabric.Datagrams(host), Directory: fixedDirectory{document},
 		Headers: platform.Headers(), ParsePushback: platform.ParsePushback, ReadyPath: platform.ReadyPath, Log: log, Incarnation: 1,
 	})
 	c.Expect(node.Start()).To(gomega.Succeed())
-	return bareNode{node, log}
+	return loggedNode{node, log}
 }
 
 // stop ends all nodes, and waits for reads that still sleep.
-func (c *crowd) stop() {
+func (c *pullScenario) stop() {
 	for _, node := range append(c.pullers, c.sender) {
 		node.Kill()
 		node.log.Close()
@@ -158,14 +158,14 @@
 // Beside changes of a configuration of some thousand routes a process went over its
 // memory limit, and requests were lost with it. Whole nodes ask here, by whatever
 // messages they use.
-func TestMemoryIsBoundedWhileManyPeersAskForConfiguration(t *testing.T) {
+func TestMemoryIsBoundedWhileManyPeersPullConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := gather(t, pullers, nil)
+		c := startPullers(t, pullerCount, nil)
 		synctest.Wait()
 		calm := heapInUse()
 		c.fabric.Heal()
 		most := int64(0)
-		for begun := time.Now(); time.Since(begun) < watchedTime; time.Sleep(lookInterval) {
+		for begun := time.Now(); time.Since(begun) < watchTime; time.Sleep(sampleInterval) {
 			synctest.Wait()
 			most = max(most, heapInUse()-calm)
 		}
@@ -177,16 +177,16 @@
 			}
 		}
 		c.stop()
-		t.Logf("calm %d bytes, at most %d bytes more; %d of %d pullers got something", calm, most, reached, pullers)
+		t.Logf("calm %d bytes, at most %d bytes more; %d of %d pullers got something", calm, most, reached, pullerCount)
 		c.Expect(reached).To(gomega.BeNumerically(">", 0), "news is being sent")
-		c.Expect(most).To(gomega.BeNumerically("<", heldLimit))
+		c.Expect(most).To(gomega.BeNumerically("<", maxHeldBytes))
 	})
 }
 
-func TestOperatorsSeeNewsThatIsBeingSent(t *testing.T) {
+func TestOperatorsSeeUpdatesBeingSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := &lines{}
-		c := gather(t, 1, told)
+		told := &logBuffer{}
+		c := startPullers(t, 1, told)
 		c.fabric.Heal()
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -199,7 +199,7 @@
 }
 
 // metrics returns the sender's metrics as operators get them.
-func (c *crowd) metrics() string {
+func (c *pullScenario) metrics() string {
 	connection, err := c.fabric.Host("operator").Dial(context.Background(), "sender:8229")
 	c.Expect(err).NotTo(gomega.HaveOccurred())
 	defer connection.Close()
--- a/test/entry/pushback_test.go
+++ b/test/entry/pushback_test.go
@@ -20,45 +20,45 @@
 
 // Bounds and load of the replicas that say in their answers to hold requests back.
 const (
-	pushbackContact = 3 * time.Second
-	pushbackDrain   = 2 * time.Second
-	pushbackGap     = 25 * time.Millisecond
-	pushbackTime    = 18 * time.Second
+	contactTime      = 3 * time.Second
+	drainTime        = 2 * time.Second
+	pushbackInterval = 25 * time.Millisecond
+	pushbackDuration = 18 * time.Second
 )
 
 // pushbackScene is seven nodes in three zones and replicas of one service, of which the first says
 // what it takes. Which node a request was sent to tells who sent it on.
-type pushbackScene struct {
-	scene
-	nodes    []string
-	replicas []*platformsim.Replica
-	group    sync.WaitGroup
-	mutex    sync.Mutex
-	nodeOf   map[string]string
-	lifeOf   map[string]string
-	askedAt  map[string]time.Time
-	replies  []reply
+type pushbackScenario struct {
+	scenario
+	nodes         []string
+	replicas      []*platformsim.Replica
+	group         sync.WaitGroup
+	mutex         sync.Mutex
+	nodeOf        map[string]string
+	incarnationOf map[string]string
+	sentAt        map[string]time.Time
+	replies       []reply
 	// starts counts how often each node started again.
-	starts map[string]int
+	restarts map[string]int
 	// shown is what a node shows its operators at the end of the load.
-	shown []entry.PushbackStatus
+	shownPushback []entry.PushbackStatus
 }
 
 // playPushback plays a course under load before so many replicas.
-func playPushback(t *testing.T, replicas int, says platformsim.Pushback, course func(s *pushbackScene), judge func(s *pushbackScene)) {
+func runPushback(t *testing.T, replicas int, says platformsim.Pushback, course func(s *pushbackScenario), judge func(s *pushbackScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &pushbackScene{scene: scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}, nodeOf: map[string]string{}, lifeOf: map[string]string{}, askedAt: map[string]time.Time{}, starts: map[string]int{}}
+		s := &pushbackScenario{scenario: scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}, nodeOf: map[string]string{}, incarnationOf: map[string]string{}, sentAt: map[string]time.Time{}, restarts: map[string]int{}}
 		s.nodes = []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}
-		s.start(s.nodes, successionZones, nil)
+		s.start(s.nodes, threeZones, nil)
 		s.configure(func(c *entrylab.Configuration) {
 			c.Routes = []entrylab.Route{{Name: "safe", Host: "service.example", PathPrefix: "/safe/", Kind: "safe", Timeout: 4000, Target: 400, Service: "pool", Attempts: 2}}
 			c.Services = append(c.Services, entrylab.Service{Name: "pool"})
 		})
 		for i := range replicas {
 			host := fmt.Sprint("x", i)
-			replica := &platformsim.Replica{ID: "i-" + host, Service: "pool", Zone: successionZones[i%len(successionZones)], Slots: 4, Step: 50 * time.Millisecond}
-			s.Expect(s.lab.AddReplica(host, replica)).To(gomega.Succeed())
+			replica := &platformsim.Replica{ID: "i-" + host, Service: "pool", Zone: threeZones[i%len(threeZones)], Slots: 4, Step: 50 * time.Millisecond}
+			s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 			s.replicas = append(s.replicas, replica)
 		}
 		s.awaitReady()
@@ -68,8 +68,8 @@
 			s.replicas[0].SetBehavior(always(platformsim.Shed))
 		}
 		s.group.Go(func() { course(s) })
-		s.load(pushbackTime)
-		s.shown = s.lab.Node(s.nodes[0]).Status().Pushback
+		s.load(pushbackDuration)
+		s.shownPushback = s.deployment.Node(s.nodes[0]).Status().Pushback
 		s.group.Wait()
 		s.stop(s.nodes)
 		judge(s)
@@ -77,48 +77,48 @@
 }
 
 // load sends requests to the nodes in turn until the time is over.
-func (s *pushbackScene) load(passed time.Duration) {
-	for i := range int(passed / pushbackGap) {
+func (s *pushbackScenario) load(passed time.Duration) {
+	for i := range int(passed / pushbackInterval) {
 		node, path := s.nodes[i%len(s.nodes)], fmt.Sprintf("/safe/%v/%d", passed, i) // each asks for something else
 		s.group.Go(func() {
-			got := s.get(node, http.MethodGet, path, func(request *http.Request) {
+			got := s.do(node, http.MethodGet, path, func(request *http.Request) {
 				s.mutex.Lock()
 				defer s.mutex.Unlock()
 				id := request.Header.Get("X-Attempt-Id")
-				s.nodeOf[id], s.askedAt[id] = node, time.Now()
-				s.lifeOf[id] = fmt.Sprint(node, "/", s.starts[node])
+				s.nodeOf[id], s.sentAt[id] = node, time.Now()
+				s.incarnationOf[id] = fmt.Sprint(node, "/", s.restarts[node])
 			})
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
 			s.replies = append(s.replies, got)
 		})
-		time.Sleep(pushbackGap)
+		time.Sleep(pushbackInterval)
 	}
 }
 
 // sent returns what reached the replica, with the nodes that it came from.
-func (s *pushbackScene) sent(replica *platformsim.Replica) []checker.Sent {
+func (s *pushbackScenario) requestsTo(replica *platformsim.Replica) []checker.Sent {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var sent []checker.Sent
 	for _, arrival := range replica.Arrived() {
-		sent = append(sent, checker.Sent{Arrival: arrival, Node: s.nodeOf[arrival.ID], Asked: s.askedAt[arrival.ID]})
+		sent = append(sent, checker.Sent{Arrival: arrival, Node: s.nodeOf[arrival.ID], Asked: s.sentAt[arrival.ID]})
 	}
 	return sent
 }
 
 // sentByLives is sent, with each start of a node as a node of its own: one that starts again knows
 // nothing of what was told to it before.
-func (s *pushbackScene) sentByLives(replica *platformsim.Replica) []checker.Sent {
-	sent := s.sent(replica)
+func (s *pushbackScenario) requestsByIncarnation(replica *platformsim.Replica) []checker.Sent {
+	sent := s.requestsTo(replica)
 	for i := range sent {
-		sent[i].Node = s.lifeOf[sent[i].ID]
+		sent[i].Node = s.incarnationOf[sent[i].ID]
 	}
 	return sent
 }
 
 // answers counts the replies by status.
-func (s *pushbackScene) answers() map[int]int {
+func (s *pushbackScenario) repliesByStatus() map[int]int {
 	counts := map[int]int{}
 	for _, one := range s.replies {
 		counts[one.status]++
@@ -127,45 +127,45 @@
 }
 
 // strictly judges without excuses: what is allowed to nodes that were disturbed is needless.
-var strictly = checker.Pushback{Contact: pushbackContact, Drain: pushbackDrain, Excused: func(string, time.Time, time.Time) bool { return false }}
+var strictPushback = checker.Pushback{Contact: contactTime, Drain: drainTime, Excused: func(string, time.Time, time.Time) bool { return false }}
 
 // pushbackCourses are what may happen to those who keep what a replica says.
-var pushbackCourses = map[string]func(s *pushbackScene){
-	"calm":              func(*pushbackScene) {},
-	"the store is down": func(s *pushbackScene) { s.lab.Store.SetDown(true) },
-	"the list is copied": func(s *pushbackScene) {
-		copied := s.lab.Store.Copy()
+var pushbackFaults = map[string]func(s *pushbackScenario){
+	"calm":              func(*pushbackScenario) {},
+	"the store is down": func(s *pushbackScenario) { s.deployment.Store.SetDown(true) },
+	"the list is copied": func(s *pushbackScenario) {
+		copied := s.deployment.Store.Copy()
 		time.Sleep(time.Second)
-		s.lab.Store.Restore(copied)
+		s.deployment.Store.Restore(copied)
 	},
-	"the scheduling node ends again and again": func(s *pushbackScene) {
+	"the scheduling node ends again and again": func(s *pushbackScenario) {
 		for range 12 {
 			time.Sleep(1300 * time.Millisecond)
-			s.startAgain(s.scheduling())
+			s.restart(s.majorityScheduler())
 		}
 	},
-	"each node ends in turn": func(s *pushbackScene) {
+	"each node ends in turn": func(s *pushbackScenario) {
 		for round := range 16 {
 			time.Sleep(time.Second)
-			s.startAgain(s.nodes[round%len(s.nodes)])
+			s.restart(s.nodes[round%len(s.nodes)])
 		}
 	},
-	"all nodes end": func(s *pushbackScene) {
+	"all nodes end": func(s *pushbackScenario) {
 		time.Sleep(6 * time.Second)
 		for _, node := range s.nodes {
-			s.startAgain(node)
+			s.restart(node)
 		}
 	},
-	"the scheduling node stands still again and again": func(s *pushbackScene) {
+	"the scheduling node stands still again and again": func(s *pushbackScenario) {
 		for range 5 {
 			time.Sleep(1500 * time.Millisecond)
-			node := s.scheduling()
+			node := s.majorityScheduler()
 			s.fabric.Pause(node)
 			time.Sleep(1500 * time.Millisecond)
 			s.fabric.Resume(node)
 		}
 	},
-	"the network is cut again and again": func(s *pushbackScene) {
+	"the network is cut again and again": func(s *pushbackScenario) {
 		for round := range 4 {
 			time.Sleep(2 * time.Second)
 			s.fabric.CutGroups(s.nodes[:3+round%2], s.nodes[3+round%2:])
@@ -173,9 +173,9 @@
 			s.fabric.Heal()
 		}
 	},
-	"the scheduling node and the next one don't hear each other": func(s *pushbackScene) {
+	"the scheduling node and the next one don't hear each other": func(s *pushbackScenario) {
 		time.Sleep(4 * time.Second)
-		first := s.scheduling()
+		first := s.majorityScheduler()
 		for _, node := range s.nodes {
 			if node != first {
 				s.fabric.CutGroups([]string{first}, []string{node})
@@ -187,10 +187,10 @@
 }
 
 // scheduling returns the node that most nodes take for the scheduling one.
-func (s *pushbackScene) scheduling() string {
+func (s *pushbackScenario) majorityScheduler() string {
 	votes, most := map[string]int{}, ""
 	for _, node := range s.nodes {
-		name := s.lab.Node(node).Status().Scheduler
+		name := s.deployment.Node(node).Status().Scheduler
 		if votes[name]++; votes[name] > votes[most] {
 			most = name
 		}
@@ -199,35 +199,35 @@
 }
 
 // startAgain kills the node and starts it anew.
-func (s *pushbackScene) startAgain(node string) {
-	s.lab.Node(node).Kill()
+func (s *pushbackScenario) restart(node string) {
+	s.deployment.Node(node).Kill()
 	s.mutex.Lock()
-	s.starts[node]++
+	s.restarts[node]++
 	s.mutex.Unlock()
 	for i, name := range s.nodes {
 		if name == node {
-			s.Expect(s.lab.StartNode(node, successionZones[i%len(successionZones)])).To(gomega.Succeed())
+			s.Expect(s.deployment.StartNode(node, threeZones[i%len(threeZones)])).To(gomega.Succeed())
 		}
 	}
 }
 
 // everyPushback plays all courses, with the replica alone and beside two others.
-func everyPushback(t *testing.T, says platformsim.Pushback, judge func(s *pushbackScene)) {
-	for name, course := range pushbackCourses {
+func runPushbackFaults(t *testing.T, says platformsim.Pushback, judge func(s *pushbackScenario)) {
+	for name, course := range pushbackFaults {
 		for _, replicas := range []int{1, 3} {
 			t.Run(fmt.Sprintf("%s, %d replicas", name, replicas), func(t *testing.T) {
-				playPushback(t, replicas, says, course, judge)
+				runPushback(t, replicas, says, course, judge)
 			})
 		}
 	}
 }
 
 // Guards against more requests to a replica than the rate that it names, from all nodes together.
-func TestTheRateLimitOfAReplicaIsKeptByAllNodesTogether(t *testing.T) {
+func TestRateLimitOfAReplicaIsKeptByAllNodesTogether(t *testing.T) {
 	for _, limit := range []string{"1", "6"} {
 		t.Run(limit+" a second", func(t *testing.T) {
-			everyPushback(t, platformsim.Pushback{Limit: limit}, func(s *pushbackScene) {
-				s.Expect(strictly.RateLimit(s.sent(s.replicas[0]))).To(gomega.BeEmpty())
+			runPushbackFaults(t, platformsim.Pushback{Limit: limit}, func(s *pushbackScenario) {
+				s.Expect(strictPushback.RateLimit(s.requestsTo(s.replicas[0]))).To(gomega.BeEmpty())
 			})
 		})
 	}
@@ -235,11 +235,11 @@
 
 // A replica that names its limit gets close to that, steadily, and who can't be served is told so at
 // once, with a time to come back.
-func TestALimitedReplicaIsUsedSteadily(t *testing.T) {
+func TestRateLimitedReplicaIsUsedSteadily(t *testing.T) {
 	for limit, perSecond := range map[string]float64{"1": 1, "6": 6} {
 		t.Run(limit+" a second", func(t *testing.T) {
-			playPushback(t, 1, platformsim.Pushback{Limit: limit}, func(*pushbackScene) {}, func(s *pushbackScene) {
-				begun, used := s.replicas[0].Arrived()[0].At.Add(time.Second+pushbackContact), 0
+			runPushback(t, 1, platformsim.Pushback{Limit: limit}, func(*pushbackScenario) {}, func(s *pushbackScenario) {
+				begun, used := s.replicas[0].Arrived()[0].At.Add(time.Second+contactTime), 0
 				seconds := map[int]int{}
 				for _, arrival := range s.replicas[0].Arrived() {
 					if passed := arrival.At.Sub(begun); passed >= 0 && passed < 12*time.Second {
@@ -264,18 +264,18 @@
 }
 
 // Each answer tells the limit as it is; the replica gets more as soon as it takes more.
-func TestTheEndOfALimitIsNoticed(t *testing.T) {
+func TestRaisedRateLimitIsApplied(t *testing.T) {
 	for name, after := range map[string]platformsim.Pushback{"it ends": {}, "it is high": {Limit: "10000"}} {
 		for _, before := range []string{"0", "0.5", "4"} {
 			t.Run(fmt.Sprintf("%s after %s a second", name, before), func(t *testing.T) {
 				var changed time.Time
-				playPushback(t, 1, platformsim.Pushback{Limit: before}, func(s *pushbackScene) {
+				runPushback(t, 1, platformsim.Pushback{Limit: before}, func(s *pushbackScenario) {
 					time.Sleep(4 * time.Second)
 					changed = time.Now()
 					s.replicas[0].Say(after)
-				}, func(s *pushbackScene) {
+				}, func(s *pushbackScenario) {
 					// At a limit of zero one request in ten seconds finds out.
-					s.Expect(arrivedAfter(s.replicas, changed.Add(11*time.Second))).To(gomega.BeNumerically(">", 80))
+					s.Expect(arrivalsAfter(s.replicas, changed.Add(11*time.Second))).To(gomega.BeNumerically(">", 80))
 				})
 			})
 		}
@@ -283,46 +283,46 @@
 }
 
 // A limit that falls to a tenth, and one that nobody can read.
-func TestALimitThatChanges(t *testing.T) {
-	playPushback(t, 3, platformsim.Pushback{Limit: "10"}, func(s *pushbackScene) {
+func TestLoweredAndInvalidRateLimits(t *testing.T) {
+	runPushback(t, 3, platformsim.Pushback{Limit: "10"}, func(s *pushbackScenario) {
 		time.Sleep(6 * time.Second)
 		s.replicas[0].Say(platformsim.Pushback{Limit: "1"})
 		s.replicas[1].Say(platformsim.Pushback{Limit: "-3"})
 		s.replicas[2].Say(platformsim.Pushback{Limit: "NaN"})
-	}, func(s *pushbackScene) {
+	}, func(s *pushbackScenario) {
 		var after []checker.Sent
-		for _, one := range s.sent(s.replicas[0]) {
+		for _, one := range s.requestsTo(s.replicas[0]) {
 			if one.Said.Limit == "1" {
 				after = append(after, one)
 			}
 		}
-		s.Expect(strictly.RateLimit(after)).To(gomega.BeEmpty())
-		s.Expect(s.answers()).To(gomega.HaveLen(1), "the others take what this one can't")
-		s.Expect(s.shown).To(gomega.ContainElement(gomega.And(gomega.HaveField("Replica", "i-x0"), gomega.HaveField("Limit", gomega.HaveValue(gomega.Equal(1.0))))))
-		s.Expect(s.events("replica.said")).To(gomega.ContainElement(gomega.HaveField("Outcome", "unreadable")))
+		s.Expect(strictPushback.RateLimit(after)).To(gomega.BeEmpty())
+		s.Expect(s.repliesByStatus()).To(gomega.HaveLen(1), "the others take what this one can't")
+		s.Expect(s.shownPushback).To(gomega.ContainElement(gomega.And(gomega.HaveField("Replica", "i-x0"), gomega.HaveField("Limit", gomega.HaveValue(gomega.Equal(1.0))))))
+		s.Expect(s.loggedEvents("replica.said")).To(gomega.ContainElement(gomega.HaveField("Outcome", "unreadable")))
 	})
 }
 
 // Guards against requests to a replica that has told their node in an answer that it leaves, whatever
 // the store says.
-func TestAReplicaThatSaysItLeavesGetsNothingFromThoseItTold(t *testing.T) {
-	everyPushback(t, platformsim.Pushback{Leaving: "1"}, func(s *pushbackScene) {
-		s.Expect(strictly.Leaving(s.sentByLives(s.replicas[0]))).To(gomega.BeEmpty())
+func TestLeavingReplicaReceivesNothingFromNodesItInformed(t *testing.T) {
+	runPushbackFaults(t, platformsim.Pushback{Leaving: "1"}, func(s *pushbackScenario) {
+		s.Expect(strictPushback.Leaving(s.requestsByIncarnation(s.replicas[0]))).To(gomega.BeEmpty())
 	})
 }
 
 // Guards against requests to a replica within the time in which it has asked their node to send none.
-func TestAReplicaThatAsksForAPauseGetsOne(t *testing.T) {
-	everyPushback(t, platformsim.Pushback{RetryAfter: "3"}, func(s *pushbackScene) {
-		s.Expect(strictly.Pauses(s.sentByLives(s.replicas[0]))).To(gomega.BeEmpty())
+func TestReplicaPauseIsKept(t *testing.T) {
+	runPushbackFaults(t, platformsim.Pushback{RetryAfter: "3"}, func(s *pushbackScenario) {
+		s.Expect(strictPushback.Pauses(s.requestsByIncarnation(s.replicas[0]))).To(gomega.BeEmpty())
 	})
 }
 
 // That a replica leaves holds for one start of it: it gets nothing though it says so no longer and the
 // store lists it as ready, and serves again once it has started again under its id.
-func TestAReplicaThatLeftServesOnceItStartedAgain(t *testing.T) {
+func TestReplicaThatLeftIsUsedAfterARestart(t *testing.T) {
 	var silent, again time.Time
-	playPushback(t, 2, platformsim.Pushback{Leaving: "1"}, func(s *pushbackScene) {
+	runPushback(t, 2, platformsim.Pushback{Leaving: "1"}, func(s *pushbackScenario) {
 		time.Sleep(3 * time.Second)
 		s.replicas[0].Say(platformsim.Pushback{})
 		silent = time.Now()
@@ -330,18 +330,18 @@
 		s.replicas[0].Born = time.Now().UnixMilli()
 		again = time.Now()
 		time.Sleep(time.Millisecond)
-		s.replicas[0].Register(s.lab.Store, "ready")
-	}, func(s *pushbackScene) {
+		s.replicas[0].Register(s.deployment.Store, "ready")
+	}, func(s *pushbackScenario) {
 		left := s.replicas[:1]
-		s.Expect(arrivedAfter(left, silent)).To(gomega.Equal(arrivedAfter(left, again)), "while it leaves")
-		s.Expect(arrivedAfter(left, again)).To(gomega.BeNumerically(">", 50))
-		s.Expect(s.answers()).To(gomega.HaveLen(1), "the other one serves all")
+		s.Expect(arrivalsAfter(left, silent)).To(gomega.Equal(arrivalsAfter(left, again)), "while it leaves")
+		s.Expect(arrivalsAfter(left, again)).To(gomega.BeNumerically(">", 50))
+		s.Expect(s.repliesByStatus()).To(gomega.HaveLen(1), "the other one serves all")
 	})
 }
 
 // With no other replica left, callers are told when to come back.
-func TestCallersAreRefusedWhenAllReplicasLeave(t *testing.T) {
-	playPushback(t, 1, platformsim.Pushback{Leaving: "1"}, func(*pushbackScene) {}, func(s *pushbackScene) {
+func TestRequestsAreRejectedWithRetryAfterWhenAllReplicasLeave(t *testing.T) {
+	runPushback(t, 1, platformsim.Pushback{Leaving: "1"}, func(*pushbackScenario) {}, func(s *pushbackScenario) {
 		for _, one := range s.replies {
 			if one.status != http.StatusOK {
 				s.Expect(one.status).To(gomega.Equal(http.StatusServiceUnavailable))
@@ -353,11 +353,11 @@
 
 // Where every replica asks for a pause, callers are told at once when the first of them is over, and
 // not all that were held back come when it is.
-func TestCallersAreToldWhenPausesEnd(t *testing.T) {
-	playPushback(t, 1, platformsim.Pushback{RetryAfter: "3"}, func(s *pushbackScene) {
+func TestRejectionsDuringAPauseNameItsEnd(t *testing.T) {
+	runPushback(t, 1, platformsim.Pushback{RetryAfter: "3"}, func(s *pushbackScenario) {
 		time.Sleep(5 * time.Second)
 		s.replicas[0].SetBehavior(nil)
-	}, func(s *pushbackScene) {
+	}, func(s *pushbackScenario) {
 		arrived := s.replicas[0].Arrived()
 		for i, one := range arrived {
 			if !one.Refused {
@@ -385,6 +385,6 @@
 			}
 		}
 		s.Expect(soon).To(gomega.BeNumerically(">", 0), "the time runs down")
-		s.Expect(s.answers()[http.StatusOK]).To(gomega.BeNumerically(">", 350), "it serves again")
+		s.Expect(s.repliesByStatus()[http.StatusOK]).To(gomega.BeNumerically(">", 350), "it serves again")
 	})
 }
--- a/test/entry/relay_test.go
+++ b/test/entry/relay_test.go
@@ -18,13 +18,13 @@
 const (
 	relayNodes = 40
 	// settled is the virtual time after which heartbeats have settled everything.
-	settled = 5 * time.Second
+	settleTime = 5 * time.Second
 )
 
 var relayZones = []string{"north", "east", "south", "west"}
 
 // relayZone returns the zone of the node with the name.
-func relayZone(node string) string {
+func zoneOf(node string) string {
 	var number int
 	if _, err := fmt.Sscanf(node, "n%d", &number); err != nil {
 		return ""
@@ -33,30 +33,30 @@
 }
 
 func crossesZones(from, to string) bool {
-	return relayZone(from) != "" && relayZone(to) != "" && relayZone(from) != relayZone(to)
+	return zoneOf(from) != "" && zoneOf(to) != "" && zoneOf(from) != zoneOf(to)
 }
 
 // relayScene is a deployment of that size.
-type relayScene struct {
-	*scene
+type relayScenario struct {
+	*scenario
 	nodes []string
 }
 
-func playRelays(t *testing.T, test func(s *relayScene)) {
+func runRelays(t *testing.T, test func(s *relayScenario)) {
 	t.Helper()
-	playRelaysAmong(t, relayNodes, test)
+	runRelaysWithNodes(t, relayNodes, test)
 }
 
-func playRelaysAmong(t *testing.T, nodes int, test func(s *relayScene)) {
+func runRelaysWithNodes(t *testing.T, nodes int, test func(s *relayScenario)) {
 	t.Helper()
-	playNodes(t, nodes, nil, settled, test)
+	runNodes(t, nodes, nil, settleTime, test)
 }
 
 // playNodes plays so many nodes, which adjust may give other settings, once they had time to settle.
-func playNodes(t *testing.T, nodes int, adjust func(*relayScene, *entry.Settings), settle time.Duration, test func(s *relayScene)) {
+func runNodes(t *testing.T, nodes int, adjust func(*relayScenario, *entry.Settings), settle time.Duration, test func(s *relayScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &relayScene{scene: &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}}
+		s := &relayScenario{scenario: &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}}
 		for i := range nodes {
 			s.nodes = append(s.nodes, nodeName(i))
 		}
@@ -73,7 +73,7 @@
 }
 
 // crossing returns the bytes that crossed borders of zones while the function ran.
-func (s *relayScene) crossing(run func()) float64 {
+func (s *relayScenario) bytesBetweenZones(run func()) float64 {
 	before := s.fabric.SentWhere(crossesZones)
 	run()
 	return float64(s.fabric.SentWhere(crossesZones) - before)
@@ -81,19 +81,19 @@
 
 // The users pay for what crosses zones. Heartbeats straight to every node of every zone
 // were nearly all of it, 0.5 GB in 48 s of calm among 295 nodes.
-func TestHeartbeatsCrossTheBorderOfAZoneOnce(t *testing.T) {
+func TestHeartbeatTrafficBetweenZonesIsBounded(t *testing.T) {
 	const (
 		watched = 20 * time.Second
 		// Three heartbeats of some 350 bytes each half second, and as many confirmations;
 		// senior nodes send twice as many.
 		limit = 5e3
 	)
-	playRelays(t, func(s *relayScene) {
-		rate := s.crossing(func() { time.Sleep(watched) }) / watched.Seconds() / relayNodes
+	runRelays(t, func(s *relayScenario) {
+		rate := s.bytesBetweenZones(func() { time.Sleep(watched) }) / watched.Seconds() / relayNodes
 		t.Logf("between zones: %.0f bytes a node and second", rate)
 		s.Expect(rate).To(gomega.BeNumerically("<", limit), "bytes a node and second between zones")
 		for _, node := range s.nodes {
-			s.Expect(s.lab.Node(node).Status().Live).To(gomega.HaveLen(relayNodes-1), node)
+			s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(relayNodes-1), node)
 		}
 	})
 }
@@ -101,56 +101,56 @@
 const (
 	// toldWatched is the time after the start of a process in which what it is sent is
 	// counted.
-	toldWatched = time.Second
+	startWatchTime = time.Second
 	// toldLimit is an answer and a regular heartbeat or two from each node, some 400 bytes
 	// each, and a few lists of 3 kB; 68 kB when each node sent the list.
-	toldLimit = 45e3
+	maxStartBytes = 45e3
 )
 
 // toldAtStart starts the last node again and returns the bytes that it is sent.
-func (s *relayScene) toldAtStart() float64 {
+func (s *relayScenario) bytesToStartingNode() float64 {
 	node := s.nodes[len(s.nodes)-1]
 	toNode := func(_, to string) bool { return to == node }
-	s.lab.Node(node).Kill()
-	time.Sleep(settled)
+	s.deployment.Node(node).Kill()
+	time.Sleep(settleTime)
 	before := s.fabric.SentWhere(toNode)
-	s.Expect(s.lab.StartNode(node, relayZone(node))).To(gomega.Succeed())
-	time.Sleep(toldWatched)
-	s.Expect(s.lab.Node(node).Status().Live).To(gomega.HaveLen(len(s.nodes) - 1))
+	s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
+	time.Sleep(startWatchTime)
+	s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(len(s.nodes) - 1))
 	return float64(s.fabric.SentWhere(toNode) - before)
 }
 
 // A process that starts again hears of the nodes from a few, and not from each node that
 // it greets.
-func TestAStartIsToldTheNodesByFew(t *testing.T) {
-	playRelays(t, func(s *relayScene) {
-		got := s.toldAtStart()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", toldWatched, got)
-		s.Expect(got).To(gomega.BeNumerically("<", toldLimit))
+func TestStartingNodeReceivesPeerListsFromFewNodes(t *testing.T) {
+	runRelays(t, func(s *relayScenario) {
+		got := s.bytesToStartingNode()
+		t.Logf("sent to the new process in its first %v: %.0f bytes", startWatchTime, got)
+		s.Expect(got).To(gomega.BeNumerically("<", maxStartBytes))
 	})
 }
 
 // The first part of a list names 18 nodes. Where that is less than half of all, the process
 // greets these as a newcomer, and each of them sent it the whole list too: 110 kB.
-func TestAStartAmongManyIsToldTheNodesByFew(t *testing.T) {
+func TestStartingNodeInALargerFleetReceivesPeerListsFromFewNodes(t *testing.T) {
 	const (
 		many  = 80
 		limit = 60e3 // 44 kB where the lists come from a few
 	)
-	playRelaysAmong(t, many, func(s *relayScene) {
-		got := s.toldAtStart()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", toldWatched, got)
+	runRelaysWithNodes(t, many, func(s *relayScenario) {
+		got := s.bytesToStartingNode()
+		t.Logf("sent to the new process in its first %v: %.0f bytes", startWatchTime, got)
 		s.Expect(got).To(gomega.BeNumerically("<", limit))
 	})
 }
 
 // moves returns how often nodes took another one for the scheduling node.
-func (s *relayScene) moves() int { return len(s.events("scheduler")) }
+func (s *relayScenario) schedulerChanges() int { return len(s.loggedEvents("scheduler")) }
 
 // Half of the relays may die at the same moment. The heartbeats of the nodes that live
 // still arrive, so that nobody takes the scheduling node for dead.
-func TestSchedulingNodeIsHeardThoughManyRelaysDie(t *testing.T) {
-	playRelays(t, func(s *relayScene) {
+func TestSchedulerDoesNotChangeWhenManyRelaysFail(t *testing.T) {
+	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
 		var ended []string
 		for i, node := range s.nodes {
@@ -158,49 +158,49 @@
 				ended = append(ended, node)
 			}
 		}
-		before := s.moves()
+		before := s.schedulerChanges()
 		for _, node := range ended {
 			s.fabric.Pause(node)
 		}
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		var moved []string
 		for _, node := range s.nodes {
-			if !slices.Contains(ended, node) && s.lab.Node(node).Status().Scheduler != scheduler {
+			if !slices.Contains(ended, node) && s.deployment.Node(node).Status().Scheduler != scheduler {
 				moved = append(moved, node)
 			}
 		}
-		t.Logf("%d of %d nodes ended, %d moves", len(ended), relayNodes, s.moves()-before)
+		t.Logf("%d of %d nodes ended, %d moves", len(ended), relayNodes, s.schedulerChanges()-before)
 		s.Expect(moved).To(gomega.BeEmpty(), "nodes that left the scheduling node")
 		// The nodes that stand still can't be seen to have moved before they go on.
-		s.Expect(s.moves()-before).To(gomega.BeNumerically("<=", len(ended)), "moves")
+		s.Expect(s.schedulerChanges()-before).To(gomega.BeNumerically("<=", len(ended)), "moves")
 	})
 }
 
 // A node that reaches only its own zone still hears the scheduling node by way of it. It
 // has to notice by its calls that it does not reach that node.
-func TestNodeThatReachesOnlyItsZoneGoesOnServing(t *testing.T) {
+func TestNodeThatReachesOnlyItsZoneServes(t *testing.T) {
 	const limit = 1500 * time.Millisecond
-	playRelays(t, func(s *relayScene) {
+	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
 		var alone string
 		var others []string
 		for _, node := range s.nodes {
-			if relayZone(node) != relayZone(scheduler) {
+			if zoneOf(node) != zoneOf(scheduler) {
 				alone = node
 				break
 			}
 		}
 		for _, node := range s.nodes {
-			if relayZone(node) != relayZone(alone) {
+			if zoneOf(node) != zoneOf(alone) {
 				others = append(others, node)
 			}
 		}
-		s.Expect(s.get(alone, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
+		s.Expect(s.do(alone, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
 		s.fabric.CutGroups([]string{alone}, others)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		slow := 0
 		for range 20 {
-			got := s.get(alone, http.MethodGet, "/safe/", nil)
+			got := s.do(alone, http.MethodGet, "/safe/", nil)
 			if got.status != http.StatusOK || got.took > limit {
 				slow++
 				t.Logf("answered %d after %v", got.status, got.took)
--- a/test/entry/scene_test.go
+++ b/test/entry/scenario_test.go
@@ -28,15 +28,15 @@
 
 // scene is a small deployment: three nodes in two zones, plain replicas p1 and
 // p2, engines e1 and e2.
-type scene struct {
+type scenario struct {
 	*gomega.WithT
-	fabric  *memnet.Fabric
-	lab     *entrylab.Deployment
-	plain   []*platformsim.Replica
-	engines []*platformsim.Replica
-	version int64
-	ids     atomic.Int64
-	lines   lines
+	fabric        *memnet.Fabric
+	deployment    *entrylab.Deployment
+	plainReplicas []*platformsim.Replica
+	engines       []*platformsim.Replica
+	version       int64
+	requestCount  atomic.Int64
+	logs          logBuffer
 	// now gives a node's clock; nil means the steady one.
 	now func(host string) func() time.Duration
 	// sleep gives a node's timer; nil means the real one.
@@ -45,12 +45,12 @@
 
 var hosts = []string{"n1", "n2", "n3"}
 
-func play(t *testing.T, test func(s *scene)) {
+func runScenario(t *testing.T, test func(s *scenario)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}
+		s := &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}
 		s.start(hosts, []string{"east", "west"}, nil)
 		for _, host := range []string{"e1", "e2"} {
-			s.engines = append(s.engines, s.replica(host, "engines", 6, 50*time.Millisecond))
+			s.engines = append(s.engines, s.addReplica(host, "engines", 6, 50*time.Millisecond))
 		}
 		s.awaitReady()
 		defer s.stop(hosts)
@@ -60,45 +60,45 @@
 
 // start starts the nodes, which adjust may give other settings, a first configuration and
 // the plain replicas.
-func (s *scene) start(nodes, zones []string, adjust func(*entry.Settings)) {
+func (s *scenario) start(nodes, zones []string, adjust func(*entry.Settings)) {
 	var err error
-	s.lab, err = entrylab.Start(entrylab.Options{
+	s.deployment, err = entrylab.Start(entrylab.Options{
 		Hosts: nodes, Zones: zones, StoreHost: "store",
 		Network:   func(host string) network.Network { return s.fabric.Host(host) },
-		Datagrams: s.fabric.Datagrams, Log: &s.lines, Adjust: adjust, Now: s.now, Sleep: s.sleep,
+		Datagrams: s.fabric.Datagrams, Log: &s.logs, Adjust: adjust, Now: s.now, Sleep: s.sleep,
 	})
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	s.configure(nil)
 	for _, host := range []string{"p1", "p2"} {
-		s.plain = append(s.plain, s.replica(host, "registry", 0, 20*time.Millisecond))
+		s.plainReplicas = append(s.plainReplicas, s.addReplica(host, "registry", 0, 20*time.Millisecond))
 	}
 }
 
 // awaitReady waits until every node is ready.
-func (s *scene) awaitReady() {
+func (s *scenario) awaitReady() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	s.Expect(s.lab.AwaitReady(ctx)).To(gomega.BeTrue())
+	s.Expect(s.deployment.AwaitReady(ctx)).To(gomega.BeTrue())
 }
 
 // stop ends all faults and everything that runs.
-func (s *scene) stop(nodes []string) {
+func (s *scenario) stop(nodes []string) {
 	s.fabric.Heal()
 	for _, host := range nodes {
 		s.fabric.Resume(host)
 	}
-	s.lab.Stop()
+	s.deployment.Stop()
 	time.Sleep(time.Minute) // virtual time, in which everything ends
 }
 
-func (s *scene) replica(host, service string, events int, step time.Duration) *platformsim.Replica {
+func (s *scenario) addReplica(host, service string, events int, step time.Duration) *platformsim.Replica {
 	replica := &platformsim.Replica{ID: "i-" + host, Service: service, Zone: "east", Slots: 2, Events: events, Step: step}
-	s.Expect(s.lab.AddReplica(host, replica)).To(gomega.Succeed())
+	s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 	return replica
 }
 
 // configure writes a new version of the configuration, changed by the function.
-func (s *scene) configure(change func(*entrylab.Configuration)) {
+func (s *scenario) configure(change func(*entrylab.Configuration)) {
 	s.version++
 	route := func(name, kind, service string, attempts, priority int, resumable bool) entrylab.Route {
 		return entrylab.Route{
@@ -119,7 +119,7 @@
 	if change != nil {
 		change(&configuration)
 	}
-	s.lab.Apply(configuration)
+	s.deployment.Apply(configuration)
 }
 
 // reply is an answer as a caller saw it.
@@ -128,13 +128,13 @@
 	header http.Header
 	body   string
 	// whole is true if the answer ended properly.
-	whole bool
-	took  time.Duration
+	complete bool
+	took     time.Duration
 }
 
 // get sends a request with the key of the tenant to the node.
-func (s *scene) get(node, method, path string, change func(*http.Request)) reply {
-	id := "r" + strconv.FormatInt(s.ids.Add(1), 10)
+func (s *scenario) do(node, method, path string, change func(*http.Request)) reply {
+	id := "r" + strconv.FormatInt(s.requestCount.Add(1), 10)
 	request, err := http.NewRequest(method, "http://"+entrylab.CallersAddress(node)+path, nil)
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	if method == http.MethodPost {
@@ -150,8 +150,8 @@
 	return s.send(request)
 }
 
-func (s *scene) send(request *http.Request) reply {
-	client := &http.Client{Transport: &http.Transport{DialContext: s.dialCaller, DisableKeepAlives: true}}
+func (s *scenario) send(request *http.Request) reply {
+	client := &http.Client{Transport: &http.Transport{DialContext: s.dialFromCaller, DisableKeepAlives: true}}
 	begun := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
@@ -159,13 +159,13 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil, took: time.Since(begun)}
+	return reply{status: response.StatusCode, header: response.Header, body: string(body), complete: err == nil, took: time.Since(begun)}
 }
 
 // allRuns returns how often each request ran at any replica.
-func (s *scene) allRuns() map[string]int {
+func (s *scenario) runCounts() map[string]int {
 	counts := map[string]int{}
-	for _, replica := range append(append([]*platformsim.Replica{}, s.plain...), s.engines...) {
+	for _, replica := range append(append([]*platformsim.Replica{}, s.plainReplicas...), s.engines...) {
 		for _, run := range replica.Runs() {
 			counts[run.ID]++
 		}
@@ -174,10 +174,10 @@
 }
 
 // scheduler returns the node that schedules, as the others see it.
-func (s *scene) scheduler() string { return s.lab.Node("n1").Status().Scheduler }
+func (s *scenario) scheduler() string { return s.deployment.Node("n1").Status().Scheduler }
 
 // others returns the nodes that do not schedule.
-func (s *scene) others() []string {
+func (s *scenario) followers() []string {
 	var names []string
 	for _, host := range hosts {
 		if host != s.scheduler() {
@@ -187,7 +187,7 @@
 	return names
 }
 
-func (s *scene) onAll(replicas []*platformsim.Replica, behave func(*http.Request) platformsim.Behavior) {
+func (s *scenario) setBehavior(replicas []*platformsim.Replica, behave func(*http.Request) platformsim.Behavior) {
 	for _, replica := range replicas {
 		replica.SetBehavior(behave)
 	}
@@ -199,7 +199,7 @@
 }
 
 // first treats the first request so, and answers all others.
-func first(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
+func firstOnly(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
 	var seen atomic.Bool
 	return func(*http.Request) platformsim.Behavior {
 		if seen.CompareAndSwap(false, true) {
@@ -209,15 +209,15 @@
 	}
 }
 
-func (s *scene) dialCaller(ctx context.Context, _, address string) (net.Conn, error) {
+func (s *scenario) dialFromCaller(ctx context.Context, _, address string) (net.Conn, error) {
 	return s.fabric.Host("caller").Dial(ctx, address)
 }
 
 // events returns what the nodes wrote of the kind.
-func (s *scene) events(kind string) []eventlog.Event {
+func (s *scenario) loggedEvents(kind string) []eventlog.Event {
 	time.Sleep(10 * time.Millisecond) // virtual time, for the writers
 	var found []eventlog.Event
-	decoder := json.NewDecoder(s.lines.reader())
+	decoder := json.NewDecoder(s.logs.reader())
 	for decoder.More() {
 		var event eventlog.Event
 		s.Expect(decoder.Decode(&event)).To(gomega.Succeed())
--- a/test/entry/silence_test.go
+++ b/test/entry/silent_connections_test.go
@@ -12,20 +12,20 @@
 // Open connections may fall silent for good while new ones work: those to the scheduling
 // node, to replicas and to the store. Callers should lose no more than the second in which
 // this is found out.
-func TestConnectionsThatFallSilentAreReplaced(t *testing.T) {
+func TestSilentConnectionsAreReplaced(t *testing.T) {
 	const (
 		found  = time.Second
 		rounds = 20
 		gap    = 100 * time.Millisecond
 	)
-	play(t, func(s *scene) {
+	runScenario(t, func(s *scenario) {
 		ask := func(kind string) (late int) {
 			var group sync.WaitGroup
 			var mutex sync.Mutex
 			for range rounds {
 				for _, node := range hosts {
 					group.Go(func() {
-						got := s.get(node, http.MethodPost, kind, nil)
+						got := s.do(node, http.MethodPost, kind, nil)
 						mutex.Lock()
 						defer mutex.Unlock()
 						if got.status != http.StatusOK || got.took > found {
@@ -42,7 +42,7 @@
 		s.fabric.Silence()
 		var first sync.WaitGroup
 		for _, node := range hosts {
-			first.Go(func() { _ = s.get(node, http.MethodPost, "/once/", nil) })
+			first.Go(func() { _ = s.do(node, http.MethodPost, "/once/", nil) })
 		}
 		time.Sleep(found)
 		s.Expect(ask("/once/")).To(gomega.BeZero(), "late a second after connections fell silent")
@@ -51,15 +51,15 @@
 }
 
 // News of the store goes on though the watch and the resting connections fell silent.
-func TestConfigurationReachesNodesWhoseConnectionsToTheStoreFellSilent(t *testing.T) {
+func TestConfigurationReachesNodesWithSilentStoreConnections(t *testing.T) {
 	const limit = 3 * time.Second
-	play(t, func(s *scene) {
+	runScenario(t, func(s *scenario) {
 		s.fabric.Silence()
 		time.Sleep(100 * time.Millisecond)
 		s.configure(nil)
 		time.Sleep(limit)
 		for _, node := range hosts {
-			s.Expect(s.lab.Node(node).Status().Version).To(gomega.Equal(s.version), node)
+			s.Expect(s.deployment.Node(node).Status().Version).To(gomega.Equal(s.version), node)
 		}
 	})
 }
--- a/test/entry/slow_test.go
+++ b/test/entry/slow_nodes_test.go
@@ -14,21 +14,21 @@
 )
 
 // lateTimers is how late the timers of a node are.
-type lateTimers struct{ late atomic.Int64 }
+type delayedTimers struct{ delay atomic.Int64 }
 
-func (l *lateTimers) sleep(pause time.Duration) time.Duration {
+func (l *delayedTimers) sleep(pause time.Duration) time.Duration {
 	time.Sleep(pause)
-	return time.Duration(l.late.Load())
+	return time.Duration(l.delay.Load())
 }
 
 // playSpeeds plays a deployment in which the speed of each node can be set.
-func playSpeeds(t *testing.T, test func(s *scene, speeds map[string]*lateTimers)) {
+func runWithDelayedTimers(t *testing.T, test func(s *scenario, speeds map[string]*delayedTimers)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}
-		speeds := map[string]*lateTimers{}
+		s := &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}
+		speeds := map[string]*delayedTimers{}
 		for _, host := range hosts {
-			speeds[host] = &lateTimers{}
+			speeds[host] = &delayedTimers{}
 		}
 		s.sleep = func(host string) func(time.Duration) time.Duration { return speeds[host].sleep }
 		s.start(hosts, []string{"east", "west"}, func(*entry.Settings) {})
@@ -41,18 +41,18 @@
 
 // A scheduling node on a machine that turned slow kept the schedule for as long as its
 // heartbeats came, and half of all decisions took 0.2 to 2 s.
-func TestASchedulingNodeThatTurnsSlowGivesWay(t *testing.T) {
-	playSpeeds(t, func(s *scene, speeds map[string]*lateTimers) {
+func TestSlowSchedulingNodeIsReplaced(t *testing.T) {
+	runWithDelayedTimers(t, func(s *scenario, speeds map[string]*delayedTimers) {
 		first := s.scheduler()
-		speeds[first].late.Store(int64(3 * time.Millisecond))
+		speeds[first].delay.Store(int64(3 * time.Millisecond))
 		time.Sleep(500 * time.Millisecond)
 		second := s.scheduler()
 		s.Expect(second).NotTo(gomega.Equal(first))
 		for _, host := range hosts {
-			s.Expect(s.lab.Node(host).Status().Scheduler).To(gomega.Equal(second), host)
-			s.Expect(s.get(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
+			s.Expect(s.deployment.Node(host).Status().Scheduler).To(gomega.Equal(second), host)
+			s.Expect(s.do(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
 		}
-		speeds[first].late.Store(0)
+		speeds[first].delay.Store(0)
 		time.Sleep(2 * time.Second)
 		s.Expect(s.scheduler()).To(gomega.Equal(second), "the schedule does not move at once")
 		time.Sleep(5 * time.Second)
@@ -61,18 +61,18 @@
 }
 
 // Where every node is slow, one of them has to schedule, and the same for all.
-func TestSlowNodesScheduleWhereAllAreSlow(t *testing.T) {
-	playSpeeds(t, func(s *scene, speeds map[string]*lateTimers) {
+func TestSchedulerDoesNotChangeWhenAllNodesAreSlow(t *testing.T) {
+	runWithDelayedTimers(t, func(s *scenario, speeds map[string]*delayedTimers) {
 		for _, host := range hosts {
-			speeds[host].late.Store(int64(5 * time.Millisecond))
+			speeds[host].delay.Store(int64(5 * time.Millisecond))
 		}
 		time.Sleep(2 * time.Second)
-		before := len(s.events("scheduler"))
+		before := len(s.loggedEvents("scheduler"))
 		time.Sleep(20 * time.Second)
-		s.Expect(s.events("scheduler")).To(gomega.HaveLen(before), "the schedule does not go round")
+		s.Expect(s.loggedEvents("scheduler")).To(gomega.HaveLen(before), "the schedule does not go round")
 		for _, host := range hosts {
-			s.Expect(s.lab.Node(host).Status().Scheduler).To(gomega.Equal(s.scheduler()), host)
-			s.Expect(s.get(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
+			s.Expect(s.deployment.Node(host).Status().Scheduler).To(gomega.Equal(s.scheduler()), host)
+			s.Expect(s.do(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
 		}
 	})
 }
--- a/test/entry/start_test.go
+++ b/test/entry/start_test.go
@@ -15,7 +15,7 @@
 
 // After all nodes were killed at once, nodes that have heard of a few others only must
 // not each schedule by themselves and hand out whole quotas.
-func TestManyNodesThatStartAtOnceAgreeOnWhoSchedules(t *testing.T) {
+func TestNodesThatStartTogetherAgreeOnTheScheduler(t *testing.T) {
 	const nodes = 40
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/test/entry/stop_test.go
+++ b/test/entry/stop_test.go
@@ -13,45 +13,45 @@
 	"github.com/thornwalk/thornwalk/lab/entrylab"
 )
 
-func TestPlannedStopCutsNothing(t *testing.T) {
-	play(t, func(s *scene) {
+func TestPlannedStopCompletesRunningRequests(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		done := make(chan reply, 4)
 		for range 4 {
-			go func() { done <- s.get("n1", http.MethodPost, "/stream/", nil) }()
+			go func() { done <- s.do("n1", http.MethodPost, "/stream/", nil) }()
 		}
 		time.Sleep(50 * time.Millisecond)
 		stopped := make(chan bool)
-		go func() { s.lab.Node("n1").Stop(); close(stopped) }()
+		go func() { s.deployment.Node("n1").Stop(); close(stopped) }()
 		time.Sleep(10 * time.Millisecond)
-		s.Expect(s.lab.Node("n1").Ready()).To(gomega.BeFalse())
-		during := s.get("n1", http.MethodGet, "/safe/", nil)
+		s.Expect(s.deployment.Node("n1").Ready()).To(gomega.BeFalse())
+		during := s.do("n1", http.MethodGet, "/safe/", nil)
 		s.Expect(during.status).To(gomega.Equal(200))
 		for range 4 {
 			got := <-done
 			s.Expect(got.status).To(gomega.Equal(200))
-			s.Expect(got.whole).To(gomega.BeTrue())
+			s.Expect(got.complete).To(gomega.BeTrue())
 		}
 		<-stopped
-		s.Expect(s.get("n2", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
+		s.Expect(s.do("n2", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 	})
 }
 
 // A stream taken late in a stop was longer than its hint and got cut.
-func TestNoStreamIsTakenLateInAPlannedStop(t *testing.T) {
-	play(t, func(s *scene) {
+func TestStreamIsRejectedLateInAPlannedStop(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		for _, engine := range s.engines {
 			engine.Step = 900 * time.Millisecond
 		}
 		long := make(chan reply)
-		go func() { long <- s.get("n1", http.MethodPost, "/stream/", nil) }()
+		go func() { long <- s.do("n1", http.MethodPost, "/stream/", nil) }()
 		time.Sleep(10 * time.Millisecond)
 		stopped := make(chan bool)
-		go func() { s.lab.Node("n1").Stop(); close(stopped) }()
+		go func() { s.deployment.Node("n1").Stop(); close(stopped) }()
 		time.Sleep(2950 * time.Millisecond)
-		late := s.get("n1", http.MethodPost, "/stream/", nil)
+		late := s.do("n1", http.MethodPost, "/stream/", nil)
 		s.Expect(late.status).To(gomega.Equal(503))
 		s.Expect(late.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
-		s.Expect(s.get("n1", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
+		s.Expect(s.do("n1", http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 		<-long
 		<-stopped
 	})
@@ -63,14 +63,14 @@
 }
 
 // Fifty requests came by connections that had rested, late in a stop, and were refused.
-func TestRestingConnectionsAreClosedInAPlannedStop(t *testing.T) {
-	play(t, func(s *scene) {
+func TestIdleConnectionsAreClosedInAPlannedStop(t *testing.T) {
+	runScenario(t, func(s *scenario) {
 		for _, engine := range s.engines {
 			engine.Step = 600 * time.Millisecond
 		}
 		long := make(chan reply)
-		go func() { long <- s.get("n1", http.MethodPost, "/stream/", deadline("4000")) }()
-		resting, err := s.dialCaller(context.Background(), "", entrylab.CallersAddress("n1"))
+		go func() { long <- s.do("n1", http.MethodPost, "/stream/", deadline("4000")) }()
+		resting, err := s.dialFromCaller(context.Background(), "", entrylab.CallersAddress("n1"))
 		s.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = io.WriteString(resting, "GET /safe/ HTTP/1.1\r\nHost: service.example\r\nX-Attempt-Id: resting\r\nAuthorization: Bearer key-1\r\n\r\n")
 		s.Expect(err).NotTo(gomega.HaveOccurred())
@@ -82,11 +82,11 @@
 		s.Expect(response.Close).To(gomega.BeFalse())
 		begun := time.Now()
 		stopped := make(chan bool)
-		go func() { s.lab.Node("n1").Stop(); close(stopped) }()
+		go func() { s.deployment.Node("n1").Stop(); close(stopped) }()
 		_, err = reader.ReadByte()
 		s.Expect(err).To(gomega.Equal(io.EOF))
 		s.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 2800*time.Millisecond))
-		s.Expect((<-long).whole).To(gomega.BeTrue())
+		s.Expect((<-long).complete).To(gomega.BeTrue())
 		<-stopped
 	})
 }
--- a/test/entry/copy_cost_test.go
+++ b/test/entry/store_restore_cost_test.go
@@ -21,11 +21,11 @@
 
 // followers is how many nodes call the store at most: those that follow it and those that look
 // whether it is back.
-const followers = 16
+const maxStoreReaders = 16
 
 // After a copy not every node reads everything at once: the nodes that follow the store do, all
 // others hear of it from them.
-func TestAfterACopyFewNodesReadTheStore(t *testing.T) {
+func TestFewNodesReadTheStoreAfterARestore(t *testing.T) {
 	for _, nodes := range []int{9, 100} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 					Datagrams: fabric.Datagrams,
 				})
 				g.Expect(err).NotTo(gomega.HaveOccurred())
-				base := &scene{WithT: g, fabric: fabric, lab: lab}
+				base := &scenario{WithT: g, fabric: fabric, deployment: lab}
 				base.configure(nil)
 				for i := range nodes {
 					replica := &platformsim.Replica{ID: fmt.Sprint("i-", i), Service: "registry", Zone: "east", Slots: 4, Step: time.Millisecond}
@@ -66,7 +66,7 @@
 					g.Expect(lab.Node(name).Status().Era).To(gomega.Equal(int64(2)), name)
 					g.Expect(lab.Node(name).Status().Replicas).To(gomega.HaveLen(nodes), name)
 				}
-				g.Expect(calls-calmCalls).To(gomega.BeNumerically("<=", 4*followers), "a read of the copy, a watch, a read when it counts again, a watch")
+				g.Expect(calls-calmCalls).To(gomega.BeNumerically("<=", 4*maxStoreReaders), "a read of the copy, a watch, a read when it counts again, a watch")
 				lab.Stop()
 				time.Sleep(time.Minute) // virtual time, in which everything ends
 			})
--- a/test/entry/suspended_test.go
+++ b/test/entry/suspended_test.go
@@ -19,42 +19,44 @@
 // clock know nothing of the time that went by, while others decided in its place and callers
 // gave up. Here the clock of a node that counts such time jumps, and nothing else does.
 
-const suspension = 4 * time.Second
+const suspensionTime = 4 * time.Second
 
 // suspendable is the clock of a node.
-type suspendable struct{ suspended atomic.Int64 }
+type suspendableClock struct{ suspended atomic.Int64 }
 
 // clocks gives each host one.
-type clocks struct {
-	mutex sync.Mutex
-	hosts map[string]*suspendable
+type suspendableClocks struct {
+	mutex  sync.Mutex
+	byHost map[string]*suspendableClock
 }
 
-func (c *clocks) of(host string) *suspendable {
+func (c *suspendableClocks) clockOf(host string) *suspendableClock {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.hosts[host] == nil {
-		c.hosts[host] = &suspendable{}
+	if c.byHost[host] == nil {
+		c.byHost[host] = &suspendableClock{}
 	}
-	return c.hosts[host]
+	return c.byHost[host]
 }
 
-func (c *clocks) now(host string) func() time.Duration {
-	clock, started := c.of(host), time.Now()
+func (c *suspendableClocks) now(host string) func() time.Duration {
+	clock, started := c.clockOf(host), time.Now()
 	return func() time.Duration { return time.Since(started) + time.Duration(clock.suspended.Load()) }
 }
 
 // suspend has the time go by that a machine was suspended for.
-func (c *clocks) suspend(host string) { c.of(host).suspended.Add(int64(suspension)) }
+func (c *suspendableClocks) suspend(host string) {
+	c.clockOf(host).suspended.Add(int64(suspensionTime))
+}
 
-func playSuspensions(t *testing.T, test func(s *scene, c *clocks)) {
+func runWithSuspensions(t *testing.T, test func(s *scenario, c *suspendableClocks)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := &clocks{hosts: map[string]*suspendable{}}
-		s := &scene{WithT: gomega.NewWithT(t), fabric: memnet.New(), now: c.now}
+		c := &suspendableClocks{byHost: map[string]*suspendableClock{}}
+		s := &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New(), now: c.now}
 		s.start(hosts, []string{"east", "west"}, nil)
 		for _, host := range []string{"e1", "e2"} {
-			s.engines = append(s.engines, s.replica(host, "engines", 6, 50*time.Millisecond))
+			s.engines = append(s.engines, s.addReplica(host, "engines", 6, 50*time.Millisecond))
 		}
 		s.awaitReady()
 		defer s.stop(hosts)
@@ -63,26 +65,26 @@
 	})
 }
 
-func TestASuspendedSchedulingNodeForgetsItsSchedule(t *testing.T) {
-	playSuspensions(t, func(s *scene, c *clocks) {
+func TestSuspendedSchedulingNodeDropsItsSchedule(t *testing.T) {
+	runWithSuspensions(t, func(s *scenario, c *suspendableClocks) {
 		scheduler := s.scheduler()
 		var group sync.WaitGroup
 		for i := range 12 { // more than the engines take at once, so that some wait
 			group.Go(func() {
-				s.Expect(s.get(s.others()[i%2], http.MethodPost, "/stream/", nil).status).To(gomega.BeElementOf(200, 503))
+				s.Expect(s.do(s.followers()[i%2], http.MethodPost, "/stream/", nil).status).To(gomega.BeElementOf(200, 503))
 			})
 		}
 		time.Sleep(50 * time.Millisecond)
 		c.suspend(scheduler)
 		group.Wait()
-		paused := s.events("process.paused")
+		paused := s.loggedEvents("process.paused")
 		s.Expect(paused).To(gomega.HaveLen(1), "noticed once")
 		s.Expect(paused[0].Node).To(gomega.Equal(scheduler))
-		s.Expect(paused[0].Age).To(gomega.BeNumerically(">=", suspension.Milliseconds()))
+		s.Expect(paused[0].Age).To(gomega.BeNumerically(">=", suspensionTime.Milliseconds()))
 		for i := range 6 {
-			s.Expect(s.get(hosts[i%3], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
+			s.Expect(s.do(hosts[i%3], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 		}
-		for id, count := range s.allRuns() {
+		for id, count := range s.runCounts() {
 			s.Expect(count).To(gomega.Equal(1), id)
 		}
 	})
@@ -90,15 +92,15 @@
 
 // A caller whose time went by while the machine was suspended got its answer seconds late, as
 // the timer stood still that was to end its request.
-func TestRequestsWhoseTimeWentByEndAtOnce(t *testing.T) {
+func TestRequestsThatExpiredDuringASuspensionEndAtOnce(t *testing.T) {
 	for _, path := range []string{"/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
-			playSuspensions(t, func(s *scene, c *clocks) {
-				s.onAll(append(append([]*platformsim.Replica{}, s.plain...), s.engines...), always(platformsim.Silent))
-				node := s.others()[0]
+			runWithSuspensions(t, func(s *scenario, c *suspendableClocks) {
+				s.setBehavior(append(append([]*platformsim.Replica{}, s.plainReplicas...), s.engines...), always(platformsim.Silent))
+				node := s.followers()[0]
 				var group sync.WaitGroup
 				group.Go(func() {
-					got := s.get(node, http.MethodPost, path, nil)
+					got := s.do(node, http.MethodPost, path, nil)
 					s.Expect(got.status).To(gomega.Equal(http.StatusGatewayTimeout))
 					s.Expect(got.took).To(gomega.BeNumerically("<", 900*time.Millisecond), "one look at the clock after the machine went on")
 				})
@@ -112,9 +114,9 @@
 
 // What a node believed before it was suspended is old afterwards: it asks the store and its
 // peers, and is as good as they are within a second.
-func TestASuspendedNodeLearnsWhatChangedMeanwhile(t *testing.T) {
-	playSuspensions(t, func(s *scene, c *clocks) {
-		node := s.others()[0]
+func TestResumedNodeAppliesMissedChanges(t *testing.T) {
+	runWithSuspensions(t, func(s *scenario, c *suspendableClocks) {
+		node := s.followers()[0]
 		others := []string{}
 		for _, host := range hosts {
 			if host != node {
@@ -123,15 +125,15 @@
 		}
 		s.fabric.CutGroups([]string{node}, append(others, "store"))
 		s.configure(func(configuration *entrylab.Configuration) { configuration.Routes = configuration.Routes[:2] })
-		s.lab.Store.Delete("servers/" + s.plain[0].ID)
+		s.deployment.Store.Delete("servers/" + s.plainReplicas[0].ID)
 		c.suspend(node)
 		s.fabric.Heal()
 		time.Sleep(time.Second)
-		status := s.lab.Node(node).Status()
+		status := s.deployment.Node(node).Status()
 		s.Expect(status.Version).To(gomega.Equal(s.version))
 		for _, replica := range status.Replicas {
-			s.Expect(replica.ID).NotTo(gomega.Equal(s.plain[0].ID))
+			s.Expect(replica.ID).NotTo(gomega.Equal(s.plainReplicas[0].ID))
 		}
-		s.Expect(s.get(node, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
+		s.Expect(s.do(node, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 	})
 }
