--- a/test/entry/dissemination_test.go
+++ b/test/entry/dissemination_test.go
@@ -17,56 +17,55 @@
 	"github.com/thornwalk/thornwalk/lab/memnet"
 )
 
-// The deployment in which large configurations spread.
+// The deployment in which large configurations are sent to all nodes.
 const (
 	disseminationNodes = 24
-	// wideEvery is the distance between nodes with a wide link: six of the nodes.
+	// Each wideLinkEvery-th node has a wide link.
 	wideLinkEvery = 4
-	// Links in megabits a second.
+	// Bandwidths of links in megabits per second.
 	narrowLinkMbps, wideLinkMbps, storeLinkMbps = 10, 200, 1000
 	bitsPerMegabit                              = 1e6
 )
 
-// The configurations that spread.
+// The configurations that are sent, and the bounds.
 const (
 	versionCount     = 4
 	routesPerVersion = 1400
-	// versionGap is the time between two versions, and newsLimit the time within
-	// which news is to be known everywhere.
+	// versionInterval is the time between two versions.
 	versionInterval = 2 * time.Second
-	updateLimit     = 3 * time.Second
-	// newsWatched is for how long after the last version news that is late is waited
-	// for, to tell how late it is.
+	// updateLimit bounds the time until an update is known to all nodes.
+	updateLimit = 3 * time.Second
+	// updateWatchTime is the time waited after the last version, to log how late updates are.
 	updateWatchTime = 12 * time.Second
 )
 
-// newsZones are the zones of the nodes, in turns.
+// disseminationZones are the zones of the nodes, assigned in turn.
 var disseminationZones = []string{"east", "middle", "west"}
 
-// newsScene is a deployment of its own: many nodes in three zones, most of them with
-// narrow links, and plain replicas p1 and p2.
+// disseminationScenario is a deployment of many nodes in three zones, most of them with narrow
+// links, and plain replicas p1 and p2.
 type disseminationScenario struct {
 	*scenario
 	nodes []string
-	// added are the routes that were added so far, and random makes their names.
+	// addedRoutes are the routes added so far.
 	addedRoutes []entrylab.Route
-	random      *rand.Rand
-	// written is when each version was written.
+	// random generates routes.
+	random *rand.Rand
+	// writtenAt maps each version to the time of its write.
 	writtenAt map[int64]time.Time
 }
 
-// playNews plays a test with links of both kinds.
+// runDissemination runs the test with narrow and wide links.
 func runDissemination(t *testing.T, test func(s *disseminationScenario)) {
 	t.Helper()
 	runWithLinks(t, func(i int) float64 { return linkMbps(nodeName(i)) }, test)
 }
 
-// nodeName returns the name of the node with the number, counted from zero.
+// nodeName returns the name of the node with the zero-based index.
 func nodeName(i int) string { return fmt.Sprint("n", i+1) }
 
-// playLinks starts the deployment with links of these bandwidths, in megabits a second,
-// and plays the test.
-func runWithLinks(t *testing.T, linkOf func(i int) float64, test func(s *disseminationScenario)) {
+// runWithLinks runs the test with links of the given bandwidths, in megabits per second.
+func runWithLinks(t *testing.T, linkMbps func(i int) float64, test func(s *disseminationScenario)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &disseminationScenario{
 			scenario: &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()},
@@ -75,7 +74,7 @@
 		links := map[string]float64{}
 		for i := range disseminationNodes {
 			host := nodeName(i)
-			s.nodes, links[host] = append(s.nodes, host), linkOf(i)
+			s.nodes, links[host] = append(s.nodes, host), linkMbps(i)
 			s.fabric.SetBandwidth(host, links[host]*bitsPerMegabit)
 		}
 		s.fabric.SetBandwidth("store", storeLinkMbps*bitsPerMegabit)
@@ -84,12 +83,12 @@
 		})
 		s.awaitReady()
 		defer s.stop(s.nodes)
-		time.Sleep(3 * time.Second) // heartbeats settle who schedules and who follows the store
+		time.Sleep(3 * time.Second) // lets the nodes agree on the scheduling node and the store watchers
 		test(s)
 	})
 }
 
-// linkOf returns the bandwidth of the node in megabits a second.
+// linkMbps returns the bandwidth of the node's link in megabits per second.
 func linkMbps(host string) float64 {
 	var number int
 	_, _ = fmt.Sscanf(host, "n%d", &number)
@@ -99,7 +98,7 @@
 	return narrowLinkMbps
 }
 
-// narrow returns the first few nodes with a narrow link.
+// narrowLinkNodes returns the first count nodes with a narrow link.
 func (s *disseminationScenario) narrowLinkNodes(count int) []string {
 	var names []string
 	for _, host := range s.nodes {
@@ -110,7 +109,7 @@
 	return names
 }
 
-// route makes up a route whose names are as long as those in use.
+// randomRoute returns a route with names of realistic length.
 func (s *disseminationScenario) randomRoute() entrylab.Route {
 	return entrylab.Route{
 		Name:       fmt.Sprintf("tenant-%04d-%08x-export", s.random.IntN(10_000), s.random.Uint32()),
@@ -121,20 +120,20 @@
 	}
 }
 
-// write writes a version with the routes added so far.
+// writeConfiguration writes a version with the routes added so far.
 func (s *disseminationScenario) writeConfiguration() {
 	s.configure(func(c *entrylab.Configuration) { c.Routes = append(c.Routes, s.addedRoutes...) })
 	s.writtenAt[s.version] = time.Now()
 }
 
-// add adds routes to the next version.
+// addRoutes adds random routes to the next version.
 func (s *disseminationScenario) addRoutes(count int) {
 	for range count {
 		s.addedRoutes = append(s.addedRoutes, s.randomRoute())
 	}
 }
 
-// spread writes the large versions one after the other.
+// writeVersions writes the large versions, one every versionInterval.
 func (s *disseminationScenario) writeVersions() {
 	for range versionCount {
 		s.addRoutes(routesPerVersion)
@@ -143,40 +142,40 @@
 	}
 }
 
-// since returns the seconds from the time to the event.
-func (s *disseminationScenario) secondsSince(begun time.Time, event eventlog.Event) float64 {
+// secondsSince returns the seconds from start to the event.
+func (s *disseminationScenario) secondsSince(start time.Time, event eventlog.Event) float64 {
 	at, err := time.Parse("2006-01-02T15:04:05.000Z", event.Time)
 	s.Expect(err).NotTo(gomega.HaveOccurred())
-	return at.Sub(begun).Seconds()
+	return at.Sub(start).Seconds()
 }
 
-// lateness is how long news took to each node, in seconds; nodes that it did not reach
-// are missing.
+// delays maps nodes to the seconds until an update reached them. Nodes that it did not reach are
+// missing.
 type delays map[string]float64
 
-// note records the first time.
+// recordFirst records the delay of the node unless a shorter one is recorded.
 func (l delays) recordFirst(node string, seconds float64) {
 	if before, known := l[node]; !known || seconds < before {
 		l[node] = seconds
 	}
 }
 
-// late returns a line for each node that the news reached too late or not at all.
-func (s *disseminationScenario) lateNodes(what string, found delays) []string {
+// lateNodes returns a line for each node that the update reached after updateLimit or not at all.
+func (s *disseminationScenario) lateNodes(update string, found delays) []string {
 	var late []string
 	for _, node := range s.nodes {
 		seconds, known := found[node]
 		switch {
 		case !known:
-			late = append(late, fmt.Sprintf("%s at %s: not yet", what, node))
+			late = append(late, fmt.Sprintf("%s at %s: not received", update, node))
 		case seconds > updateLimit.Seconds():
-			late = append(late, fmt.Sprintf("%s at %s: after %.2f s", what, node, seconds))
+			late = append(late, fmt.Sprintf("%s at %s: after %.2f s", update, node, seconds))
 		}
 	}
 	return late
 }
 
-// inForce returns how long the version, or a newer one, took at each node.
+// delaysUntilActive returns for each node the time until the version, or a newer one, was active.
 func (s *disseminationScenario) delaysUntilActive(version int64) delays {
 	found := delays{}
 	for _, event := range s.loggedEvents("configuration") {
@@ -187,25 +186,24 @@
 	return found
 }
 
-// worst returns the longest of the times, for the test's log.
+// describeMax describes the longest delay, for the test's log.
 func (l delays) describeMax() string {
-	node, most := "", 0.0
+	latest, longest := "", 0.0
 	for name, seconds := range l {
-		if seconds >= most {
-			node, most = name, seconds
+		if seconds >= longest {
+			latest, longest = name, seconds
 		}
 	}
-	return fmt.Sprintf("%d nodes, at the latest %s after %.2f s", len(l), node, most)
+	return fmt.Sprintf("%d nodes, the last one %s after %.2f s", len(l), latest, longest)
 }
 
-// A new version costs the whole document for each node: all ask the same few nodes at
-// once, and the replies fill the links until nobody waits for them any more.
+// Guards against replies with large configurations that saturate links until the pulls time out.
 func TestLargeConfigurationsReachEveryNodeInTime(t *testing.T) {
 	runDissemination(t, func(s *disseminationScenario) { s.expectDisseminationInTime(t) })
 }
 
-// expectSpreadInTime writes the large versions and demands that each is in force
-// everywhere in time.
+// expectDisseminationInTime writes the large versions and checks that each is active at all nodes
+// within updateLimit.
 func (s *disseminationScenario) expectDisseminationInTime(t *testing.T) {
 	t.Helper()
 	s.writeVersions()
@@ -216,26 +214,26 @@
 		t.Logf("version %d: %s", version, found.describeMax())
 		late = append(late, s.lateNodes(fmt.Sprint("version ", version), found)...)
 	}
-	s.Expect(late).To(gomega.BeEmpty(), "configurations in force later than %v after they were written", updateLimit)
+	s.Expect(late).To(gomega.BeEmpty(), "configurations active later than %v after they were written", updateLimit)
 }
 
-// departureAfter is when the replica leaves: shortly after the third of the versions.
+// departureDelay is the time until the replica drains: shortly after the third version.
 const departureDelay = 2*versionInterval + versionInterval/4
 
-// News of replicas travels in the replies that carry configurations.
+// Guards against replica updates that are delayed by large configurations in the same replies.
 func TestDrainingReplicaIsAnnouncedDuringConfigurationDissemination(t *testing.T) {
 	runDissemination(t, func(s *disseminationScenario) {
 		var group sync.WaitGroup
 		group.Go(s.writeVersions)
 		time.Sleep(departureDelay)
-		begun := time.Now()
+		drained := time.Now()
 		s.plainReplicas[0].Register(s.deployment.Store, "draining")
 		group.Wait()
 		time.Sleep(updateWatchTime)
 		found := delays{}
 		for _, event := range s.loggedEvents("replica") {
 			if event.Replica == s.plainReplicas[0].ID && event.Outcome == "draining" {
-				found.recordFirst(event.Node, s.secondsSince(begun, event))
+				found.recordFirst(event.Node, s.secondsSince(drained, event))
 			}
 		}
 		t.Logf("departure: %s", found.describeMax())
@@ -243,7 +241,7 @@
 	})
 }
 
-// Plain requests sent steadily.
+// Plain requests sent at a steady rate.
 const (
 	requestInterval   = 100 * time.Millisecond
 	requestLimit      = time.Second
@@ -253,13 +251,13 @@
 	minAnsweredShare  = 0.95
 )
 
-// ask sends the requests steadily to each of the nodes, and returns the share that was
-// answered in time.
-func (s *disseminationScenario) answeredShare(nodes []string, each int) float64 {
+// answeredShare sends requests to each of the nodes, one every requestInterval, and returns the
+// share that was answered within requestLimit.
+func (s *disseminationScenario) answeredShare(nodes []string, perNode int) float64 {
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	inTime := 0
-	for range each {
+	for range perNode {
 		for _, node := range nodes {
 			group.Go(func() {
 				got := s.do(node, http.MethodGet, "/safe/", nil)
@@ -273,11 +271,10 @@
 		time.Sleep(requestInterval)
 	}
 	group.Wait()
-	return float64(inTime) / float64(each*len(nodes))
+	return float64(inTime) / float64(perNode*len(nodes))
 }
 
-// Placements travel to the scheduling node by the connections that carry news, and
-// requests and answers by the links that news fills.
+// Guards against requests that are delayed by configurations on the same connections and links.
 func TestLargeConfigurationDoesNotDelayPlainRequests(t *testing.T) {
 	runDissemination(t, func(s *disseminationScenario) {
 		nodes := s.narrowLinkNodes(requestNodes)
@@ -291,13 +288,13 @@
 	})
 }
 
-// What a small change of a large configuration may cost within newsLimit.
+// Bounds on the bytes sent within updateLimit of a small change of a large configuration.
 const (
 	maxBytesPerNode   = 40e3
 	maxBytesFromStore = 20e6
 )
 
-// sent returns the bytes that all nodes and the store have sent.
+// sentBytes returns the bytes that all nodes and the store have sent.
 func (s *disseminationScenario) sentBytes() (nodes, store int64) {
 	for _, host := range s.nodes {
 		nodes += s.fabric.Sent(host)
@@ -305,7 +302,7 @@
 	return nodes, s.fabric.Sent("store")
 }
 
-// cost returns the bytes that all nodes and the store send within newsLimit.
+// sentBytesWithinLimit returns the bytes that all nodes and the store send within updateLimit.
 func (s *disseminationScenario) sentBytesWithinLimit() (nodes, store float64) {
 	nodesBefore, storeBefore := s.sentBytes()
 	time.Sleep(updateLimit)
@@ -313,21 +310,22 @@
 	return float64(nodesAfter - nodesBefore), float64(storeAfter - storeBefore)
 }
 
+// Guards against a small change that sends the complete configuration to every node.
 func TestSmallChangeOfALargeConfigurationSendsFewBytes(t *testing.T) {
 	runDissemination(t, func(s *disseminationScenario) {
 		s.addRoutes(versionCount * routesPerVersion)
 		s.writeConfiguration()
-		time.Sleep(updateWatchTime) // virtual time, until the version is everywhere
+		time.Sleep(updateWatchTime) // lets the version reach all nodes
 		s.Expect(s.delaysUntilActive(s.version)).To(gomega.HaveLen(disseminationNodes))
-		calm, calmStore := s.sentBytesWithinLimit()
+		baseline, baselineStore := s.sentBytesWithinLimit()
 		s.addedRoutes[routesPerVersion/2].Timeout++
 		s.writeConfiguration()
-		busy, store := s.sentBytesWithinLimit()
+		sent, store := s.sentBytesWithinLimit()
 		found := s.delaysUntilActive(s.version)
-		t.Logf("a node sent %.1f kB for the change and %.1f kB in the same time before; the store %.1f MB and %.1f MB", (busy-calm)/disseminationNodes/1e3, calm/disseminationNodes/1e3, store/1e6, calmStore/1e6)
+		t.Logf("a node sent %.1f kB for the change and %.1f kB in the same time before; the store %.1f MB and %.1f MB", (sent-baseline)/disseminationNodes/1e3, baseline/disseminationNodes/1e3, store/1e6, baselineStore/1e6)
 		t.Logf("change: %s", found.describeMax())
-		s.Expect((busy-calm)/disseminationNodes).To(gomega.BeNumerically("<", maxBytesPerNode), "bytes a node sent for a change of one route")
-		s.Expect(store).To(gomega.BeNumerically("<", maxBytesFromStore), "bytes the store sent within %v of a change of one route", updateLimit)
+		s.Expect((sent-baseline)/disseminationNodes).To(gomega.BeNumerically("<", maxBytesPerNode), "bytes per node for a change of one route")
+		s.Expect(store).To(gomega.BeNumerically("<", maxBytesFromStore), "bytes sent by the store within %v of a change of one route", updateLimit)
 		s.Expect(s.lateNodes("change of one route", found)).To(gomega.BeEmpty())
 	})
 }
--- a/test/entry/large_fleet_test.go
+++ b/test/entry/large_fleet_test.go
@@ -12,15 +12,15 @@
 	"github.com/thornwalk/thornwalk/entry"
 )
 
-// The deployment that is large enough for delegates: four zones, three strong nodes in each.
+// A fleet large enough for delegates: four zones with three strong nodes each.
 const (
 	largeNodes  = 160
 	strongNodes = 12
-	// startTime is the time after which a large fleet that starts at once has settled.
+	// startDuration is the time from the start of all nodes until the fleet is stable.
 	startDuration = 4 * time.Second
 )
 
-// playLarge plays a large fleet whose nodes all start at once.
+// runLargeFleet runs the test in a fleet whose nodes all started at the same time.
 func runLargeFleet(t *testing.T, nodes int, test func(s *relayScenario)) {
 	t.Helper()
 	runNodes(t, nodes, func(s *relayScenario, settings *entry.Settings) {
@@ -31,7 +31,7 @@
 	}, startDuration, test)
 }
 
-// schedulers returns the nodes that any of the nodes takes for the scheduling one.
+// schedulers returns all nodes that at least one of the given nodes considers the scheduling node.
 func (s *relayScenario) schedulers(nodes []string) []string {
 	var names []string
 	for _, node := range nodes {
@@ -42,7 +42,7 @@
 	return names
 }
 
-// delegates returns the nodes that say to speak for their zone.
+// delegates returns the nodes that report to be delegates of their zone.
 func (s *relayScenario) delegates() []string {
 	var names []string
 	for _, node := range s.nodes {
@@ -53,8 +53,7 @@
 	return names
 }
 
-// The work of a start of all nodes grew with the cube of the fleet: each node greeted each other
-// one, was told all names by many, and chose among all nodes anew with each that it heard of.
+// Guards against start-up traffic per node that grows with the fleet when all nodes start at once.
 func TestStartTrafficPerNodeIsIndependentOfFleetSize(t *testing.T) {
 	var costs []float64
 	for _, nodes := range []int{largeNodes, 2 * largeNodes} {
@@ -65,12 +64,14 @@
 			}
 			costs = append(costs, sent/float64(nodes))
 			s.Expect(s.schedulers(s.nodes)).To(gomega.HaveLen(1))
-			t.Logf("%d nodes: %.0f bytes a node in %v, %d delegates", nodes, sent/float64(nodes), startDuration, len(s.delegates()))
+			t.Logf("%d nodes: %.0f bytes per node in %v, %d delegates", nodes, sent/float64(nodes), startDuration, len(s.delegates()))
 		})
 	}
 	gomega.NewWithT(t).Expect(costs[1]).To(gomega.BeNumerically("<", 1.3*costs[0]))
 }
 
+// Guards against zones with too few or too many delegates, and against a scheduling node that
+// doesn't know all nodes.
 func TestLargeFleetHasFewDelegatesInEachZone(t *testing.T) {
 	runLargeFleet(t, largeNodes, func(s *relayScenario) {
 		zones := map[string]int{}
@@ -81,12 +82,12 @@
 			s.Expect(zones[zone]).To(gomega.BeNumerically("~", 4, 1), zone)
 		}
 		scheduler := s.scheduler()
-		s.Expect(s.deployment.Node(scheduler).Status().Live).To(gomega.HaveLen(largeNodes-1), "it hears all")
+		s.Expect(s.deployment.Node(scheduler).Status().Live).To(gomega.HaveLen(largeNodes-1), "nodes that the scheduling node considers alive")
 	})
 }
 
-// The death of the scheduling node, of all delegates of a zone, or of half of all nodes: those that
-// live agree again and serve.
+// Guards against nodes that disagree on the scheduling node, don't serve or miss a configuration
+// after the scheduling node, delegates or half of all nodes have died.
 func TestLargeFleetAgreesOnASchedulerAfterNodesFail(t *testing.T) {
 	const limit = 6 * time.Second
 	for name, victims := range map[string]func(s *relayScenario) []string{
@@ -95,26 +96,26 @@
 			return slices.DeleteFunc(s.delegates(), func(node string) bool { return zoneOf(node) != relayZones[1] })
 		},
 		"all delegates": func(s *relayScenario) []string { return s.delegates() },
-		"half of all": func(s *relayScenario) []string {
+		"half of all nodes": func(s *relayScenario) []string {
 			return slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return slices.Index(s.nodes, node)%2 == 0 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runLargeFleet(t, largeNodes, func(s *relayScenario) {
-				ended := victims(s)
-				for _, node := range ended {
+				killed := victims(s)
+				for _, node := range killed {
 					s.deployment.Node(node).Kill()
 				}
 				time.Sleep(limit)
-				left := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return slices.Contains(ended, node) })
-				s.Expect(s.schedulers(left)).To(gomega.HaveLen(1))
-				s.Expect(ended).NotTo(gomega.ContainElement(s.schedulers(left)[0]))
-				for _, node := range left[:20] {
+				live := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return slices.Contains(killed, node) })
+				s.Expect(s.schedulers(live)).To(gomega.HaveLen(1))
+				s.Expect(killed).NotTo(gomega.ContainElement(s.schedulers(live)[0]))
+				for _, node := range live[:20] {
 					s.Expect(s.do(node, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK), node)
 				}
 				s.configure(nil)
 				time.Sleep(updateLimit)
-				for _, node := range left {
+				for _, node := range live {
 					s.Expect(s.deployment.Node(node).Status().Version).To(gomega.Equal(s.version), node)
 				}
 			})
@@ -122,7 +123,8 @@
 	}
 }
 
-// A zone that is cut off goes on by itself, and is one with the others again once the cut heals.
+// Guards against a partitioned zone that doesn't serve by itself, or doesn't rejoin the others
+// afterwards.
 func TestPartitionedZoneOfALargeFleetServes(t *testing.T) {
 	runLargeFleet(t, largeNodes, func(s *relayScenario) {
 		var inside, outside []string
@@ -152,12 +154,12 @@
 	})
 }
 
-// A new process among many is ready and knows the scheduling node within a second.
+// Guards against a restarted node that isn't ready, or follows another scheduling node, after 1 s.
 func TestNodeThatRestartsInALargeFleetFindsTheScheduler(t *testing.T) {
 	runLargeFleet(t, largeNodes, func(s *relayScenario) {
-		ordinary := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.deployment.Node(node).Status().NonDelegate })
+		nonDelegates := slices.DeleteFunc(slices.Clone(s.nodes), func(node string) bool { return !s.deployment.Node(node).Status().NonDelegate })
 		for i := range 5 {
-			node := ordinary[i*7]
+			node := nonDelegates[i*7]
 			s.deployment.Node(node).Kill()
 			s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
 			time.Sleep(time.Second)
--- a/test/entry/many_replicas_test.go
+++ b/test/entry/many_replicas_test.go
@@ -10,27 +10,26 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// longList is more replicas than the store tells in one answer.
+// replicaCount exceeds the replicas that the store returns in one answer.
 const replicaCount = 1200
 
-// Each look whether a watch fell silent was a complete read: of 3,000 replicas fifteen calls, more than
-// one each 60 ms.
+// Guards against checks for silent watches that each read the complete list of replicas.
 func TestWatchChecksCostOneCallWithManyReplicas(t *testing.T) {
-	const watched = 10 * time.Second
+	const watchTime = 10 * time.Second
 	runScenario(t, func(s *scenario) {
 		for i := range replicaCount {
 			(&platformsim.Replica{ID: fmt.Sprintf("far%04d", i), Service: "elsewhere", Address: "far:1", Zone: "east", Slots: 1}).Register(s.deployment.Store, "ready")
 		}
 		time.Sleep(3 * time.Second)
 		before := s.deployment.Store.Calls()
-		time.Sleep(watched)
+		time.Sleep(watchTime)
 		calls := float64(s.deployment.Store.Calls() - before)
-		t.Logf("%.0f calls in %v", calls, watched)
-		s.Expect(calls).To(gomega.BeNumerically("<=", baselineCallsPerSecond*watched.Seconds()))
+		t.Logf("%.0f calls in %v", calls, watchTime)
+		s.Expect(calls).To(gomega.BeNumerically("<=", baselineCallsPerSecond*watchTime.Seconds()))
 	})
 }
 
-// What a silent watch misses is found as soon as with few replicas.
+// Guards against a silent watch that is detected later than with few replicas.
 func TestSilentWatchIsDetectedWithManyReplicas(t *testing.T) {
 	runScenario(t, func(s *scenario) {
 		for i := range replicaCount {
--- a/test/entry/narrow_links_test.go
+++ b/test/entry/narrow_links_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// inZone returns the nodes of the zone.
+// nodesInZone returns the nodes of the zone.
 func (s *disseminationScenario) nodesInZone(zone string) []string {
 	var names []string
 	for i, host := range s.nodes {
@@ -19,16 +19,16 @@
 	return names
 }
 
+// narrowLinks gives every node a narrow link.
 func narrowLinks(int) float64 { return narrowLinkMbps }
 
-// Where no node has a wide link, the nodes that follow the store have narrow ones too.
-// Reading the whole store there as often as elsewhere would need twice the link.
+// Guards against watchers of the store whose complete reads exceed their narrow links.
 func TestLargeConfigurationsReachEveryNodeOverNarrowLinks(t *testing.T) {
 	runWithLinks(t, narrowLinks, func(s *disseminationScenario) { s.expectDisseminationInTime(t) })
 }
 
-// A zone that is cut off from the others still reaches the store. If none of its nodes
-// has a wide link, one with a narrow link has to follow the store for it.
+// Guards against a partitioned zone in which no node watches the store because all links are
+// narrow.
 func TestPartitionedZoneWithNarrowLinksAppliesAChange(t *testing.T) {
 	wide := func(i int) float64 {
 		if i%wideLinkEvery == 0 && i%len(disseminationZones) != len(disseminationZones)-1 {
@@ -41,9 +41,9 @@
 		s.writeConfiguration()
 		time.Sleep(updateWatchTime)
 		s.Expect(s.delaysUntilActive(s.version)).To(gomega.HaveLen(disseminationNodes))
-		alone := s.nodesInZone("west")
-		s.fabric.CutGroups(alone, slices.Concat(s.nodesInZone("east"), s.nodesInZone("middle")))
-		time.Sleep(8 * time.Second) // longer than any bound: the zone has found its own order
+		partitioned := s.nodesInZone("west")
+		s.fabric.CutGroups(partitioned, slices.Concat(s.nodesInZone("east"), s.nodesInZone("middle")))
+		time.Sleep(8 * time.Second) // lets the zone elect its own scheduling node and store watchers
 		s.addedRoutes[routesPerVersion/2].Timeout++
 		s.writeConfiguration()
 		time.Sleep(updateWatchTime)
