--- a/test/entry/relay_test.go
+++ b/test/entry/relay_test.go
@@ -14,16 +14,16 @@
 	"github.com/thornwalk/thornwalk/lab/memnet"
 )
 
-// The deployment in which heartbeats go by relays: zones of ten nodes.
+// A fleet large enough for relayed heartbeats: zones of ten nodes.
 const (
 	relayNodes = 40
-	// settled is the virtual time after which heartbeats have settled everything.
+	// settleTime is the time until all nodes agree on the live nodes and the scheduling node.
 	settleTime = 5 * time.Second
 )
 
 var relayZones = []string{"north", "east", "south", "west"}
 
-// relayZone returns the zone of the node with the name.
+// zoneOf returns the zone of the node, or "" if the host is no node.
 func zoneOf(node string) string {
 	var number int
 	if _, err := fmt.Sscanf(node, "n%d", &number); err != nil {
@@ -32,11 +32,12 @@
 	return relayZones[(number-1)%len(relayZones)]
 }
 
+// crossesZones reports whether both hosts are nodes, of different zones.
 func crossesZones(from, to string) bool {
 	return zoneOf(from) != "" && zoneOf(to) != "" && zoneOf(from) != zoneOf(to)
 }
 
-// relayScene is a deployment of that size.
+// relayScenario is a deployment of many nodes in the zones of relayZones.
 type relayScenario struct {
 	*scenario
 	nodes []string
@@ -52,7 +53,8 @@
 	runNodes(t, nodes, nil, settleTime, test)
 }
 
-// playNodes plays so many nodes, which adjust may give other settings, once they had time to settle.
+// runNodes starts the nodes, waits for the settle time and runs the test. If adjust is not nil, it
+// changes the settings of each node.
 func runNodes(t *testing.T, nodes int, adjust func(*relayScenario, *entry.Settings), settle time.Duration, test func(s *relayScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -72,26 +74,26 @@
 	})
 }
 
-// crossing returns the bytes that crossed borders of zones while the function ran.
+// bytesBetweenZones returns the bytes sent between nodes of different zones while the function ran.
 func (s *relayScenario) bytesBetweenZones(run func()) float64 {
 	before := s.fabric.SentWhere(crossesZones)
 	run()
 	return float64(s.fabric.SentWhere(crossesZones) - before)
 }
 
-// The users pay for what crosses zones. Heartbeats straight to every node of every zone
-// were nearly all of it, 0.5 GB in 48 s of calm among 295 nodes.
+// Guards against heartbeats sent directly to every node of other zones; traffic between zones is
+// paid for.
 func TestHeartbeatTrafficBetweenZonesIsBounded(t *testing.T) {
 	const (
-		watched = 20 * time.Second
-		// Three heartbeats of some 350 bytes each half second, and as many confirmations;
-		// senior nodes send twice as many.
+		watchTime = 20 * time.Second
+		// limit allows each node six heartbeats of 350 bytes per second and as many confirmations,
+		// and twice as many of candidates.
 		limit = 5e3
 	)
 	runRelays(t, func(s *relayScenario) {
-		rate := s.bytesBetweenZones(func() { time.Sleep(watched) }) / watched.Seconds() / relayNodes
-		t.Logf("between zones: %.0f bytes a node and second", rate)
-		s.Expect(rate).To(gomega.BeNumerically("<", limit), "bytes a node and second between zones")
+		rate := s.bytesBetweenZones(func() { time.Sleep(watchTime) }) / watchTime.Seconds() / relayNodes
+		t.Logf("between zones: %.0f bytes per node and second", rate)
+		s.Expect(rate).To(gomega.BeNumerically("<", limit), "bytes per node and second between zones")
 		for _, node := range s.nodes {
 			s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(relayNodes-1), node)
 		}
@@ -99,15 +101,14 @@
 }
 
 const (
-	// toldWatched is the time after the start of a process in which what it is sent is
-	// counted.
+	// startWatchTime is the time after the start of a node in which the bytes sent to it are counted.
 	startWatchTime = time.Second
-	// toldLimit is an answer and a regular heartbeat or two from each node, some 400 bytes
-	// each, and a few lists of 3 kB; 68 kB when each node sent the list.
+	// maxStartBytes allows an answer and one or two heartbeats of 400 bytes from each node, and
+	// a few peer lists of 3 kB.
 	maxStartBytes = 45e3
 )
 
-// toldAtStart starts the last node again and returns the bytes that it is sent.
+// bytesToStartingNode restarts the last node and returns the bytes sent to it in startWatchTime.
 func (s *relayScenario) bytesToStartingNode() float64 {
 	node := s.nodes[len(s.nodes)-1]
 	toNode := func(_, to string) bool { return to == node }
@@ -120,90 +121,89 @@
 	return float64(s.fabric.SentWhere(toNode) - before)
 }
 
-// A process that starts again hears of the nodes from a few, and not from each node that
-// it greets.
+// Guards against a starting node that receives the complete peer list from every node.
 func TestStartingNodeReceivesPeerListsFromFewNodes(t *testing.T) {
 	runRelays(t, func(s *relayScenario) {
-		got := s.bytesToStartingNode()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", startWatchTime, got)
-		s.Expect(got).To(gomega.BeNumerically("<", maxStartBytes))
+		sent := s.bytesToStartingNode()
+		t.Logf("sent to the starting node in its first %v: %.0f bytes", startWatchTime, sent)
+		s.Expect(sent).To(gomega.BeNumerically("<", maxStartBytes))
 	})
 }
 
-// The first part of a list names 18 nodes. Where that is less than half of all, the process
-// greets these as a newcomer, and each of them sent it the whole list too: 110 kB.
+// Guards against a starting node that receives complete peer lists from all nodes in the first
+// part of a list, 18, which is less than half of this fleet.
 func TestStartingNodeInALargerFleetReceivesPeerListsFromFewNodes(t *testing.T) {
 	const (
-		many  = 80
-		limit = 60e3 // 44 kB where the lists come from a few
+		nodes = 80
+		limit = 60e3 // bytes
 	)
-	runRelaysWithNodes(t, many, func(s *relayScenario) {
-		got := s.bytesToStartingNode()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", startWatchTime, got)
-		s.Expect(got).To(gomega.BeNumerically("<", limit))
+	runRelaysWithNodes(t, nodes, func(s *relayScenario) {
+		sent := s.bytesToStartingNode()
+		t.Logf("sent to the starting node in its first %v: %.0f bytes", startWatchTime, sent)
+		s.Expect(sent).To(gomega.BeNumerically("<", limit))
 	})
 }
 
-// moves returns how often nodes took another one for the scheduling node.
+// schedulerChanges returns the number of scheduler changes logged by all nodes.
 func (s *relayScenario) schedulerChanges() int { return len(s.loggedEvents("scheduler")) }
 
-// Half of the relays may die at the same moment. The heartbeats of the nodes that live
-// still arrive, so that nobody takes the scheduling node for dead.
+// Guards against nodes that miss the heartbeats of a live scheduling node and consider it dead
+// when half of the relays fail at once.
 func TestSchedulerDoesNotChangeWhenManyRelaysFail(t *testing.T) {
 	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
-		var ended []string
+		var paused []string
 		for i, node := range s.nodes {
 			if node != scheduler && i%9 < 5 {
-				ended = append(ended, node)
+				paused = append(paused, node)
 			}
 		}
 		before := s.schedulerChanges()
-		for _, node := range ended {
+		for _, node := range paused {
 			s.fabric.Pause(node)
 		}
 		time.Sleep(settleTime)
-		var moved []string
+		var changed []string
 		for _, node := range s.nodes {
-			if !slices.Contains(ended, node) && s.deployment.Node(node).Status().Scheduler != scheduler {
-				moved = append(moved, node)
+			if !slices.Contains(paused, node) && s.deployment.Node(node).Status().Scheduler != scheduler {
+				changed = append(changed, node)
 			}
 		}
-		t.Logf("%d of %d nodes ended, %d moves", len(ended), relayNodes, s.schedulerChanges()-before)
-		s.Expect(moved).To(gomega.BeEmpty(), "nodes that left the scheduling node")
-		// The nodes that stand still can't be seen to have moved before they go on.
-		s.Expect(s.schedulerChanges()-before).To(gomega.BeNumerically("<=", len(ended)), "moves")
+		t.Logf("%d of %d nodes paused, %d scheduler changes", len(paused), relayNodes, s.schedulerChanges()-before)
+		s.Expect(changed).To(gomega.BeEmpty(), "nodes that follow another scheduling node")
+		// Changes at paused nodes are logged after they resume.
+		s.Expect(s.schedulerChanges()-before).To(gomega.BeNumerically("<=", len(paused)), "scheduler changes")
 	})
 }
 
-// A node that reaches only its own zone still hears the scheduling node by way of it. It
-// has to notice by its calls that it does not reach that node.
+// Guards against a node that keeps calling an unreachable scheduling node because it receives its
+// heartbeats through relays in its own zone.
 func TestNodeThatReachesOnlyItsZoneServes(t *testing.T) {
 	const limit = 1500 * time.Millisecond
 	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
-		var alone string
+		var isolated string
 		var others []string
 		for _, node := range s.nodes {
 			if zoneOf(node) != zoneOf(scheduler) {
-				alone = node
+				isolated = node
 				break
 			}
 		}
 		for _, node := range s.nodes {
-			if zoneOf(node) != zoneOf(alone) {
+			if zoneOf(node) != zoneOf(isolated) {
 				others = append(others, node)
 			}
 		}
-		s.Expect(s.do(alone, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
-		s.fabric.CutGroups([]string{alone}, others)
+		s.Expect(s.do(isolated, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
+		s.fabric.CutGroups([]string{isolated}, others)
 		time.Sleep(settleTime)
 		slow := 0
 		for range 20 {
-			got := s.do(alone, http.MethodGet, "/safe/", nil)
+			got := s.do(isolated, http.MethodGet, "/safe/", nil)
 			if got.status != http.StatusOK || got.took > limit {
 				slow++
-				t.Logf("answered %d after %v", got.status, got.took)
+				t.Logf("status %d after %v", got.status, got.took)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/test/entry/store_outage_test.go
+++ b/test/entry/store_outage_test.go
@@ -7,11 +7,11 @@
 	"github.com/onsi/gomega"
 )
 
-// longOutage is long enough for every node to notice.
+// detectableOutage is the duration of an outage that every node detects.
 const detectableOutage = 8 * time.Second
 
-// playOutage makes the store refuse every call of nodes that know a large configuration,
-// and lets it come back.
+// runOutage takes the store down for detectableOutage after all nodes have a large configuration,
+// and then calls after.
 func runOutage(t *testing.T, after func(s *disseminationScenario)) {
 	t.Helper()
 	runDissemination(t, func(s *disseminationScenario) {
@@ -26,20 +26,20 @@
 	})
 }
 
-// While no node reaches the store each takes itself for the one that has to follow it.
-// When it is back, not all of them may read the whole configuration that they have.
+// Guards against an outage after which every node reads the complete configuration, since no node
+// watched the store meanwhile.
 func TestNotEveryNodeReadsTheConfigurationAfterAStoreOutage(t *testing.T) {
 	runOutage(t, func(s *disseminationScenario) {
 		_, before := s.sentBytes()
 		time.Sleep(updateLimit)
 		_, after := s.sentBytes()
 		sent := float64(after - before)
-		t.Logf("the store sent %.1f MB within %v of being back", sent/1e6, updateLimit)
-		s.Expect(sent).To(gomega.BeNumerically("<", maxBytesFromStore), "bytes the store sent within %v of being back", updateLimit)
+		t.Logf("the store sent %.1f MB within %v of the outage's end", sent/1e6, updateLimit)
+		s.Expect(sent).To(gomega.BeNumerically("<", maxBytesFromStore), "bytes sent by the store within %v of the outage's end", updateLimit)
 	})
 }
 
-// A change written when the store is back must be in force in time.
+// Guards against a change after an outage that is active too late.
 func TestChangeAfterAStoreOutageReachesEveryNodeInTime(t *testing.T) {
 	runOutage(t, func(s *disseminationScenario) {
 		time.Sleep(500 * time.Millisecond)
@@ -52,7 +52,7 @@
 	})
 }
 
-// Plain requests are served as ever while the store comes back.
+// Guards against delayed requests while nodes read the store after an outage.
 func TestPlainRequestsAreServedAfterAStoreOutage(t *testing.T) {
 	runOutage(t, func(s *disseminationScenario) {
 		share := s.answeredShare(s.narrowLinkNodes(requestNodes), int(updateLimit/requestInterval))
