--- a/test/entry/answers_test.go
+++ b/test/entry/answers_test.go
@@ -259,13 +259,13 @@
 	runScenario(t, func(s *scenario) {
 		s.do("n1", http.MethodGet, "/safe/", nil)
 		s.do("n1", http.MethodGet, "/nowhere/", nil)
-		ask := func(path string) reply {
+		getAsOperator := func(path string) reply {
 			request, err := http.NewRequest(http.MethodGet, "http://"+entrylab.OperatorsAddress("n1")+path, nil)
 			s.Expect(err).NotTo(gomega.HaveOccurred())
 			return s.send(request)
 		}
-		s.Expect(ask("/status").body).To(gomega.And(gomega.ContainSubstring(`"configuration_version":1`), gomega.ContainSubstring(`"ready":true`)))
-		metrics := ask("/metrics").body
+		s.Expect(getAsOperator("/status").body).To(gomega.And(gomega.ContainSubstring(`"configuration_version":1`), gomega.ContainSubstring(`"ready":true`)))
+		metrics := getAsOperator("/metrics").body
 		for _, line := range []string{
 			"thornwalk_requests_answered 1\n", "thornwalk_ended_no_route 1\n", "thornwalk_sends_answered 1\n",
 			`thornwalk_request_ms_answered{quantile="0.99"} 20` + "\n", "thornwalk_place_wait_ms_count 1\n",
--- a/test/entry/dissemination_test.go
+++ b/test/entry/dissemination_test.go
@@ -154,9 +154,9 @@
 type delays map[string]float64
 
 // recordFirst records the delay of the node unless a shorter one is recorded.
-func (l delays) recordFirst(node string, seconds float64) {
-	if before, known := l[node]; !known || seconds < before {
-		l[node] = seconds
+func (d delays) recordFirst(node string, seconds float64) {
+	if before, known := d[node]; !known || seconds < before {
+		d[node] = seconds
 	}
 }
 
@@ -187,14 +187,14 @@
 }
 
 // describeMax describes the longest delay, for the test's log.
-func (l delays) describeMax() string {
+func (d delays) describeMax() string {
 	latest, longest := "", 0.0
-	for name, seconds := range l {
+	for name, seconds := range d {
 		if seconds >= longest {
 			latest, longest = name, seconds
 		}
 	}
-	return fmt.Sprintf("%d nodes, the last one %s after %.2f s", len(l), latest, longest)
+	return fmt.Sprintf("%d nodes, the last one %s after %.2f s", len(d), latest, longest)
 }
 
 // Guards against replies with large configurations that saturate links until the pulls time out.
--- a/test/entry/event_log_test.go
+++ b/test/entry/event_log_test.go
@@ -22,17 +22,17 @@
 	buffer bytes.Buffer
 }
 
-func (l *logBuffer) Write(content []byte) (int, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.buffer.Write(content)
+func (b *logBuffer) Write(content []byte) (int, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.buffer.Write(content)
 }
 
 // reader returns a reader of a copy of the logs.
-func (l *logBuffer) reader() io.Reader {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return bytes.NewReader(bytes.Clone(l.buffer.Bytes()))
+func (b *logBuffer) reader() io.Reader {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return bytes.NewReader(bytes.Clone(b.buffer.Bytes()))
 }
 
 // requestHistory returns the operators' report on the request, built from the nodes' logs.
--- a/test/entry/failover_test.go
+++ b/test/entry/failover_test.go
@@ -19,26 +19,22 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// Users saw more repeats of requests within ten seconds than the operators allow, while nodes
-// ran on. The retry budget was a window in the memory of whichever node scheduled: one that
-// took over began with an empty one and gave the whole share of what it saw, while the repeats
-// of its predecessor still lay in the ten seconds. Lines of four nodes that scheduled one after
-// the other showed it: 182, 86, 31 and 30 repeats, each within its own bound, 309 in ten seconds
-// where 271 are allowed. Tenants' quotas are handed out by whoever schedules as well.
-
-// The deployment, its load and the bounds that its operators set.
+// These tests check the retry budget and tenants' quotas while the scheduling node changes. A new
+// scheduling node must count what its predecessors granted.
+
+// The deployment, its load and its bounds.
 const (
 	failoverNodes   = 7
 	failoverEngines = 12
-	// successionGap is the time between two requests, and successionTime how long they come.
+	// failoverRequestInterval is the time between two requests.
 	failoverRequestInterval = 10 * time.Millisecond
 	failoverDuration        = 24 * time.Second
-	// refusedShare is the part of its requests that a replica refuses, from calmTime on. Until
-	// then the budget fills: what matters is what is given for that more than once.
+	// rejectedShare is the share of requests that replicas reject after rejectDelay, in which the
+	// retry budget fills.
 	rejectedShare = 0.8
 	rejectDelay   = 8 * time.Second
-	// quotaRate, quotaBurst and quotaSlack are in tokens; each request is plainTokens, so
-	// that the tenant asks for five times its rate.
+	// quotaRate (per second), quotaBurst and quotaSlack are in tokens. Each request takes
+	// tokensPerRequest, so that the tenant's demand is five times its rate.
 	quotaRate, quotaBurst, quotaSlack = 200, 400, 800
 	quotaOverage                      = 0.1
 	quotaWindow                       = 8 * time.Second
@@ -49,29 +45,30 @@
 
 var threeZones = []string{"east", "west", "south"}
 
-// successionScene is a deployment whose nodes come and go under load.
+// failoverScenario is a deployment under load whose scheduling node changes.
 type failoverScenario struct {
 	*scenario
 	hosts []string
 	group sync.WaitGroup
-	// random gives each play the same refusals.
+	// random selects the requests to reject; its seed is the same in each run.
 	random       *rand.Rand
 	mutex        sync.Mutex
 	requestTimes []time.Time
-	// replies counts the answers by status; those lost with a node have none.
+	// repliesByStatus counts the replies; requests lost with a node have status 0.
 	repliesByStatus map[int]int
 	loadEnded       bool
-	// away is the node that the balancer has taken out, or "".
+	// removedNode is the node that gets no requests from the load balancer, or "".
 	removedNode string
-	// refusesFrom is when replicas begin to refuse.
+	// rejectsFrom is the time from which replicas reject requests.
 	rejectsFrom time.Time
 }
 
-// entryQuota is a tenant's quota in tokens a second and tokens on top.
+// quota is a tenant's rate in tokens per second and its burst in tokens; a rate of 0 means no quota.
 type quota struct{ rate, burst float64 }
 
-// playSuccession plays a course under load. If the tenant has no quota, the replicas refuse.
-func runFailover(t *testing.T, quota quota, course func(s *failoverScenario), judge func(s *failoverScenario)) {
+// runFailover runs the fault under load, stops the deployment and calls check. If the tenant has no
+// quota, replicas reject requests.
+func runFailover(t *testing.T, quota quota, fault func(s *failoverScenario), check func(s *failoverScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &failoverScenario{scenario: &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}, random: rand.New(rand.NewPCG(1, 2)), repliesByStatus: map[int]int{}}
@@ -83,14 +80,14 @@
 			settings.QuotaOverage, settings.QuotaSlack = quotaOverage, quotaSlack
 			settings.FirstStart = time.Now().Equal(s.startOfVirtualTime())
 		})
-		refuses := quota.rate == 0
-		if !refuses {
+		rejects := quota.rate == 0
+		if !rejects {
 			s.configure(func(c *entrylab.Configuration) { c.Tenants[0].Rate, c.Tenants[0].Burst = quota.rate, quota.burst })
 		}
 		for i := range failoverEngines {
 			engine := s.addReplica(fmt.Sprint("e", i+1), "engines", 4, 10*time.Millisecond)
 			engine.Slots = 7
-			if refuses {
+			if rejects {
 				engine.SetBehavior(s.rejectOften)
 			}
 			s.engines = append(s.engines, engine)
@@ -101,24 +98,25 @@
 		s.rejectsFrom = time.Now().Add(rejectDelay)
 		go func() {
 			defer close(done)
-			if refuses {
+			if rejects {
 				time.Sleep(rejectDelay)
 			}
-			course(s)
+			fault(s)
 		}()
 		s.load()
 		<-done
 		s.group.Wait()
 		s.stop(s.hosts)
-		judge(s)
+		check(s)
 	})
 }
 
-// begun is the moment at which virtual time begins.
+// startOfVirtualTime returns the time at which virtual time starts.
 func (s *failoverScenario) startOfVirtualTime() time.Time {
 	return time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 }
 
+// rejectOften is a behavior that rejects the rejectedShare of requests from rejectsFrom on.
 func (s *failoverScenario) rejectOften(*http.Request) platformsim.Behavior {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -128,7 +126,7 @@
 	return platformsim.Answer
 }
 
-// load sends requests at all nodes in turn. One that comes to a node that is down is lost.
+// load sends requests to all nodes in turn. Requests to a node that is down are lost.
 func (s *failoverScenario) load() {
 	for i := range int(failoverDuration / failoverRequestInterval) {
 		s.mutex.Lock()
@@ -151,35 +149,36 @@
 	s.mutex.Unlock()
 }
 
-// setAway has the balancer send nothing to the node.
+// removeFromBalancer stops the load to the node; "" ends the removal.
 func (s *failoverScenario) removeFromBalancer(host string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.removedNode = host
 }
 
-// isOver returns whether no more requests come.
+// hasLoadEnded reports whether all requests have been sent.
 func (s *failoverScenario) hasLoadEnded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.loadEnded
 }
 
-// every does a step again and again until the load is over.
-func (s *failoverScenario) repeatEvery(gap time.Duration, step func(round int)) {
+// repeatEvery repeats the step, with the interval before each, until the load has ended.
+func (s *failoverScenario) repeatEvery(interval time.Duration, step func(round int)) {
 	for round := 0; !s.hasLoadEnded(); round++ {
-		time.Sleep(gap)
+		time.Sleep(interval)
 		step(round)
 	}
 }
 
+// startNode starts the node in its zone.
 func (s *failoverScenario) startNode(host string) {
 	number, err := strconv.Atoi(host[1:])
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	s.Expect(s.deployment.StartNode(host, threeZones[(number-1)%len(threeZones)])).To(gomega.Succeed())
 }
 
-// restart kills the nodes and starts them again.
+// restart kills all the nodes and then starts them again.
 func (s *failoverScenario) restart(hosts ...string) {
 	for _, host := range hosts {
 		s.deployment.Node(host).Kill()
@@ -190,21 +189,22 @@
 	}
 }
 
-// scheduling returns the node that most nodes take for the scheduling one.
+// majorityScheduler returns the node that most nodes consider the scheduling node.
 func (s *failoverScenario) majorityScheduler() string {
 	votes := map[string]int{}
-	most := s.hosts[0]
+	scheduler := s.hosts[0]
 	for _, host := range s.hosts {
 		votes[s.deployment.Node(host).Status().Scheduler]++
 	}
 	for host, count := range votes {
-		if count > votes[most] {
-			most = host
+		if count > votes[scheduler] {
+			scheduler = host
 		}
 	}
-	return most
+	return scheduler
 }
 
+// splitByZone returns the nodes inside and outside the zone.
 func (s *failoverScenario) splitByZone(name string) (inside, outside []string) {
 	for i, host := range s.hosts {
 		if threeZones[i%len(threeZones)] == name {
@@ -216,9 +216,9 @@
 	return inside, outside
 }
 
-// successions are the ways in which the scheduling node changes.
+// failovers are faults after which another node may become the scheduling node.
 var failovers = map[string]func(s *failoverScenario){
-	"nothing": func(*failoverScenario) {},
+	"no fault": func(*failoverScenario) {},
 	"each node stopped in turn, 1.3 s apart": func(s *failoverScenario) {
 		s.repeatEvery(1300*time.Millisecond, func(round int) {
 			s.group.Go(func() {
@@ -231,23 +231,23 @@
 	"each node killed in turn, 0.8 s apart": func(s *failoverScenario) {
 		s.repeatEvery(800*time.Millisecond, func(round int) { s.restart(s.hosts[round%len(s.hosts)]) })
 	},
-	"the scheduling node killed each 0.8 s": func(s *failoverScenario) {
+	"the scheduling node killed every 0.8 s": func(s *failoverScenario) {
 		s.repeatEvery(800*time.Millisecond, func(int) { s.restart(s.majorityScheduler()) })
 	},
-	"the scheduling node killed each 3 s": func(s *failoverScenario) {
+	"the scheduling node killed every 3 s": func(s *failoverScenario) {
 		s.repeatEvery(3*time.Second, func(int) { s.restart(s.majorityScheduler()) })
 	},
-	"half of the nodes killed each 2 s": func(s *failoverScenario) {
+	"half of the nodes killed every 2 s": func(s *failoverScenario) {
 		s.repeatEvery(2*time.Second, func(round int) {
 			half := len(s.hosts) / 2
 			from := round % 2 * half
 			s.restart(s.hosts[from : from+half]...)
 		})
 	},
-	"all nodes killed each 5 s": func(s *failoverScenario) {
+	"all nodes killed every 5 s": func(s *failoverScenario) {
 		s.repeatEvery(5*time.Second, func(int) { s.restart(s.hosts...) })
 	},
-	"the scheduling node paused for 1.5 s each 3 s": func(s *failoverScenario) {
+	"the scheduling node paused for 1.5 s every 3 s": func(s *failoverScenario) {
 		s.repeatEvery(1500*time.Millisecond, func(int) {
 			host := s.majorityScheduler()
 			s.removeFromBalancer(host)
@@ -258,14 +258,14 @@
 			s.removeFromBalancer("")
 		})
 	},
-	"a zone after the other cut off for 2 s": func(s *failoverScenario) {
+	"one zone after the other partitioned for 2 s": func(s *failoverScenario) {
 		s.repeatEvery(2*time.Second, func(round int) {
 			s.fabric.CutGroups(s.splitByZone(threeZones[round%len(threeZones)]))
 			time.Sleep(2 * time.Second)
 			s.fabric.Heal()
 		})
 	},
-	"each node cut off from all others for 6 s": func(s *failoverScenario) {
+	"each node partitioned from all others for 6 s": func(s *failoverScenario) {
 		s.repeatEvery(4*time.Second, func(int) {
 			for i, host := range s.hosts {
 				s.fabric.CutGroups([]string{host}, s.hosts[i+1:])
@@ -276,9 +276,9 @@
 	},
 }
 
-// repeatedCuts cut the network and heal it faster than a node's death is noticed.
+// repeatedPartitions partition the network and heal it faster than a node's death is detected.
 var repeatedPartitions = map[string]func(s *failoverScenario){
-	"the network cut into zones and healed again and again": func(s *failoverScenario) {
+	"the network partitioned into zones and healed repeatedly": func(s *failoverScenario) {
 		s.repeatEvery(700*time.Millisecond, func(int) {
 			for _, zone := range threeZones {
 				s.fabric.CutGroups(s.splitByZone(zone))
@@ -287,7 +287,7 @@
 			s.fabric.Heal()
 		})
 	},
-	"another half cut off each 0.5 s": func(s *failoverScenario) {
+	"another half partitioned every 0.5 s": func(s *failoverScenario) {
 		s.repeatEvery(500*time.Millisecond, func(round int) {
 			s.fabric.Heal()
 			half := append([]string{}, s.hosts[round%len(s.hosts):]...)
@@ -297,21 +297,23 @@
 	},
 }
 
-// playAll plays all courses.
-func runFailovers(t *testing.T, courses map[string]func(s *failoverScenario), quota quota, judge func(t *testing.T, s *failoverScenario)) {
+// runFailovers runs all faults in parallel subtests.
+func runFailovers(t *testing.T, faults map[string]func(s *failoverScenario), quota quota, check func(t *testing.T, s *failoverScenario)) {
 	t.Helper()
-	for name, course := range courses {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runFailover(t, quota, course, func(s *failoverScenario) { judge(t, s) })
+			runFailover(t, quota, fault, func(s *failoverScenario) { check(t, s) })
 		})
 	}
 }
 
+// Guards against a new scheduling node that grants a retry budget its predecessor has used.
 func TestRetriesStayWithinTheBudgetAcrossFailovers(t *testing.T) {
 	runFailovers(t, failovers, quota{}, checkRetryBudget)
 }
 
+// Guards against retry budgets that each side of a partition grants in full.
 func TestRetriesStayWithinTheBudgetDuringRepeatedPartitions(t *testing.T) {
 	runFailovers(t, repeatedPartitions, quota{}, checkRetryBudget)
 }
@@ -327,50 +329,51 @@
 	s.Expect(worst.Over()).To(gomega.BeNumerically("<=", 0), worst.String())
 }
 
+// Guards against a new scheduling node that grants quotas its predecessor has used.
 func TestQuotasAreKeptAcrossFailovers(t *testing.T) {
 	runFailovers(t, failovers, quota{rate: quotaRate, burst: quotaBurst}, checkQuota)
 }
 
-// Each side of a cut hands out the whole quota until it notices the cut. What one side handed out is
-// taken from the other once that hears of it.
+// Guards against quotas exceeded because each side of a partition grants the complete quota until it
+// detects the partition. The usage of one side is charged to the other when it is received.
 func TestQuotasAreKeptWhileTheNetworkIsCutAgainAndAgain(t *testing.T) {
 	runFailovers(t, repeatedPartitions, quota{rate: quotaRate, burst: quotaBurst}, checkQuota)
 }
 
 func checkQuota(t *testing.T, s *failoverScenario) {
 	t.Helper()
-	var taken []checker.Mark
+	var used []checker.Mark
 	for _, engine := range s.engines {
 		for _, run := range engine.Runs() {
-			taken = append(taken, checker.Mark{At: run.At, Amount: tokensPerRequest})
+			used = append(used, checker.Mark{At: run.At, Amount: tokensPerRequest})
 		}
 	}
 	allowed := (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaOverage) + quotaSlack
-	_, worst := checker.Worst(taken, quotaWindow)
-	t.Logf("%.0f tokens of %.0f allowed in the worst eight seconds; %d requests ran", worst, allowed, len(taken))
+	_, worst := checker.Worst(used, quotaWindow)
+	t.Logf("%.0f tokens of %.0f allowed in the worst eight seconds; %d requests ran", worst, allowed, len(used))
 	s.Expect(worst).To(gomega.BeNumerically("<=", allowed))
 }
 
-// What keeps the quota may not take from those who stay below it.
+// Guards against rejections of a tenant that stays below its quota.
 func TestNobodyBelowTheQuotaIsRejectedAcrossFailovers(t *testing.T) {
 	runFailovers(t, failovers, quotaAboveDemand(), checkNoRejections)
 }
 
+// Guards against rejections of a tenant below its quota while the network is partitioned repeatedly.
 func TestNobodyBelowTheQuotaIsRefusedWhileTheNetworkIsCutAgainAndAgain(t *testing.T) {
 	runFailovers(t, repeatedPartitions, quotaAboveDemand(), checkNoRejections)
 }
 
-// modestQuota is of a tenant that stays below it: its rate is a tenth more than what is asked for. Its
-// burst covers a second: what it asks for while a dead scheduling node is still waited for, 0.4 s,
-// comes at once.
+// quotaAboveDemand returns a quota whose rate is 1.1 times the demand. Its burst covers a second,
+// since the requests queued until a dead scheduling node is detected, 0.4 s, arrive together.
 func quotaAboveDemand() quota {
-	asked := tokensPerRequest / failoverRequestInterval.Seconds()
-	return quota{rate: asked * 1.1, burst: asked}
+	demand := tokensPerRequest / failoverRequestInterval.Seconds()
+	return quota{rate: demand * 1.1, burst: demand}
 }
 
 func checkNoRejections(t *testing.T, s *failoverScenario) {
 	t.Helper()
-	t.Logf("answers %v", s.repliesByStatus)
+	t.Logf("replies %v", s.repliesByStatus)
 	s.Expect(s.repliesByStatus[http.StatusTooManyRequests]).To(gomega.BeZero())
 	s.Expect(s.repliesByStatus[http.StatusOK]).To(gomega.BeNumerically(">", len(s.requestTimes)/4))
 }
--- a/test/entry/narrow_links_restart_test.go
+++ b/test/entry/narrow_links_restart_test.go
@@ -14,7 +14,7 @@
 	recoveryLimit = 12 * time.Second
 )
 
-// Guards against a crash of a node that is asked for a part that it lacks: after a loss of power
+// Guards against a crash of a node when a peer pulls a part that it lacks: after a loss of power
 // nodes read a configuration from the store while they and others pull it from peers.
 func TestAllNodesWithNarrowLinksRestartWithALargeConfiguration(t *testing.T) {
 	runWithLinks(t, narrowLinks, func(s *disseminationScenario) {
--- a/test/entry/poison_test.go
+++ b/test/entry/poison_test.go
@@ -17,8 +17,8 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// These tests send a poison request, under which replicas crash, again and again under new
-// request ids. Each crash would also break the other requests at the replica.
+// These tests repeatedly send a poison request, under which replicas crash, with a new request id
+// each time. Each crash also breaks the other requests at the replica.
 
 const (
 	poisonPath = "deadly"
--- a/test/entry/relay_test.go
+++ b/test/entry/relay_test.go
@@ -43,11 +43,13 @@
 	nodes []string
 }
 
+// runRelays runs the test with relayNodes nodes.
 func runRelays(t *testing.T, test func(s *relayScenario)) {
 	t.Helper()
 	runRelaysWithNodes(t, relayNodes, test)
 }
 
+// runRelaysWithNodes runs the test with the number of nodes.
 func runRelaysWithNodes(t *testing.T, nodes int, test func(s *relayScenario)) {
 	t.Helper()
 	runNodes(t, nodes, nil, settleTime, test)
--- a/test/entry/rollout_test.go
+++ b/test/entry/rollout_test.go
@@ -13,7 +13,7 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// rolloutScene moves the plain service to a second version of its replicas.
+// rolloutScenario is a scenario under load whose plain service gets replicas of a second version.
 type rolloutScenario struct {
 	*scenario
 	newReplicas     []*platformsim.Replica
@@ -22,7 +22,7 @@
 	mutex           sync.Mutex
 	random          *rand.Rand
 	repliesByStatus map[int]int
-	// lost counts answers that did not end properly.
+	// incompleteReplies counts replies with status 200 and an incomplete body.
 	incompleteReplies int
 }
 
@@ -30,11 +30,12 @@
 	rolloutDuration = 20 * time.Second
 	// rolloutGap is the time between two requests at one node.
 	rolloutRequestInterval = 25 * time.Millisecond
-	// exposureShare and exposureSlack are those of the nodes' settings.
+	// canaryShare and canarySlack equal the nodes' settings.
 	canaryShare = 0.1
 	canarySlack = 50
 )
 
+// runRollout runs the test while requests are sent to all nodes.
 func runRollout(t *testing.T, test func(s *rolloutScenario)) {
 	t.Helper()
 	runScenario(t, func(base *scenario) {
@@ -49,7 +50,7 @@
 	})
 }
 
-// call sends requests to the node until the scene ends.
+// sendRequests sends requests to the node until done is closed.
 func (s *rolloutScenario) sendRequests(host string) {
 	for {
 		select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// order writes the order and starts as many replicas of the version.
+// orderRollout writes the roll-out order and starts three replicas of the version.
 func (s *rolloutScenario) orderRollout(version string, behave func(*http.Request) platformsim.Behavior) {
 	s.deployment.Store.Order(platformsim.RolloutOrder{Service: "registry", Target: version, Duration: rolloutDuration.Seconds()})
 	for i := range 3 {
@@ -85,9 +86,10 @@
 	return s.deployment.Store.RolloutStatus("registry").State
 }
 
-// awaitState waits until operators read the state, and returns false if they don't in time.
+// awaitRolloutState waits until the roll-out status has the state, and returns false if it hasn't
+// within the limit.
 func (s *rolloutScenario) awaitRolloutState(state string, limit time.Duration) bool {
-	for begun := time.Now(); time.Since(begun) < limit; time.Sleep(20 * time.Millisecond) {
+	for started := time.Now(); time.Since(started) < limit; time.Sleep(20 * time.Millisecond) {
 		if s.rolloutState() == state {
 			return true
 		}
@@ -95,6 +97,7 @@
 	return false
 }
 
+// arrivalCount returns the number of requests that arrived at the replicas.
 func arrivalCount(replicas []*platformsim.Replica) int {
 	count := 0
 	for _, replica := range replicas {
@@ -103,14 +106,15 @@
 	return count
 }
 
-// expectExposure checks how much the new version got, of all that reached the service since
-// the order.
+// expectCanaryWithinBudget checks the new version's share of the requests that reached the service
+// since the order, when the old version had before arrivals.
 func (s *rolloutScenario) expectCanaryWithinBudget(before int) {
-	got := arrivalCount(s.newReplicas)
-	all := arrivalCount(s.plainReplicas) + got - before
-	s.Expect(float64(got)).To(gomega.BeNumerically("<=", canaryShare*float64(all)+canarySlack), "requests at the new version")
+	canary := arrivalCount(s.newReplicas)
+	total := arrivalCount(s.plainReplicas) + canary - before
+	s.Expect(float64(canary)).To(gomega.BeNumerically("<=", canaryShare*float64(total)+canarySlack), "requests at the new version")
 }
 
+// failOneIn returns a behavior that fails one of count requests at random.
 func (s *rolloutScenario) failOneIn(count int) func(*http.Request) platformsim.Behavior {
 	return func(*http.Request) platformsim.Behavior {
 		s.mutex.Lock()
@@ -122,8 +126,8 @@
 	}
 }
 
-// completed checks the end of a roll-out of a good version: when the status says so the old
-// replicas stop at once, with whatever they run.
+// expectCompleted waits for the completion of the roll-out, crashes the old replicas and checks that
+// no request is lost.
 func (s *rolloutScenario) expectCompleted(limit time.Duration) {
 	s.Expect(s.awaitRolloutState("completed", limit)).To(gomega.BeTrue(), "state: "+s.rolloutState())
 	before := arrivalCount(s.plainReplicas)
@@ -145,6 +149,8 @@
 	s.Expect(s.incompleteReplies).To(gomega.BeZero())
 }
 
+// Guards against a roll-out that sends too many requests to the new version or loses any when the
+// old replicas stop.
 func TestRolloutOfAGoodVersionLosesNoRequest(t *testing.T) {
 	runRollout(t, func(s *rolloutScenario) {
 		before := arrivalCount(s.plainReplicas)
@@ -152,11 +158,12 @@
 		s.Expect(s.awaitRolloutState("running", 2*time.Second)).To(gomega.BeTrue())
 		time.Sleep(rolloutDuration / 2)
 		s.expectCanaryWithinBudget(before)
-		s.Expect(arrivalCount(s.newReplicas)).To(gomega.BeNumerically(">", 40), "too few to judge by")
+		s.Expect(arrivalCount(s.newReplicas)).To(gomega.BeNumerically(">", 40), "too few canary requests for the analysis")
 		s.expectCompleted(rolloutDuration / 2)
 	})
 }
 
+// Guards against a bad version that is not rolled back, or that receives requests afterwards.
 func TestBadVersionIsRolledBackWithinItsCanaryBudget(t *testing.T) {
 	cases := map[string]platformsim.Behavior{"fails": platformsim.Fail, "breaks off": platformsim.Reset}
 	for name, behavior := range cases {
@@ -171,16 +178,16 @@
 				})
 				s.Expect(s.awaitRolloutState("rolled_back", rolloutDuration)).To(gomega.BeTrue(), "state: "+s.rolloutState())
 				s.expectCanaryWithinBudget(before)
-				got := arrivalCount(s.newReplicas)
+				canary := arrivalCount(s.newReplicas)
 				time.Sleep(3 * time.Second)
-				s.Expect(arrivalCount(s.newReplicas)).To(gomega.Equal(got), "requests after the roll-back")
+				s.Expect(arrivalCount(s.newReplicas)).To(gomega.Equal(canary), "requests after the roll-back")
 			})
 		})
 	}
 }
 
-// The scheduling node dies while the version is judged, and while requests still run at the
-// old one. Whoever follows hands out no second share and brings the roll-out to its end.
+// Guards against a second canary budget, or a roll-out that never ends, after the scheduling node
+// died during the analysis or the switch.
 func TestRolloutCompletesAfterSchedulingNodesFail(t *testing.T) {
 	runRollout(t, func(s *rolloutScenario) {
 		before := arrivalCount(s.plainReplicas)
@@ -188,18 +195,18 @@
 		s.Expect(s.awaitRolloutState("running", 2*time.Second)).To(gomega.BeTrue())
 		for range 2 {
 			time.Sleep(3 * time.Second)
-			ended := s.scheduler()
-			s.deployment.Node(ended).Kill()
+			killed := s.scheduler()
+			s.deployment.Node(killed).Kill()
 			time.Sleep(time.Second)
-			s.Expect(s.deployment.StartNode(ended, "east")).To(gomega.Succeed())
+			s.Expect(s.deployment.StartNode(killed, "east")).To(gomega.Succeed())
 		}
 		s.expectCanaryWithinBudget(before)
 		s.Expect(s.awaitRolloutState("completed", 2*rolloutDuration)).To(gomega.BeTrue(), "state: "+s.rolloutState())
 	})
 }
 
-// Without the store nothing more is handed out, and a write whose answer is lost is not
-// taken for none.
+// Guards against canary requests granted during a store outage, and against a write that is
+// considered failed because its answer was lost.
 func TestRolloutPausesDuringAStoreOutage(t *testing.T) {
 	runRollout(t, func(s *rolloutScenario) {
 		before := arrivalCount(s.plainReplicas)
@@ -208,9 +215,9 @@
 		time.Sleep(2 * time.Second)
 		s.deployment.Store.SetDown(true)
 		time.Sleep(2 * time.Second)
-		got := arrivalCount(s.newReplicas)
+		canary := arrivalCount(s.newReplicas)
 		time.Sleep(3 * time.Second)
-		s.Expect(arrivalCount(s.newReplicas)).To(gomega.Equal(got), "requests while the store is away")
+		s.Expect(arrivalCount(s.newReplicas)).To(gomega.Equal(canary), "requests while the store is down")
 		s.deployment.Store.SetDown(false)
 		s.deployment.Store.SetLost(true)
 		time.Sleep(2 * time.Second)
@@ -221,13 +228,16 @@
 	})
 }
 
-// expectExposureUntilSwitch checks what the system itself counted as handed out.
+// expectRecordedCanaryWithinBudget checks the canary requests in the roll-out record, which counts
+// them until the switch.
 func (s *rolloutScenario) expectRecordedCanaryWithinBudget(before int) {
-	all := arrivalCount(s.plainReplicas) + arrivalCount(s.newReplicas) - before
+	total := arrivalCount(s.plainReplicas) + arrivalCount(s.newReplicas) - before
 	record := s.deployment.Node(s.scheduler()).Status().Rollouts["registry"]
-	s.Expect(float64(record.Exposed)).To(gomega.BeNumerically("<=", canaryShare*float64(all)+canarySlack))
+	s.Expect(float64(record.Exposed)).To(gomega.BeNumerically("<=", canaryShare*float64(total)+canarySlack))
 }
 
+// Guards against roll-outs started by orders that don't parse or that name unknown services,
+// another service's key or a version without replicas.
 func TestInvalidRolloutOrdersAreIgnored(t *testing.T) {
 	runRollout(t, func(s *rolloutScenario) {
 		store := s.deployment.Store
--- a/test/entry/silent_connections_test.go
+++ b/test/entry/silent_connections_test.go
@@ -9,48 +9,48 @@
 	"github.com/onsi/gomega"
 )
 
-// Open connections may fall silent for good while new ones work: those to the scheduling
-// node, to replicas and to the store. Callers should lose no more than the second in which
-// this is found out.
+// Guards against requests that are late for more than a second after all open connections fell
+// silent while new ones work.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	const (
-		found  = time.Second
-		rounds = 20
-		gap    = 100 * time.Millisecond
+		detectionLimit = time.Second
+		rounds         = 20
+		interval       = 100 * time.Millisecond
 	)
 	runScenario(t, func(s *scenario) {
-		ask := func(kind string) (late int) {
+		countLate := func(path string) (late int) {
 			var group sync.WaitGroup
 			var mutex sync.Mutex
 			for range rounds {
 				for _, node := range hosts {
 					group.Go(func() {
-						got := s.do(node, http.MethodPost, kind, nil)
+						got := s.do(node, http.MethodPost, path, nil)
 						mutex.Lock()
 						defer mutex.Unlock()
-						if got.status != http.StatusOK || got.took > found {
+						if got.status != http.StatusOK || got.took > detectionLimit {
 							late++
 						}
 					})
 				}
-				time.Sleep(gap)
+				time.Sleep(interval)
 			}
 			group.Wait()
 			return late
 		}
-		s.Expect(ask("/once/")).To(gomega.BeZero(), "late before the silence")
+		s.Expect(countLate("/once/")).To(gomega.BeZero(), "late requests before connections fell silent")
 		s.fabric.Silence()
 		var first sync.WaitGroup
 		for _, node := range hosts {
 			first.Go(func() { _ = s.do(node, http.MethodPost, "/once/", nil) })
 		}
-		time.Sleep(found)
-		s.Expect(ask("/once/")).To(gomega.BeZero(), "late a second after connections fell silent")
+		time.Sleep(detectionLimit)
+		s.Expect(countLate("/once/")).To(gomega.BeZero(), "late requests a second after connections fell silent")
 		first.Wait()
 	})
 }
 
-// News of the store goes on though the watch and the resting connections fell silent.
+// Guards against a configuration that is missed because the watch and the idle connections to the
+// store fell silent.
 func TestConfigurationReachesNodesWithSilentStoreConnections(t *testing.T) {
 	const limit = 3 * time.Second
 	runScenario(t, func(s *scenario) {
--- a/test/entry/slow_nodes_test.go
+++ b/test/entry/slow_nodes_test.go
@@ -13,38 +13,38 @@
 	"github.com/thornwalk/thornwalk/lab/memnet"
 )
 
-// lateTimers is how late the timers of a node are.
+// delayedTimers delays the timers of a node by a duration in nanoseconds.
 type delayedTimers struct{ delay atomic.Int64 }
 
-func (l *delayedTimers) sleep(pause time.Duration) time.Duration {
-	time.Sleep(pause)
-	return time.Duration(l.delay.Load())
+// sleep sleeps for the duration and returns the delay.
+func (d *delayedTimers) sleep(duration time.Duration) time.Duration {
+	time.Sleep(duration)
+	return time.Duration(d.delay.Load())
 }
 
-// playSpeeds plays a deployment in which the speed of each node can be set.
-func runWithDelayedTimers(t *testing.T, test func(s *scenario, speeds map[string]*delayedTimers)) {
+// runWithDelayedTimers runs the test with the timers of each node, by host.
+func runWithDelayedTimers(t *testing.T, test func(s *scenario, timers map[string]*delayedTimers)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}
-		speeds := map[string]*delayedTimers{}
+		timers := map[string]*delayedTimers{}
 		for _, host := range hosts {
-			speeds[host] = &delayedTimers{}
+			timers[host] = &delayedTimers{}
 		}
-		s.sleep = func(host string) func(time.Duration) time.Duration { return speeds[host].sleep }
+		s.sleep = func(host string) func(time.Duration) time.Duration { return timers[host].sleep }
 		s.start(hosts, []string{"east", "west"}, func(*entry.Settings) {})
 		s.awaitReady()
 		defer s.stop(hosts)
 		time.Sleep(time.Second)
-		test(s, speeds)
+		test(s, timers)
 	})
 }
 
-// A scheduling node on a machine that turned slow kept the schedule for as long as its
-// heartbeats came, and half of all decisions took 0.2 to 2 s.
+// Guards against a slow node that keeps scheduling as long as its heartbeats arrive.
 func TestSlowSchedulingNodeIsReplaced(t *testing.T) {
-	runWithDelayedTimers(t, func(s *scenario, speeds map[string]*delayedTimers) {
+	runWithDelayedTimers(t, func(s *scenario, timers map[string]*delayedTimers) {
 		first := s.scheduler()
-		speeds[first].delay.Store(int64(3 * time.Millisecond))
+		timers[first].delay.Store(int64(3 * time.Millisecond))
 		time.Sleep(500 * time.Millisecond)
 		second := s.scheduler()
 		s.Expect(second).NotTo(gomega.Equal(first))
@@ -52,24 +52,24 @@
 			s.Expect(s.deployment.Node(host).Status().Scheduler).To(gomega.Equal(second), host)
 			s.Expect(s.do(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
 		}
-		speeds[first].delay.Store(0)
+		timers[first].delay.Store(0)
 		time.Sleep(2 * time.Second)
-		s.Expect(s.scheduler()).To(gomega.Equal(second), "the schedule does not move at once")
+		s.Expect(s.scheduler()).To(gomega.Equal(second), "the scheduling node does not change back at once")
 		time.Sleep(5 * time.Second)
 		s.Expect(s.scheduler()).To(gomega.Equal(first))
 	})
 }
 
-// Where every node is slow, one of them has to schedule, and the same for all.
+// Guards against a scheduling node that keeps changing, or no scheduling node, when all nodes are slow.
 func TestSchedulerDoesNotChangeWhenAllNodesAreSlow(t *testing.T) {
-	runWithDelayedTimers(t, func(s *scenario, speeds map[string]*delayedTimers) {
+	runWithDelayedTimers(t, func(s *scenario, timers map[string]*delayedTimers) {
 		for _, host := range hosts {
-			speeds[host].delay.Store(int64(5 * time.Millisecond))
+			timers[host].delay.Store(int64(5 * time.Millisecond))
 		}
 		time.Sleep(2 * time.Second)
 		before := len(s.loggedEvents("scheduler"))
 		time.Sleep(20 * time.Second)
-		s.Expect(s.loggedEvents("scheduler")).To(gomega.HaveLen(before), "the schedule does not go round")
+		s.Expect(s.loggedEvents("scheduler")).To(gomega.HaveLen(before), "scheduler changes")
 		for _, host := range hosts {
 			s.Expect(s.deployment.Node(host).Status().Scheduler).To(gomega.Equal(s.scheduler()), host)
 			s.Expect(s.do(host, http.MethodGet, "/safe/x", nil).status).To(gomega.Equal(http.StatusOK), host)
--- a/test/entry/start_test.go
+++ b/test/entry/start_test.go
@@ -13,8 +13,8 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// After all nodes were killed at once, nodes that have heard of a few others only must
-// not each schedule by themselves and hand out whole quotas.
+// Guards against several nodes that schedule, and each grant complete quotas, after all nodes
+// started at once and know just a few others.
 func TestNodesThatStartTogetherAgreeOnTheScheduler(t *testing.T) {
 	const nodes = 40
 	synctest.Test(t, func(t *testing.T) {
@@ -24,20 +24,20 @@
 		for i := range nodes {
 			names = append(names, fmt.Sprintf("n%02d", i))
 		}
-		lab, err := entrylab.Start(entrylab.Options{
+		deployment, err := entrylab.Start(entrylab.Options{
 			Hosts: names, Zones: []string{"east", "west"}, StoreHost: "store",
 			Network:   func(host string) network.Network { return fabric.Host(host) },
 			Datagrams: fabric.Datagrams,
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		time.Sleep(300 * time.Millisecond)
-		scheduler := lab.Node(names[0]).Status().Scheduler
+		scheduler := deployment.Node(names[0]).Status().Scheduler
 		for _, name := range names {
-			status := lab.Node(name).Status()
+			status := deployment.Node(name).Status()
 			g.Expect(status.Live).To(gomega.HaveLen(nodes-1), name)
 			g.Expect(status.Scheduler).To(gomega.Equal(scheduler), name)
 		}
-		lab.Stop()
-		time.Sleep(time.Minute) // virtual time, in which everything ends
+		deployment.Stop()
+		time.Sleep(time.Minute) // lets all goroutines end
 	})
 }
--- a/test/entry/store_restore_cost_test.go
+++ b/test/entry/store_restore_cost_test.go
@@ -23,7 +23,7 @@
 // an unhealthy store.
 const maxStoreReaders = 16
 
-// Guards against a restore after which every node reads the whole store, instead of just those
+// Guards against a restore after which every node reads the complete store, instead of just those
 // that watch it.
 func TestFewNodesReadTheStoreAfterARestore(t *testing.T) {
 	for _, nodes := range []int{9, 100} {
--- a/test/entry/storecalls_test.go
+++ b/test/entry/storecalls_test.go
@@ -7,22 +7,22 @@
 	"github.com/onsi/gomega"
 )
 
-// storeCalls returns how many calls the store got while the function ran.
+// storeCalls returns the number of store calls while the function ran.
 func (s *relayScenario) storeCalls(run func()) float64 {
 	before := s.deployment.Store.Calls()
 	run()
 	return float64(s.deployment.Store.Calls() - before)
 }
 
-// calmCalls is what three watches and the complete reads of one node need in a second.
+// baselineCallsPerSecond bounds the calls of three watches and of one node's complete reads.
 const baselineCallsPerSecond = 2
 
-// A store that fails is tried by a few nodes. Each of 40 tried it once a second.
+// Guards against an unhealthy store that is called by every node once per second.
 func TestFailingStoreIsTriedByFewNodes(t *testing.T) {
 	const (
 		outage = 8 * time.Second
-		// Sixteen probers try 11 times each, after 0.15, 0.3 and 0.6 s and then once a second,
-		// and each other node once at most.
+		// limit allows 16 probing nodes 11 calls each, after 0.15, 0.3 and 0.6 s and then once
+		// per second, and each node one more.
 		limit = 16*11 + relayNodes
 	)
 	runRelays(t, func(s *relayScenario) {
@@ -42,12 +42,12 @@
 	})
 }
 
-// A process that starts beside others has all news from them.
+// Guards against starting nodes that call the store instead of pulling from their peers.
 func TestNodeRestartsWithoutStoreCalls(t *testing.T) {
-	const watched = 4 * time.Second
+	const watchTime = 4 * time.Second
 	runRelays(t, func(s *relayScenario) {
-		calm := s.storeCalls(func() { time.Sleep(watched) })
-		s.Expect(calm).To(gomega.BeNumerically("<=", baselineCallsPerSecond*watched.Seconds()))
+		baseline := s.storeCalls(func() { time.Sleep(watchTime) })
+		s.Expect(baseline).To(gomega.BeNumerically("<=", baselineCallsPerSecond*watchTime.Seconds()))
 		calls := s.storeCalls(func() {
 			for _, node := range s.nodes[relayNodes-10:] {
 				if node == s.scheduler() {
@@ -56,25 +56,25 @@
 				s.deployment.Node(node).Kill()
 				s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
 			}
-			time.Sleep(watched)
+			time.Sleep(watchTime)
 		})
-		t.Logf("%.0f calls while nine nodes started again, %.0f before", calls, calm)
-		// Some of the nine may have watched the store; others then do.
-		s.Expect(calls).To(gomega.BeNumerically("<=", calm+5))
+		t.Logf("%.0f calls while nine nodes restarted, %.0f before", calls, baseline)
+		// If some of the nine watched the store, other nodes open watches instead.
+		s.Expect(calls).To(gomega.BeNumerically("<=", baseline+5))
 		for _, node := range s.nodes {
 			s.Expect(s.deployment.Node(node).Ready()).To(gomega.BeTrue(), node)
 		}
 	})
 }
 
-// A node that hears nobody reads the store by itself, however many nodes there were.
+// Guards against a partitioned node that leaves watching the store to unreachable nodes.
 func TestPartitionedNodeReadsTheStore(t *testing.T) {
 	runRelays(t, func(s *relayScenario) {
-		alone := s.nodes[relayNodes-1]
-		s.fabric.CutGroups([]string{alone}, s.nodes[:relayNodes-1])
+		isolated := s.nodes[relayNodes-1]
+		s.fabric.CutGroups([]string{isolated}, s.nodes[:relayNodes-1])
 		time.Sleep(time.Second)
 		s.configure(nil)
 		time.Sleep(updateLimit)
-		s.Expect(s.deployment.Node(alone).Status().Version).To(gomega.Equal(s.version))
+		s.Expect(s.deployment.Node(isolated).Status().Version).To(gomega.Equal(s.version))
 	})
 }
--- a/test/entry/suspended_test.go
+++ b/test/entry/suspended_test.go
@@ -15,21 +15,21 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// A machine that is suspended for seconds goes on where it was: its timers and its steady
-// clock know nothing of the time that went by, while others decided in its place and callers
-// gave up. Here the clock of a node that counts such time jumps, and nothing else does.
+// A suspended machine resumes where it stopped: its timers and its monotonic clock don't include
+// the suspension. These tests move the node's clock that includes it forward.
 
 const suspensionTime = 4 * time.Second
 
-// suspendable is the clock of a node.
+// suspendableClock is the clock of a node. The time it was suspended for is in nanoseconds.
 type suspendableClock struct{ suspended atomic.Int64 }
 
-// clocks gives each host one.
+// suspendableClocks holds a clock for each host. It is safe for concurrent use.
 type suspendableClocks struct {
 	mutex  sync.Mutex
 	byHost map[string]*suspendableClock
 }
 
+// clockOf returns the host's clock, which it creates on the first call.
 func (c *suspendableClocks) clockOf(host string) *suspendableClock {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -39,16 +39,18 @@
 	return c.byHost[host]
 }
 
+// now returns a function that returns the host's time since this call, suspensions included.
 func (c *suspendableClocks) now(host string) func() time.Duration {
 	clock, started := c.clockOf(host), time.Now()
 	return func() time.Duration { return time.Since(started) + time.Duration(clock.suspended.Load()) }
 }
 
-// suspend has the time go by that a machine was suspended for.
+// suspend adds a suspension to the host's clock.
 func (c *suspendableClocks) suspend(host string) {
 	c.clockOf(host).suspended.Add(int64(suspensionTime))
 }
 
+// runWithSuspensions runs the test with a suspendable clock for each node.
 func runWithSuspensions(t *testing.T, test func(s *scenario, c *suspendableClocks)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -65,11 +67,13 @@
 	})
 }
 
+// Guards against a resumed scheduling node that uses its old assignments, and against requests that
+// run twice or are lost.
 func TestSuspendedSchedulingNodeDropsItsSchedule(t *testing.T) {
 	runWithSuspensions(t, func(s *scenario, c *suspendableClocks) {
 		scheduler := s.scheduler()
 		var group sync.WaitGroup
-		for i := range 12 { // more than the engines take at once, so that some wait
+		for i := range 12 { // more than the engines' slots, so that some are queued
 			group.Go(func() {
 				s.Expect(s.do(s.followers()[i%2], http.MethodPost, "/stream/", nil).status).To(gomega.BeElementOf(200, 503))
 			})
@@ -77,10 +81,10 @@
 		time.Sleep(50 * time.Millisecond)
 		c.suspend(scheduler)
 		group.Wait()
-		paused := s.loggedEvents("process.paused")
-		s.Expect(paused).To(gomega.HaveLen(1), "noticed once")
-		s.Expect(paused[0].Node).To(gomega.Equal(scheduler))
-		s.Expect(paused[0].Age).To(gomega.BeNumerically(">=", suspensionTime.Milliseconds()))
+		suspensions := s.loggedEvents("process.paused")
+		s.Expect(suspensions).To(gomega.HaveLen(1), "detected once")
+		s.Expect(suspensions[0].Node).To(gomega.Equal(scheduler))
+		s.Expect(suspensions[0].Age).To(gomega.BeNumerically(">=", suspensionTime.Milliseconds()))
 		for i := range 6 {
 			s.Expect(s.do(hosts[i%3], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 		}
@@ -90,8 +94,8 @@
 	})
 }
 
-// A caller whose time went by while the machine was suspended got its answer seconds late, as
-// the timer stood still that was to end its request.
+// Guards against requests that end seconds after their deadline because their timers did not run
+// during the suspension.
 func TestRequestsThatExpiredDuringASuspensionEndAtOnce(t *testing.T) {
 	for _, path := range []string{"/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
@@ -102,7 +106,7 @@
 				group.Go(func() {
 					got := s.do(node, http.MethodPost, path, nil)
 					s.Expect(got.status).To(gomega.Equal(http.StatusGatewayTimeout))
-					s.Expect(got.took).To(gomega.BeNumerically("<", 900*time.Millisecond), "one look at the clock after the machine went on")
+					s.Expect(got.took).To(gomega.BeNumerically("<", 900*time.Millisecond), "within one check of the clock after the machine resumed")
 				})
 				time.Sleep(200 * time.Millisecond)
 				c.suspend(node)
@@ -112,8 +116,7 @@
 	}
 }
 
-// What a node believed before it was suspended is old afterwards: it asks the store and its
-// peers, and is as good as they are within a second.
+// Guards against a resumed node that serves by stale data for more than a second.
 func TestResumedNodeAppliesMissedChanges(t *testing.T) {
 	runWithSuspensions(t, func(s *scenario, c *suspendableClocks) {
 		node := s.followers()[0]
