--- a/test/entry/narrow_links_test.go
+++ b/test/entry/narrow_links_test.go
@@ -30,13 +30,13 @@
 // Guards against a partitioned zone in which no node watches the store because all links are
 // narrow.
 func TestPartitionedZoneWithNarrowLinksAppliesAChange(t *testing.T) {
-	wide := func(i int) float64 {
+	wideOutsideWest := func(i int) float64 {
 		if i%wideLinkEvery == 0 && i%len(disseminationZones) != len(disseminationZones)-1 {
 			return wideLinkMbps
 		}
 		return narrowLinkMbps
 	}
-	runWithLinks(t, wide, func(s *disseminationScenario) {
+	runWithLinks(t, wideOutsideWest, func(s *disseminationScenario) {
 		s.addRoutes(versionCount * routesPerVersion)
 		s.writeConfiguration()
 		time.Sleep(updateWatchTime)
--- a/test/entry/poison_test.go
+++ b/test/entry/poison_test.go
@@ -218,22 +218,22 @@
 
 // Guards against a poison request that keeps crashing replicas, also while nodes or the store fail.
 func TestPoisonRequestIsBlocked(t *testing.T) {
-	const often = 300 * time.Millisecond
+	const shortInterval = 300 * time.Millisecond
 	for name, testCase := range map[string]crashCase{
-		"a stream that is sent once":        {route: "stream", interval: often},
-		"a stream that is resumed":          {route: "resume", interval: often},
-		"a plain request that is sent once": {route: "once", interval: often},
-		"a plain request that is retried":   {route: "safe", interval: often},
+		"a stream that is sent once":        {route: "stream", interval: shortInterval},
+		"a stream that is resumed":          {route: "resume", interval: shortInterval},
+		"a plain request that is sent once": {route: "once", interval: shortInterval},
+		"a plain request that is retried":   {route: "safe", interval: shortInterval},
 		"every 4 s":                         {route: "stream", interval: 4 * time.Second},
 		"every 30 ms":                       {route: "stream", interval: 30 * time.Millisecond},
-		"at all nodes at once":              {route: "stream", interval: often, nodesAtOnce: 3},
-		"the scheduling node is killed":     {route: "stream", interval: often, fault: killScheduler},
-		"the scheduling node is paused":     {route: "stream", interval: often, fault: pauseScheduler},
-		"the nodes are partitioned":         {route: "stream", interval: often, fault: partitionNodes},
-		"each node restarts":                {route: "stream", interval: often, fault: restartNodesInTurn},
-		"all nodes restart":                 {route: "stream", interval: often, fault: restartAllNodes},
-		"the store is down":                 {route: "stream", interval: often, fault: failStore},
-		"replicas restart under their id":   {route: "stream", interval: often, sameID: true},
+		"at all nodes at once":              {route: "stream", interval: shortInterval, nodesAtOnce: 3},
+		"the scheduling node is killed":     {route: "stream", interval: shortInterval, fault: killScheduler},
+		"the scheduling node is paused":     {route: "stream", interval: shortInterval, fault: pauseScheduler},
+		"the nodes are partitioned":         {route: "stream", interval: shortInterval, fault: partitionNodes},
+		"each node restarts":                {route: "stream", interval: shortInterval, fault: restartNodesInTurn},
+		"all nodes restart":                 {route: "stream", interval: shortInterval, fault: restartAllNodes},
+		"the store is down":                 {route: "stream", interval: shortInterval, fault: failStore},
+		"replicas restart under their id":   {route: "stream", interval: shortInterval, sameID: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runCrashes(t, testCase, func(s *crashScenario) {
--- a/test/entry/rollout_test.go
+++ b/test/entry/rollout_test.go
@@ -28,7 +28,7 @@
 
 const (
 	rolloutDuration = 20 * time.Second
-	// rolloutGap is the time between two requests at one node.
+	// rolloutRequestInterval is the time between two requests at one node.
 	rolloutRequestInterval = 25 * time.Millisecond
 	// canaryShare and canarySlack equal the nodes' settings.
 	canaryShare = 0.1
