--- a/test/entry/relay_test.go
+++ b/test/entry/relay_test.go
@@ -14,17 +14,17 @@
 	"github.com/thornwalk/thornwalk/lab/memnet"
 )
 
-// The deployment in which heartbeats go by relays: zones of ten nodes.
+// A fleet large enough for relayed heartbeats: zones of ten nodes.
 const (
 	relayNodes = 40
-	// settled is the virtual time after which heartbeats have settled everything.
-	settled = 5 * time.Second
+	// settleTime is the time until all nodes agree on the live nodes and the scheduling node.
+	settleTime = 5 * time.Second
 )
 
 var relayZones = []string{"north", "east", "south", "west"}
 
-// relayZone returns the zone of the node with the name.
-func relayZone(node string) string {
+// zoneOf returns the zone of the node, or "" if the host is no node.
+func zoneOf(node string) string {
 	var number int
 	if _, err := fmt.Sscanf(node, "n%d", &number); err != nil {
 		return ""
@@ -32,31 +32,35 @@
 	return relayZones[(number-1)%len(relayZones)]
 }
 
+// crossesZones reports whether both hosts are nodes, of different zones.
 func crossesZones(from, to string) bool {
-	return relayZone(from) != "" && relayZone(to) != "" && relayZone(from) != relayZone(to)
+	return zoneOf(from) != "" && zoneOf(to) != "" && zoneOf(from) != zoneOf(to)
 }
 
-// relayScene is a deployment of that size.
-type relayScene struct {
-	*scene
+// relayScenario is a deployment of many nodes in the zones of relayZones.
+type relayScenario struct {
+	*scenario
 	nodes []string
 }
 
-func playRelays(t *testing.T, test func(s *relayScene)) {
+// runRelays runs the test with relayNodes nodes.
+func runRelays(t *testing.T, test func(s *relayScenario)) {
 	t.Helper()
-	playRelaysAmong(t, relayNodes, test)
+	runRelaysWithNodes(t, relayNodes, test)
 }
 
-func playRelaysAmong(t *testing.T, nodes int, test func(s *relayScene)) {
+// runRelaysWithNodes runs the test with the number of nodes.
+func runRelaysWithNodes(t *testing.T, nodes int, test func(s *relayScenario)) {
 	t.Helper()
-	playNodes(t, nodes, nil, settled, test)
+	runNodes(t, nodes, nil, settleTime, test)
 }
 
-// playNodes plays so many nodes, which adjust may give other settings, once they had time to settle.
-func playNodes(t *testing.T, nodes int, adjust func(*relayScene, *entry.Settings), settle time.Duration, test func(s *relayScene)) {
+// runNodes starts the nodes, waits for the settle time and runs the test. If adjust is not nil, it
+// changes the settings of each node.
+func runNodes(t *testing.T, nodes int, adjust func(*relayScenario, *entry.Settings), settle time.Duration, test func(s *relayScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &relayScene{scene: &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}}
+		s := &relayScenario{scenario: &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}}
 		for i := range nodes {
 			s.nodes = append(s.nodes, nodeName(i))
 		}
@@ -72,138 +76,136 @@
 	})
 }
 
-// crossing returns the bytes that crossed borders of zones while the function ran.
-func (s *relayScene) crossing(run func()) float64 {
+// bytesBetweenZones returns the bytes sent between nodes of different zones while the function ran.
+func (s *relayScenario) bytesBetweenZones(run func()) float64 {
 	before := s.fabric.SentWhere(crossesZones)
 	run()
 	return float64(s.fabric.SentWhere(crossesZones) - before)
 }
 
-// The users pay for what crosses zones. Heartbeats straight to every node of every zone
-// were nearly all of it, 0.5 GB in 48 s of calm among 295 nodes.
-func TestHeartbeatsCrossTheBorderOfAZoneOnce(t *testing.T) {
+// Guards against heartbeats sent directly to every node of other zones; traffic between zones is
+// paid for.
+func TestHeartbeatTrafficBetweenZonesIsBounded(t *testing.T) {
 	const (
-		watched = 20 * time.Second
-		// Three heartbeats of some 350 bytes each half second, and as many confirmations;
-		// senior nodes send twice as many.
+		watchTime = 20 * time.Second
+		// limit allows each node six heartbeats of 350 bytes per second and as many confirmations,
+		// and twice as many of candidates.
 		limit = 5e3
 	)
-	playRelays(t, func(s *relayScene) {
-		rate := s.crossing(func() { time.Sleep(watched) }) / watched.Seconds() / relayNodes
-		t.Logf("between zones: %.0f bytes a node and second", rate)
-		s.Expect(rate).To(gomega.BeNumerically("<", limit), "bytes a node and second between zones")
+	runRelays(t, func(s *relayScenario) {
+		rate := s.bytesBetweenZones(func() { time.Sleep(watchTime) }) / watchTime.Seconds() / relayNodes
+		t.Logf("between zones: %.0f bytes per node and second", rate)
+		s.Expect(rate).To(gomega.BeNumerically("<", limit), "bytes per node and second between zones")
 		for _, node := range s.nodes {
-			s.Expect(s.lab.Node(node).Status().Live).To(gomega.HaveLen(relayNodes-1), node)
+			s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(relayNodes-1), node)
 		}
 	})
 }
 
 const (
-	// toldWatched is the time after the start of a process in which what it is sent is
-	// counted.
-	toldWatched = time.Second
-	// toldLimit is an answer and a regular heartbeat or two from each node, some 400 bytes
-	// each, and a few lists of 3 kB; 68 kB when each node sent the list.
-	toldLimit = 45e3
+	// startWatchTime is the time after the start of a node in which the bytes sent to it are counted.
+	startWatchTime = time.Second
+	// maxStartBytes allows an answer and one or two heartbeats of 400 bytes from each node, and
+	// a few peer lists of 3 kB.
+	maxStartBytes = 45e3
 )
 
-// toldAtStart starts the last node again and returns the bytes that it is sent.
-func (s *relayScene) toldAtStart() float64 {
+// bytesToStartingNode restarts the last node and returns the bytes sent to it in startWatchTime.
+func (s *relayScenario) bytesToStartingNode() float64 {
 	node := s.nodes[len(s.nodes)-1]
 	toNode := func(_, to string) bool { return to == node }
-	s.lab.Node(node).Kill()
-	time.Sleep(settled)
+	s.deployment.Node(node).Kill()
+	time.Sleep(settleTime)
 	before := s.fabric.SentWhere(toNode)
-	s.Expect(s.lab.StartNode(node, relayZone(node))).To(gomega.Succeed())
-	time.Sleep(toldWatched)
-	s.Expect(s.lab.Node(node).Status().Live).To(gomega.HaveLen(len(s.nodes) - 1))
+	s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
+	time.Sleep(startWatchTime)
+	s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(len(s.nodes) - 1))
 	return float64(s.fabric.SentWhere(toNode) - before)
 }
 
-// A process that starts again hears of the nodes from a few, and not from each node that
-// it greets.
-func TestAStartIsToldTheNodesByFew(t *testing.T) {
-	playRelays(t, func(s *relayScene) {
-		got := s.toldAtStart()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", toldWatched, got)
-		s.Expect(got).To(gomega.BeNumerically("<", toldLimit))
+// Guards against a starting node that receives the complete peer list from every node.
+func TestStartingNodeReceivesPeerListsFromFewNodes(t *testing.T) {
+	runRelays(t, func(s *relayScenario) {
+		sent := s.bytesToStartingNode()
+		t.Logf("sent to the starting node in its first %v: %.0f bytes", startWatchTime, sent)
+		s.Expect(sent).To(gomega.BeNumerically("<", maxStartBytes))
 	})
 }
 
-// The first part of a list names 18 nodes. Where that is less than half of all, the process
-// greets these as a newcomer, and each of them sent it the whole list too: 110 kB.
-func TestAStartAmongManyIsToldTheNodesByFew(t *testing.T) {
+// Guards against a starting node that receives complete peer lists from all nodes in the first
+// part of a list, 18, which is less than half of this fleet.
+func TestStartingNodeInALargerFleetReceivesPeerListsFromFewNodes(t *testing.T) {
 	const (
-		many  = 80
-		limit = 60e3 // 44 kB where the lists come from a few
+		nodes = 80
+		limit = 60e3 // bytes
 	)
-	playRelaysAmong(t, many, func(s *relayScene) {
-		got := s.toldAtStart()
-		t.Logf("sent to the new process in its first %v: %.0f bytes", toldWatched, got)
-		s.Expect(got).To(gomega.BeNumerically("<", limit))
+	runRelaysWithNodes(t, nodes, func(s *relayScenario) {
+		sent := s.bytesToStartingNode()
+		t.Logf("sent to the starting node in its first %v: %.0f bytes", startWatchTime, sent)
+		s.Expect(sent).To(gomega.BeNumerically("<", limit))
 	})
 }
 
-// moves returns how often nodes took another one for the scheduling node.
-func (s *relayScene) moves() int { return len(s.events("scheduler")) }
+// schedulerChanges returns the number of scheduler changes logged by all nodes.
+func (s *relayScenario) schedulerChanges() int { return len(s.loggedEvents("scheduler")) }
 
-// Half of the relays may die at the same moment. The heartbeats of the nodes that live
-// still arrive, so that nobody takes the scheduling node for dead.
-func TestSchedulingNodeIsHeardThoughManyRelaysDie(t *testing.T) {
-	playRelays(t, func(s *relayScene) {
+// Guards against nodes that miss the heartbeats of a live scheduling node and consider it dead
+// when half of the relays fail at once.
+func TestSchedulerDoesNotChangeWhenManyRelaysFail(t *testing.T) {
+	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
-		var ended []string
+		var paused []string
 		for i, node := range s.nodes {
 			if node != scheduler && i%9 < 5 {
-				ended = append(ended, node)
+				paused = append(paused, node)
 			}
 		}
-		before := s.moves()
-		for _, node := range ended {
+		before := s.schedulerChanges()
+		for _, node := range paused {
 			s.fabric.Pause(node)
 		}
-		time.Sleep(settled)
-		var moved []string
+		time.Sleep(settleTime)
+		var changed []string
 		for _, node := range s.nodes {
-			if !slices.Contains(ended, node) && s.lab.Node(node).Status().Scheduler != scheduler {
-				moved = append(moved, node)
+			if !slices.Contains(paused, node) && s.deployment.Node(node).Status().Scheduler != scheduler {
+				changed = append(changed, node)
 			}
 		}
-		t.Logf("%d of %d nodes ended, %d moves", len(ended), relayNodes, s.moves()-before)
-		s.Expect(moved).To(gomega.BeEmpty(), "nodes that left the scheduling node")
-		// The nodes that stand still can't be seen to have moved before they go on.
-		s.Expect(s.moves()-before).To(gomega.BeNumerically("<=", len(ended)), "moves")
+		t.Logf("%d of %d nodes paused, %d scheduler changes", len(paused), relayNodes, s.schedulerChanges()-before)
+		s.Expect(changed).To(gomega.BeEmpty(), "nodes that follow another scheduling node")
+		// Changes at paused nodes are logged after they resume.
+		s.Expect(s.schedulerChanges()-before).To(gomega.BeNumerically("<=", len(paused)), "scheduler changes")
 	})
 }
 
-// A node that reaches only its own zone still hears the scheduling node by way of it. It
-// has to notice by its calls that it does not reach that node.
-func TestNodeThatReachesOnlyItsZoneGoesOnServing(t *testing.T) {
+// Guards against a node that keeps calling an unreachable scheduling node because it receives its
+// heartbeats through relays in its own zone.
+func TestNodeThatReachesOnlyItsZoneServes(t *testing.T) {
 	const limit = 1500 * time.Millisecond
-	playRelays(t, func(s *relayScene) {
+	runRelays(t, func(s *relayScenario) {
 		scheduler := s.scheduler()
-		var alone string
+		var isolated string
 		var others []string
 		for _, node := range s.nodes {
-			if relayZone(node) != relayZone(scheduler) {
-				alone = node
+			if zoneOf(node) != zoneOf(scheduler) {
+				isolated = node
 				break
 			}
 		}
 		for _, node := range s.nodes {
-			if relayZone(node) != relayZone(alone) {
+			if zoneOf(node) != zoneOf(isolated) {
 				others = append(others, node)
 			}
 		}
-		s.Expect(s.get(alone, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
-		s.fabric.CutGroups([]string{alone}, others)
-		time.Sleep(settled)
+		s.Expect(s.do(isolated, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
+		s.fabric.CutGroups([]string{isolated}, others)
+		time.Sleep(settleTime)
 		slow := 0
 		for range 20 {
-			got := s.get(alone, http.MethodGet, "/safe/", nil)
+			got := s.do(isolated, http.MethodGet, "/safe/", nil)
 			if got.status != http.StatusOK || got.took > limit {
 				slow++
-				t.Logf("answered %d after %v", got.status, got.took)
+				t.Logf("status %d after %v", got.status, got.took)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/test/entry/scene_test.go
+++ b/test/entry/scenario_test.go
@@ -1,6 +1,5 @@
-// Package entry drives whole entry nodes over stand-ins of the users' platform
-// under virtual time. Every test here rebuilds a failure of a whole deployment, or
-// a promise.
+// Package entry tests deployments of complete entry nodes on simulated platforms
+// under virtual time, with faults of nodes, replicas, the store and the network.
 package entry
 
 import (
@@ -26,31 +25,33 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// scene is a small deployment: three nodes in two zones, plain replicas p1 and
+// scenario is a small deployment: three nodes in two zones, plain replicas p1 and
 // p2, engines e1 and e2.
-type scene struct {
+type scenario struct {
 	*gomega.WithT
-	fabric  *memnet.Fabric
-	lab     *entrylab.Deployment
-	plain   []*platformsim.Replica
-	engines []*platformsim.Replica
-	version int64
-	ids     atomic.Int64
-	lines   lines
-	// now gives a node's clock; nil means the steady one.
+	fabric        *memnet.Fabric
+	deployment    *entrylab.Deployment
+	plainReplicas []*platformsim.Replica
+	engines       []*platformsim.Replica
+	// version is that of the latest configuration.
+	version      int64
+	requestCount atomic.Int64
+	logs         logBuffer
+	// now returns the clock of a node; nil selects the monotonic clock.
 	now func(host string) func() time.Duration
-	// sleep gives a node's timer; nil means the real one.
+	// sleep returns the timer of a node; nil selects time.Sleep.
 	sleep func(host string) func(time.Duration) time.Duration
 }
 
 var hosts = []string{"n1", "n2", "n3"}
 
-func play(t *testing.T, test func(s *scene)) {
+// runScenario starts the deployment, waits until all nodes are ready and runs the test in virtual time.
+func runScenario(t *testing.T, test func(s *scenario)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{WithT: gomega.NewWithT(t), fabric: memnet.New()}
+		s := &scenario{WithT: gomega.NewWithT(t), fabric: memnet.New()}
 		s.start(hosts, []string{"east", "west"}, nil)
 		for _, host := range []string{"e1", "e2"} {
-			s.engines = append(s.engines, s.replica(host, "engines", 6, 50*time.Millisecond))
+			s.engines = append(s.engines, s.addReplica(host, "engines", 6, 50*time.Millisecond))
 		}
 		s.awaitReady()
 		defer s.stop(hosts)
@@ -58,47 +59,48 @@
 	})
 }
 
-// start starts the nodes, which adjust may give other settings, a first configuration and
-// the plain replicas.
-func (s *scene) start(nodes, zones []string, adjust func(*entry.Settings)) {
+// start starts the nodes and the plain replicas and writes a first configuration. If adjust
+// is not nil, it changes the settings of each node.
+func (s *scenario) start(nodes, zones []string, adjust func(*entry.Settings)) {
 	var err error
-	s.lab, err = entrylab.Start(entrylab.Options{
+	s.deployment, err = entrylab.Start(entrylab.Options{
 		Hosts: nodes, Zones: zones, StoreHost: "store",
 		Network:   func(host string) network.Network { return s.fabric.Host(host) },
-		Datagrams: s.fabric.Datagrams, Log: &s.lines, Adjust: adjust, Now: s.now, Sleep: s.sleep,
+		Datagrams: s.fabric.Datagrams, Log: &s.logs, Adjust: adjust, Now: s.now, Sleep: s.sleep,
 	})
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	s.configure(nil)
 	for _, host := range []string{"p1", "p2"} {
-		s.plain = append(s.plain, s.replica(host, "registry", 0, 20*time.Millisecond))
+		s.plainReplicas = append(s.plainReplicas, s.addReplica(host, "registry", 0, 20*time.Millisecond))
 	}
 }
 
-// awaitReady waits until every node is ready.
-func (s *scene) awaitReady() {
+// awaitReady waits until every node is ready, at most 10 s.
+func (s *scenario) awaitReady() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	s.Expect(s.lab.AwaitReady(ctx)).To(gomega.BeTrue())
+	s.Expect(s.deployment.AwaitReady(ctx)).To(gomega.BeTrue())
 }
 
-// stop ends all faults and everything that runs.
-func (s *scene) stop(nodes []string) {
+// stop ends all faults and stops the deployment.
+func (s *scenario) stop(nodes []string) {
 	s.fabric.Heal()
 	for _, host := range nodes {
 		s.fabric.Resume(host)
 	}
-	s.lab.Stop()
-	time.Sleep(time.Minute) // virtual time, in which everything ends
+	s.deployment.Stop()
+	time.Sleep(time.Minute) // lets all goroutines end
 }
 
-func (s *scene) replica(host, service string, events int, step time.Duration) *platformsim.Replica {
+func (s *scenario) addReplica(host, service string, events int, step time.Duration) *platformsim.Replica {
 	replica := &platformsim.Replica{ID: "i-" + host, Service: service, Zone: "east", Slots: 2, Events: events, Step: step}
-	s.Expect(s.lab.AddReplica(host, replica)).To(gomega.Succeed())
+	s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 	return replica
 }
 
-// configure writes a new version of the configuration, changed by the function.
-func (s *scene) configure(change func(*entrylab.Configuration)) {
+// configure writes a new version of the configuration. If change is not nil, it modifies
+// the configuration before.
+func (s *scenario) configure(change func(*entrylab.Configuration)) {
 	s.version++
 	route := func(name, kind, service string, attempts, priority int, resumable bool) entrylab.Route {
 		return entrylab.Route{
@@ -119,22 +121,23 @@
 	if change != nil {
 		change(&configuration)
 	}
-	s.lab.Apply(configuration)
+	s.deployment.Apply(configuration)
 }
 
-// reply is an answer as a caller saw it.
+// reply is a response as the caller received it; status 0 means that the request failed.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// whole is true if the answer ended properly.
-	whole bool
-	took  time.Duration
+	// complete is whether the body was read without an error.
+	complete bool
+	took     time.Duration
 }
 
-// get sends a request with the key of the tenant to the node.
-func (s *scene) get(node, method, path string, change func(*http.Request)) reply {
-	id := "r" + strconv.FormatInt(s.ids.Add(1), 10)
+// do sends a request with the tenant's key and a deadline of 3 s to the node. If change is
+// not nil, it modifies the request before.
+func (s *scenario) do(node, method, path string, change func(*http.Request)) reply {
+	id := "r" + strconv.FormatInt(s.requestCount.Add(1), 10)
 	request, err := http.NewRequest(method, "http://"+entrylab.CallersAddress(node)+path, nil)
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	if method == http.MethodPost {
@@ -150,22 +153,22 @@
 	return s.send(request)
 }
 
-func (s *scene) send(request *http.Request) reply {
-	client := &http.Client{Transport: &http.Transport{DialContext: s.dialCaller, DisableKeepAlives: true}}
-	begun := time.Now()
+func (s *scenario) send(request *http.Request) reply {
+	client := &http.Client{Transport: &http.Transport{DialContext: s.dialFromCaller, DisableKeepAlives: true}}
+	started := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return reply{took: time.Since(begun)}
+		return reply{took: time.Since(started)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil, took: time.Since(begun)}
+	return reply{status: response.StatusCode, header: response.Header, body: string(body), complete: err == nil, took: time.Since(started)}
 }
 
-// allRuns returns how often each request ran at any replica.
-func (s *scene) allRuns() map[string]int {
+// runCounts returns how often each request ran, over all replicas.
+func (s *scenario) runCounts() map[string]int {
 	counts := map[string]int{}
-	for _, replica := range append(append([]*platformsim.Replica{}, s.plain...), s.engines...) {
+	for _, replica := range append(append([]*platformsim.Replica{}, s.plainReplicas...), s.engines...) {
 		for _, run := range replica.Runs() {
 			counts[run.ID]++
 		}
@@ -173,11 +176,11 @@
 	return counts
 }
 
-// scheduler returns the node that schedules, as the others see it.
-func (s *scene) scheduler() string { return s.lab.Node("n1").Status().Scheduler }
+// scheduler returns the scheduling node, according to n1.
+func (s *scenario) scheduler() string { return s.deployment.Node("n1").Status().Scheduler }
 
-// others returns the nodes that do not schedule.
-func (s *scene) others() []string {
+// followers returns all nodes except the scheduling node.
+func (s *scenario) followers() []string {
 	var names []string
 	for _, host := range hosts {
 		if host != s.scheduler() {
@@ -187,19 +190,20 @@
 	return names
 }
 
-func (s *scene) onAll(replicas []*platformsim.Replica, behave func(*http.Request) platformsim.Behavior) {
+// setBehavior sets the behavior of all the replicas.
+func (s *scenario) setBehavior(replicas []*platformsim.Replica, behave func(*http.Request) platformsim.Behavior) {
 	for _, replica := range replicas {
 		replica.SetBehavior(behave)
 	}
 }
 
-// always treats every request alike.
+// always applies the behavior to every request.
 func always(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
 	return func(*http.Request) platformsim.Behavior { return behavior }
 }
 
-// first treats the first request so, and answers all others.
-func first(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
+// firstOnly applies the behavior to the first request; all others are answered.
+func firstOnly(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
 	var seen atomic.Bool
 	return func(*http.Request) platformsim.Behavior {
 		if seen.CompareAndSwap(false, true) {
@@ -209,15 +213,15 @@
 	}
 }
 
-func (s *scene) dialCaller(ctx context.Context, _, address string) (net.Conn, error) {
+func (s *scenario) dialFromCaller(ctx context.Context, _, address string) (net.Conn, error) {
 	return s.fabric.Host("caller").Dial(ctx, address)
 }
 
-// events returns what the nodes wrote of the kind.
-func (s *scene) events(kind string) []eventlog.Event {
-	time.Sleep(10 * time.Millisecond) // virtual time, for the writers
+// loggedEvents returns the events of the kind in the logs of all nodes.
+func (s *scenario) loggedEvents(kind string) []eventlog.Event {
+	time.Sleep(10 * time.Millisecond) // lets the log writers finish
 	var found []eventlog.Event
-	decoder := json.NewDecoder(s.lines.reader())
+	decoder := json.NewDecoder(s.logs.reader())
 	for decoder.More() {
 		var event eventlog.Event
 		s.Expect(decoder.Decode(&event)).To(gomega.Succeed())
