--- a/lab/checker/bounds.go
+++ b/lab/checker/bounds.go
@@ -8,15 +8,15 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// Mark is something that counts against a bound at a moment.
+// Mark is an amount that counts against a bound at a point in time.
 type Mark struct {
 	At     time.Time
 	Amount float64
 }
 
-// Worst returns the largest sum of marks within a window, and where that window begins.
-// Every span of the length counts, not only those that begin at whole seconds.
-func Worst(marks []Mark, window time.Duration) (begins time.Time, sum float64) {
+// Worst returns the largest sum of marks within any window of the length, and the start of that
+// window.
+func Worst(marks []Mark, window time.Duration) (start time.Time, sum float64) {
 	sorted := append([]Mark{}, marks...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].At.Before(sorted[j].At) })
 	inside, first := 0.0, 0
@@ -27,64 +27,64 @@
 			first++
 		}
 		if inside > sum {
-			begins, sum = sorted[first].At, inside
+			start, sum = sorted[first].At, inside
 		}
 	}
-	return begins, sum
+	return start, sum
 }
 
-// RetryBound is how many repeats a service may get within a window: a share of its
-// requests, which are those of the window, of the one before it or of the one half a window
-// earlier, whichever are most, and a slack.
+// RetryBound bounds the retries that a service may receive within a window: Ratio times its requests
+// plus Slack. The requests are those of the window, of the preceding one or of the one that starts
+// half a window earlier, whichever has the most.
 type RetryBound struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Excess is the window in which most came beyond, or least below, what is allowed.
+// Excess is the window whose retries exceed the allowed number most, or fall short of it least.
 type Excess struct {
-	Begins           time.Time
-	Repeats, Allowed float64
+	Start            time.Time
+	Retries, Allowed float64
 }
 
-// Over returns how far the repeats are beyond what is allowed; negative if they are below.
-func (e Excess) Over() float64 { return e.Repeats - e.Allowed }
+// Over returns by how much the retries exceed the allowed number; negative if they fall short of it.
+func (e Excess) Over() float64 { return e.Retries - e.Allowed }
 
 func (e Excess) String() string {
-	return fmt.Sprintf("%.0f repeats of %.0f allowed", e.Repeats, e.Allowed)
+	return fmt.Sprintf("%.0f repeats of %.0f allowed", e.Retries, e.Allowed)
 }
 
-// Repeats returns the arrivals that were not the first of their request.
-func Repeats(arrivals []platformsim.Arrival) []Mark {
+// Retries returns a mark for each arrival that was not the first of its request.
+func Retries(arrivals []platformsim.Arrival) []Mark {
 	sorted := append([]platformsim.Arrival{}, arrivals...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].At.Before(sorted[j].At) })
 	seen := map[string]bool{}
-	var repeats []Mark
+	var retries []Mark
 	for _, arrival := range sorted {
 		if seen[arrival.ID] {
-			repeats = append(repeats, Mark{At: arrival.At, Amount: 1})
+			retries = append(retries, Mark{At: arrival.At, Amount: 1})
 		}
 		seen[arrival.ID] = true
 	}
-	return repeats
+	return retries
 }
 
-// Worst returns the window of a service in which its repeats are farthest beyond the bound,
-// or nearest to it. Windows begin at repeats: any other holds no more of them.
+// Worst returns the window of a service whose retries exceed the bound most, or come closest to it.
+// It examines only windows that start at a retry; no other window contains more retries.
 func (b RetryBound) Worst(requests []time.Time, arrivals []platformsim.Arrival) Excess {
-	asked := append([]time.Time{}, requests...)
-	sort.Slice(asked, func(i, j int) bool { return asked[i].Before(asked[j]) })
-	repeats := Repeats(arrivals)
+	sortedRequests := append([]time.Time{}, requests...)
+	sort.Slice(sortedRequests, func(i, j int) bool { return sortedRequests[i].Before(sortedRequests[j]) })
+	retries := Retries(arrivals)
 	worst, found := Excess{}, false
-	for first, one := range repeats {
+	for first, retry := range retries {
 		inside := 0.0
-		for _, other := range repeats[first:] {
-			if other.At.Sub(one.At) >= b.Window {
+		for _, other := range retries[first:] {
+			if other.At.Sub(retry.At) >= b.Window {
 				break
 			}
 			inside += other.Amount
 		}
-		excess := Excess{Begins: one.At, Repeats: inside, Allowed: b.Ratio*float64(b.requests(asked, one.At)) + b.Slack}
+		excess := Excess{Start: retry.At, Retries: inside, Allowed: b.Ratio*float64(b.maxRequests(sortedRequests, retry.At)) + b.Slack}
 		if !found || excess.Over() > worst.Over() {
 			worst, found = excess, true
 		}
@@ -92,14 +92,14 @@
 	return worst
 }
 
-// requests returns how many requests the window that begins then is allowed repeats for.
-func (b RetryBound) requests(asked []time.Time, begins time.Time) int {
-	most := 0
+// maxRequests returns the number of requests that Ratio applies to for the window with the start.
+func (b RetryBound) maxRequests(sortedRequests []time.Time, start time.Time) int {
+	count := 0
 	for _, earlier := range []time.Duration{0, b.Window / 2, b.Window} {
-		from := begins.Add(-earlier)
-		first := sort.Search(len(asked), func(i int) bool { return !asked[i].Before(from) })
-		last := sort.Search(len(asked), func(i int) bool { return !asked[i].Before(from.Add(b.Window)) })
-		most = max(most, last-first)
+		from := start.Add(-earlier)
+		first := sort.Search(len(sortedRequests), func(i int) bool { return !sortedRequests[i].Before(from) })
+		last := sort.Search(len(sortedRequests), func(i int) bool { return !sortedRequests[i].Before(from.Add(b.Window)) })
+		count = max(count, last-first)
 	}
-	return most
+	return count
 }
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker judges a run by what callers saw and what the stand-ins
-// recorded, never by what thornwalk says of itself. Each promise of the users
-// has a rule; a broken one gives a violation.
+// Package checker checks the promises to callers and operators against the history of a run, which
+// is recorded by callers and stand-ins and never taken from thornwalk's own reports. Each promise
+// has a rule; a broken one yields violations.
 package checker
 
 import (
@@ -15,7 +15,6 @@
 // Rule names a promise.
 type Rule string
 
-// The rules.
 const (
 	RuleDispatchedOnce  Rule = "dispatched at most once"
 	RuleNotRunIsTrue    Rule = "not run really did not run"
@@ -29,66 +28,65 @@
 	RuleEnded           Rule = "every request ends with an outcome"
 )
 
-// Times that the rules allow.
+// Time limits of the rules.
 const (
-	// LeavingGrace is how long a leaving back end may still get work.
+	// LeavingGrace is how long a leaving back end may still receive requests.
 	LeavingGrace = 3 * time.Second
-	// InForceLimit is how long a change may take to be in force on every node
-	// that is not cut off.
+	// InForceLimit is how long a change may take to become active on every reachable node.
 	InForceLimit = 5 * time.Second
-	// shedGuard is the time after a refusal in which no lower tier may start
-	// that arrived after it; shedSlack covers the way to the engine.
+	// shedGuard is the time after a rejection in which no request of a lower tier may start that was
+	// sent after the rejection. shedSlack allows for the time from a node to the engine.
 	shedGuard = 100 * time.Millisecond
 	shedSlack = 30 * time.Millisecond
 )
 
-// Observation is what one caller saw of one submission.
+// Observation is one submission and its result as the caller saw it.
 type Observation struct {
-	// Marker identifies the caller's wish: resubmissions under one key share it.
+	// Marker identifies a caller's request; resubmissions under the same key share it.
 	Marker    string
 	RequestID string
 	Zone      string
 	Service   string
 	Tier      string
 	Rank      structs.Rank
-	// Outcome is what the caller was told, or OutcomePending if nothing.
+	// Outcome is the outcome that the caller received, or OutcomePending if none.
 	Outcome structs.Outcome
 	Code    string
-	// Whole is true if the answer was checked to be whole and the caller's own.
+	// Whole is true if the answer is complete and belongs to this request.
 	Whole  bool
 	SentAt time.Time
-	// EndedAt is when the caller knew the outcome.
+	// EndedAt is when the caller received the outcome.
 	EndedAt  time.Time
 	Deadline time.Duration
-	// HungUp is true if the caller gave up by itself.
+	// HungUp is true if the caller abandoned the request.
 	HungUp bool
-	// Stopped is true if the node was in a planned stop meanwhile.
+	// Stopped is true if the request overlaps a planned stop of the node.
 	Stopped bool
 }
 
-// InTime returns whether the caller got its answer in its waiting time.
+// InTime reports whether the caller received its complete answer within the deadline.
 func (o *Observation) InTime() bool {
 	return o.Outcome == structs.OutcomeAnswered && o.Whole && o.EndedAt.Sub(o.SentAt) <= o.Deadline
 }
 
-// GenerationSample is the generation that a node had in force at a time.
+// GenerationSample is the active generation of a node at a time.
 type GenerationSample struct {
 	Node       string
 	Process    int64
 	Generation uint64
 	At         time.Time
-	// Accepted is the highest generation accepted longer than InForceLimit ago,
-	// or zero if the node is cut off.
+	// Accepted is the highest generation accepted more than InForceLimit before At, or zero if the
+	// node is unreachable.
 	Accepted uint64
 }
 
-// Departure is a back end that left.
+// Departure is a back end that began to leave at a time.
 type Departure struct {
 	Replica structs.ReplicaID
 	At      time.Time
 }
 
-// OrderLog is the orders that one engine saw, with whether it checks fences.
+// OrderLog is the orders that one engine received, in their order.
 type OrderLog struct {
 	Replica structs.ReplicaID
 	Orders  []standin.OrderRecord
@@ -101,7 +99,7 @@
 	Generations  []GenerationSample
 	Departures   []Departure
 	Orders       []OrderLog
-	// MarkerOf returns the marker that an execution carries.
+	// MarkerOf returns the marker of an execution.
 	MarkerOf func(standin.Execution) string
 }
 
@@ -111,10 +109,9 @@
 	Detail string
 }
 
-// String names the rule and the detail.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
-// Check returns all violations, in the order of the rules.
+// Check returns the violations of all rules, grouped by rule.
 func (h *History) Check() []Violation {
 	var violations []Violation
 	for _, rule := range []func() []Violation{
@@ -125,7 +122,7 @@
 	return violations
 }
 
-// Count returns the violations of a rule.
+// Count returns the number of violations of the rule.
 func Count(violations []Violation, rule Rule) int {
 	count := 0
 	for _, violation := range violations {
@@ -136,7 +133,7 @@
 	return count
 }
 
-// byMarker groups the executions by the wish that they carry.
+// byMarker groups the executions by marker.
 func (h *History) byMarker() map[string][]standin.Execution {
 	groups := map[string][]standin.Execution{}
 	for _, execution := range h.Executions {
@@ -146,8 +143,7 @@
 	return groups
 }
 
-// dispatchedOnce: the submissions that carry one marker may reach back ends
-// once. Callers give a marker to several submissions only under one key.
+// dispatchedOnce checks that the submissions with one marker reached back ends at most once in total.
 func (h *History) dispatchedOnce() []Violation {
 	var violations []Violation
 	for marker, executions := range h.byMarker() {
@@ -156,13 +152,13 @@
 			count += execution.Count
 		}
 		if count > 1 {
-			violations = append(violations, Violation{RuleDispatchedOnce, fmt.Sprintf("%s reached back ends %d times: %s", marker, count, places(executions))})
+			violations = append(violations, Violation{RuleDispatchedOnce, fmt.Sprintf("%s reached back ends %d times: %s", marker, count, describeExecutions(executions))})
 		}
 	}
-	return sorted(violations)
+	return sortByDetail(violations)
 }
 
-func places(executions []standin.Execution) string {
+func describeExecutions(executions []standin.Execution) string {
 	text := ""
 	for _, execution := range executions {
 		text += fmt.Sprintf("%s at %s ×%d; ", execution.RequestID, execution.Replica, execution.Count)
@@ -170,9 +166,8 @@
 	return text
 }
 
-// notRunIsTrue: a request that was said not to have run is at no back end. If
-// several submissions share a marker, the one that was refused is told from
-// the others by its request id, where it was given one.
+// notRunIsTrue checks that no back end ran a request whose outcome was not-run. If several
+// submissions share a marker, the rejected one is identified by its request id, if it has one.
 func (h *History) notRunIsTrue() []Violation {
 	executedIDs := map[string]bool{}
 	for _, execution := range h.Executions {
@@ -207,9 +202,9 @@
 	return violations
 }
 
-// shedOrder: at no moment between the sending and the refusal of a shed
-// request may a lower tier have been waiting that started after the refusal;
-// nor may one that was sent after the refusal start within the guard.
+// shedOrder checks each shed request against the requests of lower tiers: none that was sent
+// before it may start more than shedSlack after its rejection, and none that was sent after the rejection
+// may start within shedGuard.
 func (h *History) shedOrder() []Violation {
 	started := map[string]time.Time{}
 	for _, execution := range h.Executions {
@@ -227,7 +222,7 @@
 				continue
 			}
 			at, ran := started[lower.RequestID]
-			if ran && inverted(shed, lower, at) {
+			if ran && isInverted(shed, lower, at) {
 				violations = append(violations, Violation{RuleShedOrder, fmt.Sprintf("%s of tier %s was shed while %s of tier %s went on", shed.Marker, shed.Tier, lower.Marker, lower.Tier)})
 				break
 			}
@@ -236,10 +231,10 @@
 	return violations
 }
 
-func inverted(shed, lower *Observation, startedAt time.Time) bool {
-	waitedThroughout := lower.SentAt.Before(shed.SentAt) && startedAt.After(shed.EndedAt.Add(shedSlack))
+func isInverted(shed, lower *Observation, startedAt time.Time) bool {
+	queuedThroughout := lower.SentAt.Before(shed.SentAt) && startedAt.After(shed.EndedAt.Add(shedSlack))
 	startedRightAfter := lower.SentAt.After(shed.EndedAt) && startedAt.Before(shed.EndedAt.Add(shedGuard))
-	return waitedThroughout || startedRightAfter
+	return queuedThroughout || startedRightAfter
 }
 
 func (h *History) leaving() []Violation {
@@ -265,8 +260,8 @@
 	return violations
 }
 
-// generations: the generation of a node never falls, also not over restarts
-// once the node serves, and follows what was accepted.
+// generations checks that the generation of each process never decreases and that accepted
+// generations become active within InForceLimit.
 func (h *History) generations() []Violation {
 	highest := map[string]uint64{}
 	var violations []Violation
@@ -283,7 +278,7 @@
 	return violations
 }
 
-// fences: among the orders that an engine followed, fences never fall.
+// fences checks that the fences of the orders that an engine accepted never decrease.
 func (h *History) fences() []Violation {
 	var violations []Violation
 	for _, log := range h.Orders {
@@ -310,7 +305,7 @@
 	return violations
 }
 
-func sorted(violations []Violation) []Violation {
+func sortByDetail(violations []Violation) []Violation {
 	sort.Slice(violations, func(i, j int) bool { return violations[i].Detail < violations[j].Detail })
 	return violations
 }
--- a/lab/checker/pushback.go
+++ b/lab/checker/pushback.go
@@ -9,104 +9,107 @@
 	"github.com/thornwalk/thornwalk/lab/platformsim"
 )
 
-// Bounds of what a replica may get that says in its answers to hold requests back.
+// Bounds for requests to a replica that sends pushback.
 const (
-	// toldAfter is the time after an answer from which its node goes by it.
-	toldAfter = 500 * time.Millisecond
-	// limitWindow is the time over which a rate limit is counted; limitFactor times what that
-	// allows, and limitSlack requests on top, may come in it.
+	// reactionTime is the time that a node may take to apply the pushback of an answer.
+	reactionTime = 500 * time.Millisecond
+	// A replica may receive limitFactor times its rate limit plus limitSlack requests within
+	// limitWindow.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// mostInPause is how many requests of one node may reach a replica that asked it to pause.
-	mostInPause = 2
+	// maxInPause is how many requests a node may send to a replica during a pause.
+	maxInPause = 2
 )
 
-// Sent is a request that reached a replica, with the node that sent it and when its caller did.
+// Sent is a request that reached a replica, with the node that sent it.
 type Sent struct {
 	platformsim.Arrival
 	Node string
-	// Asked is when the caller sent it to the node.
+	// Asked is when the caller sent the request to the node.
 	Asked time.Time
 }
 
-// Pushback judges whether nodes keep what a replica says in its answers.
+// Pushback checks that nodes follow the pushback in a replica's answers.
 type Pushback struct {
-	// Contact is the time from the first answer with a limit on in which nodes hear of it, and
-	// Drain that in which a replica that leaves may still get requests.
+	// Contact is how long nodes may take to learn of a limit after the first answer with one. Drain
+	// is how long a node may send requests to a replica after the first answer to it with Leaving.
 	Contact, Drain time.Duration
-	// Excused returns whether a node may not have kept what it was told, in the time given.
+	// Excused reports whether the node may ignore pushback between the times.
 	Excused func(node string, from, to time.Time) bool
 }
 
-// RateLimit returns what a replica got beyond the limit that it names, from the first answer that
-// names it to the last one: the worst excess in words, or "".
+// RateLimit describes the worst excess of requests over the rate limit that a replica sent, or
+// returns "". It covers the time from the first answer with a limit, plus Contact, to the last one.
+// The highest limit sent applies.
 func (p Pushback) RateLimit(sent []Sent) string {
 	sorted := byArrival(sent)
-	told, rate := firstTold(sorted, func(one Sent) bool { return one.Said.Limit != "" }), 0.0
+	notified, rate := firstNotified(sorted, func(request Sent) bool { return request.Said.Limit != "" }), 0.0
 	var from, to time.Time
-	for _, one := range sorted {
-		if one.Said.Limit == "" {
+	for _, request := range sorted {
+		if request.Said.Limit == "" {
 			continue
 		}
 		if from.IsZero() {
-			from = one.HeadAt.Add(p.Contact)
+			from = request.HeadAt.Add(p.Contact)
 		}
-		to = one.HeadAt
-		if named, err := strconv.ParseFloat(one.Said.Limit, 64); err == nil {
-			rate = max(rate, named)
+		to = request.HeadAt
+		if limit, err := strconv.ParseFloat(request.Said.Limit, 64); err == nil {
+			rate = max(rate, limit)
 		}
 	}
 	var marks []Mark
-	for _, one := range sorted {
-		heard, isTold := told[one.Node]
-		if !isTold || one.At.Before(heard.Add(toldAfter)) || one.At.Before(from) || one.At.After(to) || p.Excused(one.Node, heard, one.At) {
+	for _, request := range sorted {
+		notifiedAt, isNotified := notified[request.Node]
+		if !isNotified || request.At.Before(notifiedAt.Add(reactionTime)) || request.At.Before(from) || request.At.After(to) || p.Excused(request.Node, notifiedAt, request.At) {
 			continue
 		}
-		marks = append(marks, Mark{At: one.At, Amount: 1})
+		marks = append(marks, Mark{At: request.At, Amount: 1})
 	}
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
-	if begins, count := Worst(marks, limitWindow); count > allowed {
-		return fmt.Sprintf("%.0f requests of %.0f in %v from %v on", count, allowed, limitWindow, begins)
+	if start, count := Worst(marks, limitWindow); count > allowed {
+		return fmt.Sprintf("%.0f requests of %.0f in %v from %v on", count, allowed, limitWindow, start)
 	}
 	return ""
 }
 
-// Leaving returns the requests that a replica got from nodes that it had told that it leaves.
+// Leaving describes the requests that nodes sent to a replica more than Drain after it had answered
+// them that it leaves.
 func (p Pushback) Leaving(sent []Sent) []string {
 	sorted := byArrival(sent)
-	told := firstTold(sorted, func(one Sent) bool { return one.Said.Leaving != "" })
-	var late []string
-	for _, one := range sorted {
-		heard, isTold := told[one.Node]
-		if isTold && one.Asked.After(heard.Add(p.Drain)) && !p.Excused(one.Node, heard, one.At) {
-			late = append(late, fmt.Sprintf("%s came from %s %v after that was told", one.ID, one.Node, one.At.Sub(heard)))
+	notified := firstNotified(sorted, func(request Sent) bool { return request.Said.Leaving != "" })
+	var violations []string
+	for _, request := range sorted {
+		notifiedAt, isNotified := notified[request.Node]
+		if isNotified && request.Asked.After(notifiedAt.Add(p.Drain)) && !p.Excused(request.Node, notifiedAt, request.At) {
+			violations = append(violations, fmt.Sprintf("%s came from %s %v after that was told", request.ID, request.Node, request.At.Sub(notifiedAt)))
 		}
 	}
-	return late
+	return violations
 }
 
-// Pauses returns the pauses in which a replica got too many requests of the node that it had asked.
+// Pauses describes the pauses during which the node that was asked to pause sent more than maxInPause
+// requests.
 func (p Pushback) Pauses(sent []Sent) []string {
 	sorted := byArrival(sent)
-	var broken []string
-	for _, asked := range sorted {
-		seconds, err := strconv.ParseFloat(asked.Said.RetryAfter, 64)
-		if !asked.Refused || err != nil {
+	var violations []string
+	for _, rejected := range sorted {
+		seconds, err := strconv.ParseFloat(rejected.Said.RetryAfter, 64)
+		if !rejected.Refused || err != nil {
 			continue
 		}
-		begins, ends := asked.HeadAt.Add(toldAfter), asked.HeadAt.Add(time.Duration(seconds*float64(time.Second)))
+		start, end := rejected.HeadAt.Add(reactionTime), rejected.HeadAt.Add(time.Duration(seconds*float64(time.Second)))
 		count := 0
-		for _, one := range sorted {
-			if one.Node == asked.Node && one.At.After(begins) && one.At.Before(ends) {
+		for _, request := range sorted {
+			if request.Node == rejected.Node && request.At.After(start) && request.At.Before(end) {
 				count++
 			}
 		}
-		if count > mostInPause && !p.Excused(asked.Node, asked.HeadAt, ends) {
-			broken = append(broken, fmt.Sprintf("%d requests came from %s in a pause of %v from %v on", count, asked.Node, ends.Sub(asked.HeadAt), asked.HeadAt))
+		if count > maxInPause && !p.Excused(rejected.Node, rejected.HeadAt, end) {
+			violations = append(violations, fmt.Sprintf("%d requests came from %s in a pause of %v from %v on", count, rejected.Node, end.Sub(rejected.HeadAt), rejected.HeadAt))
 		}
 	}
-	return broken
+	return violations
 }
 
 func byArrival(sent []Sent) []Sent {
@@ -115,16 +118,16 @@
 	return sorted
 }
 
-// firstTold returns when each node first got an answer that says so.
-func firstTold(sent []Sent, says func(Sent) bool) map[string]time.Time {
-	told := map[string]time.Time{}
-	for _, one := range sent {
-		if one.HeadAt.IsZero() || !says(one) {
+// firstNotified returns by node the time of its first answer that matches.
+func firstNotified(sent []Sent, matches func(Sent) bool) map[string]time.Time {
+	notified := map[string]time.Time{}
+	for _, request := range sent {
+		if request.HeadAt.IsZero() || !matches(request) {
 			continue
 		}
-		if known, found := told[one.Node]; !found || one.HeadAt.Before(known) {
-			told[one.Node] = one.HeadAt
+		if earliest, found := notified[request.Node]; !found || request.HeadAt.Before(earliest) {
+			notified[request.Node] = request.HeadAt
 		}
 	}
-	return told
+	return notified
 }
--- a/lab/documents/documents.go
+++ b/lab/documents/documents.go
@@ -1,4 +1,4 @@
-// Package documents makes configurations of any size for tests and measurements.
+// Package documents generates configurations of any size for tests and measurements.
 package documents
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/thornwalk/thornwalk/state/catalog"
 )
 
-// Large returns a configuration as the platform's operators write it, with so many
-// routes whose names share nothing that compresses.
+// Large returns a realistic configuration with the number of routes. The routes' names are scattered,
+// so that they don't compress.
 func Large(version int64, routes int) *catalog.Document {
 	document := &catalog.Document{
 		Version:  version,
@@ -28,5 +28,5 @@
 	return document
 }
 
-// goldenRatio is 2^64 divided by the golden ratio: its multiples are alike in no part.
+// goldenRatio is 2^64 divided by the golden ratio; the bits of its multiples look random.
 const goldenRatio = 0x9e3779b97f4a7c15
--- a/lab/entrydemo/entrydemo.go
+++ b/lab/entrydemo/entrydemo.go
@@ -1,7 +1,6 @@
-// Package entrydemo runs the main job on embedded stand-ins of the users'
-// platform: three nodes on loopback behind one store, engines and a plain
-// service, while a replica drains, the configuration changes, the store goes
-// away and the scheduling node dies.
+// Package entrydemo demonstrates entry nodes on a simulated platform: three nodes on loopback serve
+// requests to engines and a plain service, while a replica drains, the configuration changes, the store
+// goes down and the scheduling node is killed.
 package entrydemo
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/thornwalk/thornwalk/transport/network"
 )
 
-// Hosts of the demo, all on loopback.
+// Loopback hosts of the demo.
 var (
 	nodeHosts    = []string{"127.0.7.1", "127.0.7.2", "127.0.7.3"}
 	engineHosts  = []string{"127.0.7.21", "127.0.7.22"}
@@ -27,41 +26,43 @@
 
 const storeHost = "127.0.7.9"
 
-// Row is the result of one route.
+// Row is the number of requests of one route by outcome.
 type Row struct {
 	Route                     string
 	Sent, Answered            int
 	Refused, Unknown, Dropped int
 }
 
-// Result is the outcome of the demo.
+// Result is the outcome of the demo, with the rows in the order of routes.
 type Result struct {
 	Rows []Row
-	// RanTwice counts requests that ran more than once although they must not,
-	// and RefusedButRan those that were refused and ran.
+	// RanTwice counts requests of routes without retries that ran more than once, RefusedButRan
+	// rejected requests that ran.
 	RanTwice, RefusedButRan int
 }
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	Duration time.Duration
-	// Rate is requests a second.
-	Rate     float64
+	// Rate is in requests per second.
+	Rate float64
+	// Progress is called with a description of each step.
 	Progress func(string)
-	Log      io.Writer
+	// Log receives the nodes' event logs; nil discards them.
+	Log io.Writer
 }
 
-// caller sends requests and keeps what became of them.
-type caller struct {
-	mutex   sync.Mutex
-	rows    map[string]*Row
-	refused map[string]bool
-	client  http.Client
+// sender sends requests and records their outcomes.
+type sender struct {
+	mutex    sync.Mutex
+	rows     map[string]*Row
+	rejected map[string]bool
+	client   http.Client
 }
 
 var routes = []string{"once", "status", "report", "chat"}
 
-// Run runs the demo.
+// Run runs the demo for options.Duration. It returns an error if the nodes don't start or become ready.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	lab, err := entrylab.Start(entrylab.Options{
 		Hosts: nodeHosts, Zones: []string{"east", "west"}, StoreHost: storeHost, Log: options.Log,
@@ -72,25 +73,25 @@
 		return nil, err
 	}
 	defer lab.Stop()
-	replicas, err := populate(lab)
+	replicas, err := startReplicas(lab)
 	if err != nil {
 		return nil, err
 	}
 	ready, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	if !lab.AwaitReady(ready) {
-		return nil, fmt.Errorf("the nodes are not ready: look at their log with -log")
+		return nil, fmt.Errorf("start the demo: nodes did not become ready; see their log with -log")
 	}
 	options.Progress("3 nodes are ready; sending requests")
-	sender := &caller{rows: map[string]*Row{}, refused: map[string]bool{}, client: http.Client{Timeout: 5 * time.Second}}
+	s := &sender{rows: map[string]*Row{}, rejected: map[string]bool{}, client: http.Client{Timeout: 5 * time.Second}}
 	var events sync.WaitGroup
-	events.Go(func() { disturb(ctx, lab, replicas, options) })
-	sender.send(ctx, options)
+	events.Go(func() { injectEvents(ctx, lab, replicas, options) })
+	s.sendTraffic(ctx, options)
 	events.Wait()
-	return sender.result(replicas), nil
+	return s.result(replicas), nil
 }
 
-// configuration returns a version of the operator's configuration.
+// configuration returns the operators' configuration with the version.
 func configuration(version int64) entrylab.Configuration {
 	route := func(name, kind, service string, priority, attempts int, resumable bool) entrylab.Route {
 		return entrylab.Route{
@@ -109,12 +110,13 @@
 	}
 }
 
-func populate(lab *entrylab.Deployment) ([]*platformsim.Replica, error) {
+// startReplicas writes the configuration and starts the replicas, engines first.
+func startReplicas(lab *entrylab.Deployment) ([]*platformsim.Replica, error) {
 	lab.Apply(configuration(1))
-	var all []*platformsim.Replica
+	var replicas []*platformsim.Replica
 	add := func(host, service string, slots, events int, step time.Duration) error {
 		replica := &platformsim.Replica{ID: "i-" + host, Service: service, Zone: "east", Slots: slots, Events: events, Step: step}
-		all = append(all, replica)
+		replicas = append(replicas, replica)
 		return lab.AddReplica(host, replica)
 	}
 	for _, host := range engineHosts {
@@ -127,12 +129,12 @@
 			return nil, err
 		}
 	}
-	return all, nil
+	return replicas, nil
 }
 
-// disturb is what happens while requests are sent, at fifths of the time.
-func disturb(ctx context.Context, lab *entrylab.Deployment, replicas []*platformsim.Replica, options Options) {
-	part := options.Duration / 5
+// injectEvents runs the steps of the demo, one after each fifth of the duration but the last.
+func injectEvents(ctx context.Context, lab *entrylab.Deployment, replicas []*platformsim.Replica, options Options) {
+	interval := options.Duration / 5
 	steps := []struct {
 		text string
 		run  func()
@@ -146,25 +148,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(part):
+		case <-time.After(interval):
 		}
 		options.Progress(step.text)
 		step.run()
 	}
 }
 
-func (c *caller) send(ctx context.Context, options Options) {
+func (s *sender) sendTraffic(ctx context.Context, options Options) {
 	interval := time.Duration(float64(time.Second) / options.Rate)
 	end := time.Now().Add(options.Duration)
 	var group sync.WaitGroup
 	for number := 0; time.Now().Before(end) && ctx.Err() == nil; number++ {
-		group.Go(func() { c.one(number) })
+		group.Go(func() { s.sendOne(number) })
 		time.Sleep(interval)
 	}
 	group.Wait()
 }
 
-func (c *caller) one(number int) {
+func (s *sender) sendOne(number int) {
 	route, id := routes[number%len(routes)], fmt.Sprintf("d%06d", number)
 	url := "http://" + entrylab.CallersAddress(nodeHosts[number%len(nodeHosts)]) + "/" + route + "/"
 	method := http.MethodPost
@@ -181,22 +183,23 @@
 	request.Header.Set("X-Deadline-Ms", "4000")
 	request.Header.Set("Authorization", "Bearer demo-key")
 	status := 0
-	if response, err := c.client.Do(request); err == nil {
+	if response, err := s.client.Do(request); err == nil {
 		if _, err := io.Copy(io.Discard, response.Body); err == nil {
 			status = response.StatusCode
 		}
 		_ = response.Body.Close()
 	}
-	c.count(route, id, status)
+	s.record(route, id, status)
 }
 
-func (c *caller) count(route, id string, status int) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	row, found := c.rows[route]
+// record counts a request by its status; 0 stands for an incomplete answer.
+func (s *sender) record(route, id string, status int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	row, found := s.rows[route]
 	if !found {
 		row = &Row{Route: route}
-		c.rows[route] = row
+		s.rows[route] = row
 	}
 	row.Sent++
 	switch status {
@@ -204,7 +207,7 @@
 		row.Answered++
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout:
 		row.Refused++
-		c.refused[id] = true
+		s.rejected[id] = true
 	case 0:
 		row.Dropped++
 	default:
@@ -212,10 +215,10 @@
 	}
 }
 
-func (c *caller) result(replicas []*platformsim.Replica) *Result {
+func (s *sender) result(replicas []*platformsim.Replica) *Result {
 	result := &Result{}
 	for _, route := range routes {
-		if row, found := c.rows[route]; found {
+		if row, found := s.rows[route]; found {
 			result.Rows = append(result.Rows, *row)
 		}
 	}
@@ -223,13 +226,13 @@
 	for _, replica := range replicas {
 		for _, run := range replica.Runs() {
 			runs[run.ID]++
-			once := run.Target == "/once/" || run.Target == "/report/"
-			if once && runs[run.ID] == 2 {
+			runsOnce := run.Target == "/once/" || run.Target == "/report/"
+			if runsOnce && runs[run.ID] == 2 {
 				result.RanTwice++
 			}
 		}
 	}
-	for id := range c.refused {
+	for id := range s.rejected {
 		if runs[id] > 0 {
 			result.RefusedButRan++
 		}
--- a/lab/entrylab/entrylab.go
+++ b/lab/entrylab/entrylab.go
@@ -1,6 +1,5 @@
-// Package entrylab runs whole entry nodes over stand-ins of the users'
-// platform: a store, replicas, and nodes that find each other by seeds. It
-// serves the demo on loopback and the tests under virtual time.
+// Package entrylab runs complete entry nodes in one process against a simulated platform with a store
+// and replicas, on any network. The demo uses it on loopback, tests under virtual time.
 package entrylab
 
 import (
@@ -32,45 +31,46 @@
 	replicaPort   = 8080
 )
 
-// storeDialLimit bounds the opening of a connection to the store.
-const storeDialLimit = 3 * time.Second
+// storeDialTimeout is the timeout for opening a connection to the store.
+const storeDialTimeout = 3 * time.Second
 
-// Options describe a deployment.
+// Options configure a deployment.
 type Options struct {
-	// Hosts are the nodes' hosts, one node each, and Zones their zones.
+	// Hosts are the nodes' hosts, one node each. Zones are assigned to them in rotation.
 	Hosts, Zones []string
-	// Network and Datagrams give the networks as seen from a host.
+	// Network and Datagrams return the networks as seen from a host.
 	Network   func(host string) network.Network
 	Datagrams func(host string) network.Datagrams
-	// StoreHost is where the store runs.
+	// StoreHost is the host of the store.
 	StoreHost string
-	// Log receives the nodes' lines; nil drops them.
+	// Log receives the nodes' event logs; nil discards them.
 	Log io.Writer
-	// Adjust changes the settings of each node before it starts.
+	// Adjust, if not nil, changes the settings of each node before it starts.
 	Adjust func(settings *entry.Settings)
-	// Now gives the clock of a host; nil means the steady one.
+	// Now returns the clock of a host; nil means the nodes' default clock.
 	Now func(host string) func() time.Duration
-	// Sleep gives the timer by which a node measures how slow it is; nil means its own.
+	// Sleep returns the timer by which the node on a host measures how slow it is; nil means the nodes'
+	// default.
 	Sleep func(host string) func(time.Duration) time.Duration
 }
 
-// Deployment is a running set of nodes with their stand-ins.
+// Deployment is a running set of nodes with the simulated platform. It is safe for concurrent use.
 type Deployment struct {
-	options  Options
-	Store    *platformsim.Store
-	mutex    sync.Mutex
-	nodes    map[string]*entry.Node
-	replicas []*platformsim.Replica
-	closers  []func()
-	starts   uint64
-	// isOver is true once the deployment stops: nothing starts any more.
-	isOver atomic.Bool
+	options         Options
+	Store           *platformsim.Store
+	mutex           sync.Mutex
+	nodes           map[string]*entry.Node
+	replicas        []*platformsim.Replica
+	closers         []func()
+	lastIncarnation uint64
+	// isStopping is true once Stop is called; no replica starts after that.
+	isStopping atomic.Bool
 }
 
-// Start starts the store and the nodes.
+// Start starts the store and the nodes. After an error, what was started is left running.
 func Start(options Options) (*Deployment, error) {
 	d := &Deployment{options: options, Store: platformsim.NewStore(), nodes: map[string]*entry.Node{}}
-	listener, err := options.Network(options.StoreHost).Listen(at(options.StoreHost, storePort))
+	listener, err := options.Network(options.StoreHost).Listen(hostAddress(options.StoreHost, storePort))
 	if err != nil {
 		return nil, err
 	}
@@ -85,39 +85,39 @@
 	return d, nil
 }
 
-func at(host string, port int) string { return net.JoinHostPort(host, fmt.Sprint(port)) }
+func hostAddress(host string, port int) string { return net.JoinHostPort(host, fmt.Sprint(port)) }
 
-// CallersAddress, OperatorsAddress and ReadinessAddress are those of a node.
-func CallersAddress(host string) string { return at(host, callersPort) }
+// CallersAddress returns the address at which a node serves callers.
+func CallersAddress(host string) string { return hostAddress(host, callersPort) }
 
-// OperatorsAddress is where a node serves operators.
-func OperatorsAddress(host string) string { return at(host, operatorsPort) }
+// OperatorsAddress returns the address at which a node serves operators.
+func OperatorsAddress(host string) string { return hostAddress(host, operatorsPort) }
 
-// ReadinessAddress is where a node answers the balancer.
-func ReadinessAddress(host string) string { return at(host, readinessPort) }
+// ReadinessAddress returns the address at which a node answers the load balancer's readiness checks.
+func ReadinessAddress(host string) string { return hostAddress(host, readinessPort) }
 
-// StartNode starts a node on the host, or starts it again.
+// StartNode starts a node on the host as a new incarnation. A previous one must have ended.
 func (d *Deployment) StartNode(host, zone string) error {
 	seeds := make([]string, 0, 3)
 	for _, other := range d.options.Hosts[:min(3, len(d.options.Hosts))] {
-		seeds = append(seeds, at(other, operatorsPort))
+		seeds = append(seeds, hostAddress(other, operatorsPort))
 	}
 	settings := &entry.Settings{
-		Name: host, Zone: zone, Callers: at(host, callersPort), Readiness: at(host, readinessPort), Operators: at(host, operatorsPort),
-		Host: host, PeerPort: peerPort, Seeds: seeds, Store: at(d.options.StoreHost, storePort),
+		Name: host, Zone: zone, Callers: hostAddress(host, callersPort), Readiness: hostAddress(host, readinessPort), Operators: hostAddress(host, operatorsPort),
+		Host: host, PeerPort: peerPort, Seeds: seeds, Store: hostAddress(d.options.StoreHost, storePort),
 		StopGrace: 8000, StoreRecoveryWindow: 3000, ConfigurationBound: 2000, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 40, QuotaWindow: 8, RolloutShare: 0.1, RolloutSlack: 50, SlowStartOverage: 1.5, SlowStartSlack: 5, BlockedAfter: 3, FirstStart: true,
 	}
 	if d.options.Adjust != nil {
 		d.options.Adjust(settings)
 	}
 	d.mutex.Lock()
-	d.starts++
-	incarnation := d.starts
+	d.lastIncarnation++
+	incarnation := d.lastIncarnation
 	log := eventlog.New(host, d.options.Log)
 	d.closers = append(d.closers, log.Close)
 	d.mutex.Unlock()
 	hostNetwork := d.options.Network(host)
-	directory := platform.NewDirectory(network.Bounded{Network: hostNetwork, Limit: storeDialLimit}, settings.Store)
+	directory := platform.NewDirectory(network.Bounded{Network: hostNetwork, Limit: storeDialTimeout}, settings.Store)
 	var sleep func(time.Duration) time.Duration
 	if d.options.Sleep != nil {
 		sleep = d.options.Sleep(host)
@@ -140,27 +140,28 @@
 	return nil
 }
 
-// Node returns the node on the host.
+// Node returns the latest node on the host, or nil if there is none.
 func (d *Deployment) Node(host string) *entry.Node {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.nodes[host]
 }
 
-// AddReplica starts a replica on the host and registers it as ready.
+// AddReplica sets the replica's address, starts it on the host and registers it as ready. It starts
+// nothing once the deployment stops.
 func (d *Deployment) AddReplica(host string, replica *platformsim.Replica) error {
-	replica.Address = at(host, replicaPort)
+	replica.Address = hostAddress(host, replicaPort)
 	listener, err := d.options.Network(host).Listen(replica.Address)
 	if err != nil {
 		return err
 	}
 	d.mutex.Lock()
-	isOver := d.isOver.Load()
-	if !isOver {
+	isStopping := d.isStopping.Load()
+	if !isStopping {
 		d.replicas = append(d.replicas, replica)
 	}
 	d.mutex.Unlock()
-	if isOver {
+	if isStopping {
 		return listener.Close()
 	}
 	go replica.Serve(listener)
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// Configuration is what the operator writes.
+// Configuration is the operators' configuration as they write it. Write sets Limits.
 type Configuration struct {
 	Version  int64          `json:"version"`
 	Routes   []Route        `json:"routes"`
@@ -177,7 +178,7 @@
 	Tenants  []Tenant       `json:"tenants,omitempty"`
 }
 
-// Route, Service and Tenant are parts of a configuration.
+// Route is a route of a configuration. Its times are in milliseconds.
 type Route struct {
 	Name       string `json:"name"`
 	Host       string `json:"host"`
@@ -196,12 +197,13 @@
 // Service is a pool of replicas.
 type Service struct {
 	Name string `json:"name"`
-	// ColdTime (seconds) and ColdRate (requests a second) are of replicas that started lately.
+	// ColdTime (seconds) is the warm-up time after a replica's start, ColdRate (requests per second)
+	// its limit during that time.
 	ColdTime float64 `json:"cold_start_s"`
 	ColdRate float64 `json:"cold_per_s"`
 }
 
-// Tenant is a holder of keys with a quota.
+// Tenant is a tenant with its API keys and quota.
 type Tenant struct {
 	Name        string   `json:"name"`
 	Keys        []string `json:"api_keys"`
@@ -211,16 +213,16 @@
 	Burst       float64  `json:"burst"`
 }
 
-// Apply writes the configuration as the operator does.
+// Apply writes the configuration to the deployment's store.
 func (d *Deployment) Apply(configuration Configuration) { configuration.Write(d.Store) }
 
-// Write puts the configuration into the store.
+// Write writes the configuration with default limits to the store.
 func (c Configuration) Write(store *platformsim.Store) {
 	c.Limits = map[string]int{"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
 	store.PutJSON("op/config", c)
 }
 
-// AwaitReady waits until every node is ready, or returns false.
+// AwaitReady waits until every node is ready. It returns false if the context ends first.
 func (d *Deployment) AwaitReady(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		ready := true
@@ -235,10 +237,10 @@
 	return false
 }
 
-// Stop ends everything at once.
+// Stop kills the nodes and replicas and closes the store.
 func (d *Deployment) Stop() {
-	d.isOver.Store(true)
-	// What ends waits for what runs, which may ask for a node or start a replica meanwhile.
+	d.isStopping.Store(true)
+	// Nodes and replicas are stopped without the mutex, because running code may call Node or AddReplica.
 	d.mutex.Lock()
 	nodes, replicas, closers := maps.Clone(d.nodes), slices.Clone(d.replicas), slices.Clone(d.closers)
 	d.mutex.Unlock()
--- a/lab/losses/doc.go
+++ b/lab/losses/doc.go
@@ -1,9 +1,7 @@
-// Package losses tells where the worth of a played day was lost: it joins the lines
-// that the nodes wrote with the table of kinds of requests, and prints for each window of
-// the day which share of the worth ended in time and which for what other reason.
+// Package losses reports why the answers of a recorded day lost worth. It joins the nodes' event logs
+// with the worth of each kind of request and prints, by window of the day, the share of worth that was
+// answered in time and the shares lost by reason.
 //
-// Lines of requests that were answered are left out under load (see eventlog); those
-// that are there then stand for the others. Requests that no node ever read, such as
-// those that came while all machines were dark, have no lines; the day's report, if
-// given, tells how many there were.
+// Under load nodes log only a sample of the answered requests, which is scaled up. Requests that no node
+// read appear in no log; their number is derived from the day's report, if given.
 package losses
--- a/lab/losses/lines.go
+++ b/lab/losses/lines.go
@@ -12,54 +12,55 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// Request is one try of a caller as its node told of it.
+// Request is one attempt of a caller as its node logged it.
 type Request struct {
 	ID, Node, Route string
-	// At is when the node had read it, on the day's clock.
-	At             time.Duration
-	Left           int64
+	// At is when the node had read it, since the start of the day.
+	At time.Duration
+	// Left is the time until the deadline in milliseconds.
+	Left int64
+	// Prompt and Answer are in tokens.
 	Prompt, Answer int
-	// Placed is the time from its arrival to its last place.
+	// Placed is the time from its arrival to its last assignment in milliseconds.
 	Placed int64
-	// End is the last line, or nil if the node ended first.
+	// End is the event that ended it, or nil if the node ended first.
 	End *eventlog.Event
 }
 
-// leftOut is how many lines a node left out in the second before.
-type leftOut struct {
+// sampledOut is the number of lines that a node omitted in the preceding second.
+type sampledOut struct {
 	at    time.Duration
 	lines int
 }
 
-// Lines is what the nodes wrote on one day.
+// Lines is the content of the nodes' event logs of one day.
 type Lines struct {
-	Requests []*Request
-	leftOut  []leftOut
-	versions versions
+	Requests   []*Request
+	sampledOut []sampledOut
+	versions   versionTimes
 }
 
-// maximumLine bounds one line in bytes.
-const maximumLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// ReadLines reads lines of the form "SECONDS NODE JSON"; others are skipped.
+// ReadLines reads event-log lines of the form "SECONDS NODE JSON" and skips others.
 func ReadLines(reader io.Reader) (*Lines, error) {
-	read := &Lines{versions: versions{}}
+	lines := &Lines{versions: versionTimes{}}
 	byID := map[string]*Request{}
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maximumLine)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
-		at, event, ok := parse(scanner.Text())
+		at, event, ok := parseLine(scanner.Text())
 		if ok {
-			read.add(byID, at, event)
+			lines.add(byID, at, event)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, fmt.Errorf("lines: %w", err)
+		return nil, fmt.Errorf("read lines: %w", err)
 	}
-	return read, nil
+	return lines, nil
 }
 
-func parse(text string) (time.Duration, *eventlog.Event, bool) {
+func parseLine(text string) (time.Duration, *eventlog.Event, bool) {
 	seconds, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	at, err := strconv.ParseFloat(seconds, 64)
 	start := strings.IndexByte(rest, '{')
@@ -79,7 +80,7 @@
 		return
 	}
 	if event.Kind == "log.sampled" {
-		l.leftOut = append(l.leftOut, leftOut{at: at, lines: event.Count})
+		l.sampledOut = append(l.sampledOut, sampledOut{at: at, lines: event.Count})
 		return
 	}
 	if event.Kind == "request.received" {
--- a/lab/losses/losses_test.go
+++ b/lab/losses/losses_test.go
@@ -29,20 +29,23 @@
    3.5 n1 {"event":"log.sampled","node":"n1","outcome":"left-out","count":8}
 `
 
-func TestWorthIsSummedByWindowKindAndReason(t *testing.T) {
+// Guards against worth that is counted under the wrong window, kind or reason, and against sampled
+// lines that aren't scaled up.
+func TestTabulateSumsWorthByWindowKindAndReason(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kinds, err := ReadKinds(strings.NewReader(kindsText))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	lines, err := ReadLines(strings.NewReader(linesText))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	table := Tabulate(lines, kinds)
-	g.Expect(table.Windows[0]).To(gomega.Equal(map[string]float64{inTime: 8, lateFirst: 8, again + nodeEnded: 8}))
-	g.Expect(table.Windows[2*time.Second][inTime]).To(gomega.BeNumerically("~", 0.9, 1e-9), "one kept line stands for two left out")
+	g.Expect(table.Windows[0]).To(gomega.Equal(map[string]float64{reasonInTime: 8, reasonLateFirstEvent: 8, retryPrefix + reasonNodeEnded: 8}))
+	g.Expect(table.Windows[2*time.Second][reasonInTime]).To(gomega.BeNumerically("~", 0.9, 1e-9), "one logged request stands for two omitted ones")
 	g.Expect(table.Windows[2*time.Second]["quota"]).To(gomega.BeNumerically("~", 0.3, 1e-9))
 	g.Expect(table.Kinds).To(gomega.HaveLen(2))
 }
 
-func TestReportTellsWhatNoNodeRead(t *testing.T) {
+// Guards against losing sight of requests that appear in the report but in no log.
+func TestReportCountsRequestsThatNoNodeRead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kinds, _ := ReadKinds(strings.NewReader(kindsText))
 	lines, _ := ReadLines(strings.NewReader(linesText))
@@ -57,7 +60,8 @@
 	g.Expect(Tabulate(lines, kinds).Print(&text, nil)).To(gomega.Succeed(), "the report may be missing")
 }
 
-func TestVersionsTellHowLongEachTookToReachAll(t *testing.T) {
+// Guards against wrong delays and against counting versions that were kept out.
+func TestPrintVersionsShowsHowLongEachTookToBecomeActive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lines, err := ReadLines(strings.NewReader(`
  1.0 n1 {"event":"configuration","outcome":"in-force","version":4}
@@ -72,7 +76,8 @@
 	g.Expect(text.String()).NotTo(gomega.ContainSubstring("\n| 3 |"), "version 3 was kept out")
 }
 
-func TestBadInputIsTold(t *testing.T) {
+// Guards against an empty table from files that can't be read.
+func TestInvalidInputReturnsAnError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := ReadKinds(strings.NewReader("kinds: []"))
 	g.Expect(err).To(gomega.HaveOccurred())
--- a/lab/losses/report.go
+++ b/lab/losses/report.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// Report is what is used of the bench's report on a played day.
+// Report is the used part of the benchmark's report on a day.
 type Report struct {
-	// Parts are the measures of the day: name, weight and value.
+	// Parts are the day's measures, each with name, weight and value.
 	Parts   [][3]any        `json:"parts"`
 	Windows []WindowFigures `json:"windows"`
-	// Ends counts how tries ended, by what the caller saw.
+	// Ends counts the attempts by their outcome at the caller.
 	Ends map[string]int `json:"ends"`
-	// asked is how many requests the nodes read in each window.
-	asked map[time.Duration]int
+	// readRequests is the number of requests that the nodes read, by start of the window.
+	readRequests map[time.Duration]int
 }
 
-// WindowFigures are the figures of one window; Name is its first second.
+// WindowFigures are the figures of one window. Name is the window's start in seconds.
 type WindowFigures struct {
-	Name  string  `json:"name"`
-	Asked int     `json:"n"`
-	Worth float64 `json:"worth"`
+	Name     string  `json:"name"`
+	Requests int     `json:"n"`
+	Worth    float64 `json:"worth"`
 }
 
-// ReadReport reads a report. The lines tell how many requests were read.
+// ReadReport reads a report from JSON and counts the requests in the lines by window.
 func ReadReport(reader io.Reader, lines *Lines) (*Report, error) {
-	report := &Report{asked: map[time.Duration]int{}}
+	report := &Report{readRequests: map[time.Duration]int{}}
 	if err := json.NewDecoder(reader).Decode(report); err != nil {
-		return nil, fmt.Errorf("report: %w", err)
+		return nil, fmt.Errorf("read report: %w", err)
 	}
 	scale := lines.answeredScale()
 	counts := map[time.Duration]float64{}
 	for _, request := range lines.Requests {
-		start := request.At.Truncate(window)
+		start := request.At.Truncate(windowLength)
 		if request.End != nil && request.End.Outcome == "answered" {
 			counts[start] += scale[start]
 		} else {
@@ -44,12 +44,14 @@
 		}
 	}
 	for start, count := range counts {
-		report.asked[start] = int(count)
+		report.readRequests[start] = int(count)
 	}
 	return report, nil
 }
 
-func (r *Report) window(start time.Duration) (WindowFigures, bool) {
+// figures returns the figures of the window with the start, if the report contains them. The report may be
+// nil.
+func (r *Report) figures(start time.Duration) (WindowFigures, bool) {
 	if r == nil {
 		return WindowFigures{}, false
 	}
@@ -61,24 +63,24 @@
 	return WindowFigures{}, false
 }
 
-// unread returns by how many the requests of a window exceed the tries that nodes read
-// in it: at least so many met no node.
+// unread returns by how much the requests of a window exceed those that nodes read in it, which is the
+// minimum number that reached no node. It returns false if the report doesn't cover the window.
 func (r *Report) unread(start time.Duration) (int, bool) {
-	figures, found := r.window(start)
+	figures, found := r.figures(start)
 	if !found {
 		return 0, false
 	}
-	return max(figures.Asked-r.asked[start], 0), true
+	return max(figures.Requests-r.readRequests[start], 0), true
 }
 
-// parts returns the day's measures in one line.
-func (r *Report) parts() string {
+// formatParts returns the day's measures in one line, or "" without a report.
+func (r *Report) formatParts() string {
 	if r == nil {
 		return ""
 	}
-	var told []string
+	var texts []string
 	for _, part := range r.Parts {
-		told = append(told, fmt.Sprintf("%v %v (weight %v)", part[0], part[2], part[1]))
+		texts = append(texts, fmt.Sprintf("%v %v (weight %v)", part[0], part[2], part[1]))
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(texts, ", ")
 }
--- a/lab/losses/versions.go
+++ b/lab/losses/versions.go
@@ -10,18 +10,18 @@
 	"github.com/thornwalk/thornwalk/internal/eventlog"
 )
 
-// versions collects when each configuration came into force at each node.
-type versions map[int64][]time.Duration
+// versionTimes is, by configuration version, the times at which nodes activated it.
+type versionTimes map[int64][]time.Duration
 
-func (v versions) add(at time.Duration, event *eventlog.Event) {
+func (v versionTimes) add(at time.Duration, event *eventlog.Event) {
 	if event.Outcome == "in-force" {
 		v[event.Version] = append(v[event.Version], at)
 	}
 }
 
-// PrintVersions writes for each configuration how many processes took it into force,
-// and how long after the first one half of them and the last one did. A process that
-// starts later, or that was cut off, comes late by as much.
+// PrintVersions writes as Markdown, for each configuration, how many processes activated it and how long
+// after the first of them half, nine in ten and all of them did. Processes that started later or were
+// partitioned count too.
 func (l *Lines) PrintVersions(writer io.Writer) error {
 	text := &strings.Builder{}
 	text.WriteString("| version | first at s | processes | half after ms | nine in ten after ms | last after ms |\n|---|---|---|---|---|---|\n")
--- a/lab/platformsim/copy.go
+++ b/lab/platformsim/copy.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// firstEra is that of a store which never came back from a copy.
+// firstEra is the era of a store that was never restored.
 const firstEra = 1
 
-// eraHeader tells the era in every answer.
+// eraHeader is the header of every answer that carries the era.
 const eraHeader = "Store-Era"
 
-// StoreCopy is a state of the store that it may come back from.
+// StoreCopy is a copy of the store's state, for Store.Restore.
 type StoreCopy struct {
-	items     map[string]Item
-	history   []Item
-	forgotten int64
-	revision  int64
+	items             map[string]Item
+	history           []Item
+	compactedRevision int64
+	revision          int64
 }
 
-// Copy returns the present state.
+// Copy returns a copy of the items, the history and the revision.
 func (s *Store) Copy() *StoreCopy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return &StoreCopy{items: maps.Clone(s.items), history: slices.Clone(s.history), forgotten: s.forgotten, revision: s.revision}
+	return &StoreCopy{items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision, revision: s.revision}
 }
 
-// Restore has the store come back from the copy: all that was acknowledged since is lost,
-// leases with their keys too, revisions are given out again, and calls that wait are cut.
+// Restore resets the store to the copy and increments the era. Later changes and all leases with their
+// keys are lost, revisions since the copy are assigned again, and pending watches are aborted.
 func (s *Store) Restore(from *StoreCopy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.items, s.history, s.forgotten, s.revision = maps.Clone(from.items), slices.Clone(from.history), from.forgotten, from.revision
+	s.items, s.history, s.compactedRevision, s.revision = maps.Clone(from.items), slices.Clone(from.history), from.compactedRevision, from.revision
 	for key, item := range s.items {
 		if item.Lease != 0 {
 			delete(s.items, key)
@@ -43,5 +43,5 @@
 	s.restored = make(chan struct{})
 }
 
-// SetEra changes what the store tells of its era; negative tells none.
-func (s *Store) SetEra(era int64) { s.set(func() { s.era, s.tellsEra = era, era >= 0 }) }
+// SetEra sets the era that the store sends; a negative one sends none.
+func (s *Store) SetEra(era int64) { s.update(func() { s.era, s.sendsEra = era, era >= 0 }) }
--- a/lab/platformsim/doc.go
+++ b/lab/platformsim/doc.go
@@ -1,4 +1,4 @@
-// Package platformsim stands in for the users' platform: its store with the
-// operator's configuration and the replicas' entries, and replicas that speak
-// its protocol, with the faults of both. The demo and the tests run on it.
+// Package platformsim simulates the users' platform for demos and tests: the store with the operators'
+// configuration and the replicas' entries, and replicas that speak the platform's protocol. Faults can
+// be injected into both.
 package platformsim
--- a/lab/platformsim/lease.go
+++ b/lab/platformsim/lease.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// lease is a time-limited hold on keys.
+// lease keeps keys until it expires.
 type lease struct {
-	ends time.Time
-	ttl  time.Duration
+	expiresAt time.Time
+	ttl       time.Duration
 }
 
-// leaseAnswer names a lease and its time.
+// leaseAnswer is the body of requests and responses about leases.
 type leaseAnswer struct {
 	Lease int64 `json:"lease,omitempty"`
 	TTL   int64 `json:"ttl_ms"`
@@ -23,38 +23,39 @@
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeases()
 	if r.URL.Path == "/api/kv-lease" {
-		var given leaseAnswer
-		_ = json.NewDecoder(r.Body).Decode(&given)
+		var request leaseAnswer
+		_ = json.NewDecoder(r.Body).Decode(&request)
 		s.nextLease++
-		ttl := time.Duration(given.TTL) * time.Millisecond
-		s.leases[s.nextLease] = &lease{ends: time.Now().Add(ttl), ttl: ttl}
-		answer(w, http.StatusOK, leaseAnswer{Lease: s.nextLease, TTL: given.TTL})
+		ttl := time.Duration(request.TTL) * time.Millisecond
+		s.leases[s.nextLease] = &lease{expiresAt: time.Now().Add(ttl), ttl: ttl}
+		writeJSON(w, http.StatusOK, leaseAnswer{Lease: s.nextLease, TTL: request.TTL})
 		return
 	}
 	id, _ := strconv.ParseInt(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], 10, 64)
-	held, alive := s.leases[id]
+	current, found := s.leases[id]
 	switch {
-	case !alive:
+	case !found:
 		w.WriteHeader(http.StatusNotFound)
 	case r.Method == http.MethodDelete:
 		s.endLease(id)
 	default:
-		held.ends = time.Now().Add(held.ttl)
-		answer(w, http.StatusOK, leaseAnswer{TTL: held.ttl.Milliseconds()})
+		current.expiresAt = time.Now().Add(current.ttl)
+		writeJSON(w, http.StatusOK, leaseAnswer{TTL: current.ttl.Milliseconds()})
 	}
 }
 
-// expire ends the leases whose time is over. The caller holds the mutex.
-func (s *Store) expire() {
-	for id, held := range s.leases {
-		if time.Now().After(held.ends) {
+// expireLeases ends the expired leases. The caller holds the mutex.
+func (s *Store) expireLeases() {
+	for id, lease := range s.leases {
+		if time.Now().After(lease.expiresAt) {
 			s.endLease(id)
 		}
 	}
 }
 
+// endLease removes the lease and its keys. The caller holds the mutex.
 func (s *Store) endLease(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
--- a/lab/platformsim/replica.go
+++ b/lab/platformsim/replica.go
@@ -16,11 +16,10 @@
 // Behavior is how a replica treats one request.
 type Behavior int
 
-// The behaviors.
 const (
 	// Answer runs the request and answers it.
 	Answer Behavior = iota
-	// Shed proves that the request was not run.
+	// Shed rejects the request with 503 and states that it was not run.
 	Shed
 	// Fail runs the request and answers 500.
 	Fail
@@ -28,62 +27,61 @@
 	Reset
 	// Cut runs the request and closes the connection in the middle of the answer.
 	Cut
-	// Surplus answers, and then answers again under another request's id.
+	// Surplus answers and then sends another response with the id of another request.
 	Surplus
-	// Stray first sends the answer to another request.
+	// Stray sends a response with the id of another request before the answer.
 	Stray
-	// Silent runs the request and says nothing.
+	// Silent runs the request and sends no answer.
 	Silent
-	// Unframed answers without a length and ends with the connection.
+	// Unframed answers without a length; the end of the connection ends the answer.
 	Unframed
-	// Unsigned answers without the replica's signature.
+	// Unsigned answers without X-Server-Stamp.
 	Unsigned
-	// End begins to run the request, and then the whole replica ends.
+	// End begins to run the request, and then the replica crashes.
 	End
 )
 
-// endDelay is how long a replica runs a request under which it ends.
-const endDelay = 40 * time.Millisecond
+// crashDelay is the time from the start of a run with behavior End to the crash.
+const crashDelay = 40 * time.Millisecond
 
 // Run is a request that a replica ran.
 type Run struct {
-	// At is when it began.
+	// At is when the run started.
 	At                       time.Time
 	ID, Target, Tenant, Host string
-	// Authorization must be empty: the key is not the replica's business.
+	// Authorization is the header's value; nodes must not forward callers' keys.
 	Authorization string
-	LastEvent     string
-	// Header is all that came with the request.
+	LastEventID   string
+	// Header is all headers of the request.
 	Header   http.Header
 	Body     string
 	Deadline time.Duration
-	// Cancelled is true if the connection closed before the end.
+	// Cancelled is true if the node closed the connection before the run finished.
 	Cancelled bool
-	over      bool
-	// arrival is the number of the run's arrival.
+	finished  bool
+	// arrival is the index of the run's arrival in Replica.arrivals.
 	arrival int
 }
 
-// Pushback is what a replica says in all its answers to hold requests back, as the values of the
-// headers; empty ones are left out.
+// Pushback is the pushback headers of a replica's answers. Headers with an empty value are omitted.
 type Pushback struct {
-	// Limit is the requests a second that it takes from all nodes together.
+	// Limit is the value of Server-Limit: requests per second from all nodes together.
 	Limit string
-	// Leaving is "1" if it leaves.
+	// Leaving is the value of Server-Leaving: "1" if the replica is leaving.
 	Leaving string
-	// RetryAfter is the seconds of rest that it asks for where it refuses.
+	// RetryAfter is the value of Retry-After in rejections: the pause in seconds.
 	RetryAfter string
 }
 
-// lines are the header lines of an answer.
-func (p Pushback) lines(refuses bool) string {
+// headerLines returns the header lines of an answer or a rejection.
+func (p Pushback) headerLines(rejects bool) string {
 	lines := ""
 	for _, header := range []struct{ name, value string }{{"Server-Limit", p.Limit}, {"Server-Leaving", p.Leaving}} {
 		if header.value != "" {
 			lines += header.name + ": " + header.value + "\r\n"
 		}
 	}
-	if refuses && p.RetryAfter != "" {
+	if rejects && p.RetryAfter != "" {
 		lines += "Retry-After: " + p.RetryAfter + "\r\n"
 	}
 	return lines
@@ -93,57 +91,58 @@
 type Arrival struct {
 	ID string
 	At time.Time
-	// Said is what the answer says, whose head was written at HeadAt; zero if there was none.
-	// Refused is true if it proves that nothing was run.
+	// Said is the pushback of the answer, whose head was written at HeadAt; both are zero without an
+	// answer. Refused is true if the answer states that the request was not run.
 	Said    Pushback
 	HeadAt  time.Time
 	Refused bool
 }
 
-// Replica is a server of one service. It is safe for concurrent use.
+// Replica is a server of one service. Its methods are safe for concurrent use.
 type Replica struct {
 	ID, Service, Address, Zone string
-	// Version is that of its software; empty means the first.
+	// Version is the version in its entry; empty means v1.
 	Version string
-	// Born is the Unix millisecond of its start, and zero if it tells none.
+	// Born is the time of its start in Unix milliseconds; zero leaves it out of the entry.
 	Born int64
-	// Warmup is how long it says to stay cold, as its entry is written.
+	// Warmup is the remaining warm-up time that Register writes.
 	Warmup time.Duration
-	// OnEnd is called, if it is not nil, when the replica ended under a request.
-	OnEnd func()
-	Slots int
-	// Events is the number of events of a stream; zero makes a plain answer.
+	// OnCrash, if not nil, is called after the replica crashed by behavior End.
+	OnCrash func()
+	Slots   int
+	// Events is the number of events of a streamed answer; zero means plain answers.
 	Events int
-	// Step is the time between two events, and the time of a plain answer.
+	// Step is the time before each event, and the duration of a plain run.
 	Step time.Duration
 
-	mutex    sync.Mutex
-	behave   func(request *http.Request) Behavior
-	says     Pushback
-	runs     []*Run
-	running  int
-	arrivals []Arrival
-	most     int
-	listener net.Listener
-	conns    map[net.Conn]bool
-	ended    bool
+	mutex      sync.Mutex
+	behaviorOf func(request *http.Request) Behavior
+	pushback   Pushback
+	runs       []*Run
+	running    int
+	arrivals   []Arrival
+	maxRunning int
+	listener   net.Listener
+	conns      map[net.Conn]bool
+	crashed    bool
 }
 
-// SetBehavior sets how requests are treated; nil means Answer.
-func (r *Replica) SetBehavior(behave func(request *http.Request) Behavior) {
+// SetBehavior sets the function that chooses how each request is treated; nil means Answer. It is
+// called with the replica's mutex held.
+func (r *Replica) SetBehavior(behaviorOf func(request *http.Request) Behavior) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.behave = behave
+	r.behaviorOf = behaviorOf
 }
 
-// Say sets what the replica says in all its answers from now on.
-func (r *Replica) Say(says Pushback) {
+// Say sets the pushback of all further answers.
+func (r *Replica) Say(pushback Pushback) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.says = says
+	r.pushback = pushback
 }
 
-// Runs returns what the replica ran.
+// Runs returns copies of the requests that the replica ran, in the order of their start.
 func (r *Replica) Runs() []Run {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,39 +153,38 @@
 	return runs
 }
 
-// Arrivals returns how many requests reached the replica, and MostAtOnce how
-// many it ever ran at the same time.
+// Arrivals returns the number of requests that reached the replica, run or not.
 func (r *Replica) Arrivals() int { r.mutex.Lock(); defer r.mutex.Unlock(); return len(r.arrivals) }
 
-// Arrived returns the requests that reached the replica, run or not, in their order.
+// Arrived returns the requests that reached the replica, run or not, in order of arrival.
 func (r *Replica) Arrived() []Arrival {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Arrival{}, r.arrivals...)
 }
 
-// MostAtOnce returns the largest number of requests that ran at the same time.
-func (r *Replica) MostAtOnce() int { r.mutex.Lock(); defer r.mutex.Unlock(); return r.most }
+// MostAtOnce returns the highest number of requests that ran at the same time.
+func (r *Replica) MostAtOnce() int { r.mutex.Lock(); defer r.mutex.Unlock(); return r.maxRunning }
 
 // Entry is the replica's value in the store.
 type Entry struct {
-	Service  string `json:"service"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version"`
-	Slots    int    `json:"slots"`
-	State    string `json:"state"`
-	Sequence int    `json:"sequence"`
-	Born     int64  `json:"born,omitempty"`
-	Warmup   int64  `json:"warmup_left_ms"`
+	Service    string `json:"service"`
+	Address    string `json:"address"`
+	Zone       string `json:"zone"`
+	Version    string `json:"version"`
+	Slots      int    `json:"slots"`
+	State      string `json:"state"`
+	Sequence   int    `json:"sequence"`
+	StartedAt  int64  `json:"born,omitempty"`
+	WarmupLeft int64  `json:"warmup_left_ms"`
 }
 
-// firstVersion is that of replicas that name none.
-const firstVersion = "v1"
+// defaultVersion is the version of replicas without one.
+const defaultVersion = "v1"
 
-// Register writes the replica's entry with the state.
+// Register writes the replica's entry with the state and returns its revision.
 func (r *Replica) Register(store *Store, state string) int64 {
-	return store.PutJSON("servers/"+r.ID, Entry{Service: r.Service, Address: r.Address, Zone: r.Zone, Version: cmp.Or(r.Version, firstVersion), Slots: r.Slots, State: state, Born: r.Born, Warmup: r.Warmup.Milliseconds()})
+	return store.PutJSON("servers/"+r.ID, Entry{Service: r.Service, Address: r.Address, Zone: r.Zone, Version: cmp.Or(r.Version, defaultVersion), Slots: r.Slots, State: state, StartedAt: r.Born, WarmupLeft: r.Warmup.Milliseconds()})
 }
 
 // Serve accepts connections until the listener is closed.
@@ -206,7 +204,8 @@
 	}
 }
 
-// Crash closes the listener and every connection. It returns false if that was done before.
+// Crash closes the listener and every connection. It reports whether this is the first call; Serve must
+// have been called before.
 func (r *Replica) Crash() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -214,15 +213,16 @@
 	for conn := range r.conns {
 		_ = conn.Close()
 	}
-	first := !r.ended
-	r.ended = true
+	first := !r.crashed
+	r.crashed = true
 	return first
 }
 
-// endUnder crashes the replica under a request, which several may do at once.
-func (r *Replica) endUnder() {
-	if r.Crash() && r.OnEnd != nil {
-		r.OnEnd()
+// crashUnderRequest crashes the replica and calls OnCrash, once even if several requests crash it at the
+// same time.
+func (r *Replica) crashUnderRequest() {
+	if r.Crash() && r.OnCrash != nil {
+		r.OnCrash()
 	}
 }
 
@@ -240,88 +240,89 @@
 			return
 		}
 		body, err := io.ReadAll(request.Body)
-		if err != nil || !r.answer(conn, reader, request, string(body)) {
+		if err != nil || !r.serveRequest(conn, reader, request, string(body)) {
 			return
 		}
 	}
 }
 
-// answer returns whether the connection may be used again.
-func (r *Replica) answer(conn net.Conn, reader *bufio.Reader, request *http.Request, body string) bool {
-	behavior, arrival := r.arrive(request)
+// serveRequest answers one request and reports whether the connection may be used again.
+func (r *Replica) serveRequest(conn net.Conn, reader *bufio.Reader, request *http.Request, body string) bool {
+	behavior, arrival := r.recordArrival(request)
 	id := request.Header.Get("X-Attempt-Id")
 	switch {
 	case request.Header.Get("X-Expect-Instance") != r.ID:
-		return write(conn, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: "+r.ID+"\r\nContent-Length: 0\r\n\r\n")
-	case behavior == Shed || namesUnknownMemory(request.Header):
-		return write(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nX-Attempt-Id: "+id+"\r\n"+r.tell(arrival, true)+"Content-Length: 0\r\n\r\n")
+		return writeText(conn, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: "+r.ID+"\r\nContent-Length: 0\r\n\r\n")
+	case behavior == Shed || requiresReservation(request.Header):
+		return writeText(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nX-Attempt-Id: "+id+"\r\n"+r.pushbackLines(arrival, true)+"Content-Length: 0\r\n\r\n")
 	}
-	run := r.begin(request, body)
+	run := r.beginRun(request, body)
 	run.arrival = arrival
-	defer r.end(run)
-	ctx, stop := r.watchClose(conn, reader, run)
-	again := r.respond(ctx, conn, behavior, id, run)
+	defer r.endRun(run)
+	ctx, stop := r.watchDisconnect(conn, reader, run)
+	reusable := r.writeResponse(ctx, conn, behavior, id, run)
 	stop()
-	return again
+	return reusable
 }
 
-// namesUnknownMemory returns whether the request relies on a slot or on memory that
-// was set aside for it. This replica sets nothing aside, so it refuses all of them.
-func namesUnknownMemory(header http.Header) bool {
+// requiresReservation reports whether the request relies on a reserved slot or on reserved memory. The
+// replica reserves neither and rejects such requests.
+func requiresReservation(header http.Header) bool {
 	return header.Get("X-Hold") != "" || header.Get("Kv-From") != ""
 }
 
-// arrive enters the request and returns how it is treated, and the number of the arrival.
-func (r *Replica) arrive(request *http.Request) (Behavior, int) {
+// recordArrival records the arrival and returns the behavior for the request and the arrival's index.
+func (r *Replica) recordArrival(request *http.Request) (Behavior, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.arrivals = append(r.arrivals, Arrival{ID: request.Header.Get("X-Attempt-Id"), At: time.Now()})
-	number := len(r.arrivals) - 1
-	if r.behave == nil {
-		return Answer, number
+	index := len(r.arrivals) - 1
+	if r.behaviorOf == nil {
+		return Answer, index
 	}
-	return r.behave(request), number
+	return r.behaviorOf(request), index
 }
 
-// tell records what the answer says whose head is written now, and returns its lines.
-func (r *Replica) tell(arrival int, refuses bool) string {
+// pushbackLines returns the pushback header lines of an answer whose head is written now, and records
+// the pushback with the arrival.
+func (r *Replica) pushbackLines(arrival int, rejects bool) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	told := &r.arrivals[arrival]
-	told.Said, told.HeadAt, told.Refused = r.says, time.Now(), refuses
-	return r.says.lines(refuses)
+	recorded := &r.arrivals[arrival]
+	recorded.Said, recorded.HeadAt, recorded.Refused = r.pushback, time.Now(), rejects
+	return r.pushback.headerLines(rejects)
 }
 
-func (r *Replica) begin(request *http.Request, body string) *Run {
+func (r *Replica) beginRun(request *http.Request, body string) *Run {
 	deadline, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms"))
 	run := &Run{
 		At: time.Now(),
 		ID: request.Header.Get("X-Attempt-Id"), Target: request.RequestURI, Host: request.Host, Body: body,
 		Tenant: request.Header.Get("X-Tenant"), Authorization: request.Header.Get("Authorization"),
-		LastEvent: request.Header.Get("Last-Event-Id"), Header: request.Header, Deadline: time.Duration(deadline) * time.Millisecond,
+		LastEventID: request.Header.Get("Last-Event-Id"), Header: request.Header, Deadline: time.Duration(deadline) * time.Millisecond,
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.runs = append(r.runs, run)
 	r.running++
-	r.most = max(r.most, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	return run
 }
 
-// end counts the run as over, once. A run is over when its work is done, which
-// is before the last bytes of its answer are out.
-func (r *Replica) end(run *Run) {
+// endRun marks the run as finished; further calls have no effect. A run finishes when its work is done,
+// before the last bytes of its answer are written.
+func (r *Replica) endRun(run *Run) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !run.over {
-		run.over = true
+	if !run.finished {
+		run.finished = true
 		r.running--
 	}
 }
 
-// watchClose notes when the other side closes while the request runs. The stop
-// function ends the watch.
-func (r *Replica) watchClose(conn net.Conn, reader *bufio.Reader, run *Run) (context.Context, func()) {
+// watchDisconnect sets run.Cancelled if the peer closes the connection during the run. The context ends
+// when the peer closes or sends more data; the returned function stops the watch and waits for its end.
+func (r *Replica) watchDisconnect(conn net.Conn, reader *bufio.Reader, run *Run) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -341,105 +342,106 @@
 	}
 }
 
-// respond writes the answer and returns whether the connection may be used again.
-func (r *Replica) respond(ctx context.Context, conn net.Conn, behavior Behavior, id string, run *Run) bool {
+// writeResponse answers the run by the behavior and reports whether the connection may be used again.
+func (r *Replica) writeResponse(ctx context.Context, conn net.Conn, behavior Behavior, id string, run *Run) bool {
 	switch behavior {
 	case Silent:
 		<-ctx.Done()
 		return false
 	case Reset:
-		wait(ctx, r.Step)
+		sleep(ctx, r.Step)
 		return false
 	case End:
-		if wait(ctx, endDelay) {
-			r.endUnder()
+		if sleep(ctx, crashDelay) {
+			r.crashUnderRequest()
 		}
 		return false
 	case Fail:
-		wait(ctx, r.Step)
-		return write(conn, r.head("500 Internal Server Error", id, "", run)+"Content-Length: 3\r\n\r\nbad")
+		sleep(ctx, r.Step)
+		return writeText(conn, r.responseHead("500 Internal Server Error", id, "", run)+"Content-Length: 3\r\n\r\nbad")
 	case Stray:
-		write(conn, r.head("200 OK", "another-request", "", nil)+"Content-Length: 5\r\n\r\nother")
+		writeText(conn, r.responseHead("200 OK", "another-request", "", nil)+"Content-Length: 5\r\n\r\nother")
 	}
 	if r.Events > 0 {
-		return r.stream(ctx, conn, behavior, id, run)
+		return r.writeStream(ctx, conn, behavior, id, run)
 	}
-	wait(ctx, r.Step)
-	r.end(run)
-	return r.plain(conn, behavior, id, run)
+	sleep(ctx, r.Step)
+	r.endRun(run)
+	return r.writePlain(conn, behavior, id, run)
 }
 
-// PlainBody is the answer of a plain service to the request.
+// PlainBody returns the body of a plain answer to the request.
 func PlainBody(id string) string { return "answer to " + id }
 
-func (r *Replica) plain(conn net.Conn, behavior Behavior, id string, run *Run) bool {
+func (r *Replica) writePlain(conn net.Conn, behavior Behavior, id string, run *Run) bool {
 	body := PlainBody(id)
 	switch behavior {
 	case Unframed:
-		write(conn, r.head("200 OK", id, "", run)+"\r\n"+body)
+		writeText(conn, r.responseHead("200 OK", id, "", run)+"\r\n"+body)
 		return false
 	case Unsigned:
-		return write(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 4\r\n\r\nfake", id))
+		return writeText(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 4\r\n\r\nfake", id))
 	case Cut:
-		write(conn, r.head("200 OK", id, "", run)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2]))
+		writeText(conn, r.responseHead("200 OK", id, "", run)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2]))
 		return false
 	}
-	write(conn, r.head("200 OK", id, "", run)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body))
+	writeText(conn, r.responseHead("200 OK", id, "", run)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body))
 	if behavior == Surplus {
-		write(conn, r.head("200 OK", "another-request", "", nil)+"Content-Length: 5\r\n\r\nother")
+		writeText(conn, r.responseHead("200 OK", "another-request", "", nil)+"Content-Length: 5\r\n\r\nother")
 	}
 	return true
 }
 
-// Event is the text of one event of a stream.
+// Event returns the text of one event of a streamed answer.
 func Event(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: part %d of %s\n\n", number, number, id)
 }
 
-func (r *Replica) stream(ctx context.Context, conn net.Conn, behavior Behavior, id string, run *Run) bool {
-	first, _ := strconv.Atoi(run.LastEvent)
-	write(conn, r.head("200 OK", id, "text/event-stream", run)+"Transfer-Encoding: chunked\r\n\r\n")
-	for number := first + 1; number <= r.Events; number++ {
-		if !wait(ctx, r.Step) {
+func (r *Replica) writeStream(ctx context.Context, conn net.Conn, behavior Behavior, id string, run *Run) bool {
+	lastEvent, _ := strconv.Atoi(run.LastEventID)
+	writeText(conn, r.responseHead("200 OK", id, "text/event-stream", run)+"Transfer-Encoding: chunked\r\n\r\n")
+	for number := lastEvent + 1; number <= r.Events; number++ {
+		if !sleep(ctx, r.Step) {
 			return false
 		}
-		event := Event(run.LastEvent+id, number)
-		if run.LastEvent != "" {
+		event := Event(run.LastEventID+id, number)
+		if run.LastEventID != "" {
 			event = Event(id, number)
 		}
 		if behavior == Cut && number > r.Events/2 {
-			write(conn, chunk(event[:len(event)/2]))
+			writeText(conn, chunk(event[:len(event)/2]))
 			return false
 		}
-		if !write(conn, chunk(event)) {
+		if !writeText(conn, chunk(event)) {
 			return false
 		}
 	}
-	r.end(run)
-	return write(conn, "0\r\n\r\n")
+	r.endRun(run)
+	return writeText(conn, "0\r\n\r\n")
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// head returns the head of the answer to a run; one that belongs to no run says nothing beside.
-func (r *Replica) head(status, id, contentType string, run *Run) string {
+// responseHead returns the status line and common headers of a response. Without a run it contains no
+// pushback headers.
+func (r *Replica) responseHead(status, id, contentType string, run *Run) string {
 	head := "HTTP/1.1 " + status + "\r\nX-Attempt-Id: " + id + "\r\nX-Server-Stamp: " + r.ID + "\r\n"
 	if contentType != "" {
 		head += "Content-Type: " + contentType + "\r\n"
 	}
 	if run != nil {
-		head += r.tell(run.arrival, false)
+		head += r.pushbackLines(run.arrival, false)
 	}
 	return head
 }
 
-func write(conn net.Conn, text string) bool {
+func writeText(conn net.Conn, text string) bool {
 	_, err := io.WriteString(conn, text)
 	return err == nil
 }
 
-// wait returns false if the context ended first.
-func wait(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration. It returns false if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/lab/platformsim/store.go
+++ b/lab/platformsim/store.go
@@ -10,57 +10,57 @@
 	"time"
 )
 
-// Item is an entry of the store, or news of its removal.
+// Item is an entry of the store, or the record of its removal.
 type Item struct {
 	Key      string `json:"tls_key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
-	Made     int64  `json:"made,omitempty"`
+	Created  int64  `json:"made,omitempty"`
 	Lease    int64  `json:"lease,omitempty"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// pageItems bounds the items of one answer.
-const pageItems = 500
+// maxPageItems is the maximum number of items of one range answer.
+const maxPageItems = 500
 
 // Store is the platform's key-value store in memory. It is safe for concurrent use.
 type Store struct {
-	mutex     sync.Mutex
-	items     map[string]Item
-	history   []Item
-	forgotten int64
-	revision  int64
-	leases    map[int64]*lease
-	nextLease int64
-	changed   chan struct{}
-	// faults
-	down    bool
-	silent  bool
-	delay   time.Duration
-	refused map[string]bool
-	lost    bool
-	calls   int
-	// era rises with each copy that the store comes back from. It is told in every answer
-	// unless tellsEra is false.
+	mutex             sync.Mutex
+	items             map[string]Item
+	history           []Item
+	compactedRevision int64
+	revision          int64
+	leases            map[int64]*lease
+	nextLease         int64
+	changed           chan struct{}
+	// Injected faults, and the number of calls.
+	down          bool
+	watchesSilent bool
+	delay         time.Duration
+	rejectedHosts map[string]bool
+	dropsReplies  bool
+	calls         int
+	// era increments with each restore. Every answer carries it unless sendsEra is false.
 	era      int64
-	tellsEra bool
-	// restored ends the calls that wait.
+	sendsEra bool
+	// restored is closed and replaced by each restore, which aborts pending watches.
 	restored chan struct{}
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]Item{}, leases: map[int64]*lease{}, changed: make(chan struct{}), refused: map[string]bool{}, era: firstEra, tellsEra: true, restored: make(chan struct{})}
+	return &Store{items: map[string]Item{}, leases: map[int64]*lease{}, changed: make(chan struct{}), rejectedHosts: map[string]bool{}, era: firstEra, sendsEra: true, restored: make(chan struct{})}
 }
 
-// Put writes as the operator or a replica does, and returns the revision.
+// Put writes the value without a lease and returns its revision. Unlike transactions it may write the
+// keys of operators and replicas.
 func (s *Store) Put(key string, value []byte) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.put(key, value, 0)
 }
 
-// PutJSON writes the value as JSON.
+// PutJSON writes the value as JSON and returns its revision. It panics if the value can't be encoded.
 func (s *Store) PutJSON(key string, value any) int64 {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return s.Put(key, content)
 }
 
-// Value returns the value of the key, or nothing.
+// Value returns the value of the key, or nil if there is none.
 func (s *Store) Value(key string) []byte {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -85,13 +85,13 @@
 
 func (s *Store) put(key string, value []byte, lease int64) int64 {
 	s.revision++
-	made := s.revision
-	if before, found := s.items[key]; found {
-		made = before.Made
+	created := s.revision
+	if previous, found := s.items[key]; found {
+		created = previous.Created
 	}
-	item := Item{Key: key, Value: value, Revision: s.revision, Made: made, Lease: lease}
+	item := Item{Key: key, Value: value, Revision: s.revision, Created: created, Lease: lease}
 	s.items[key] = item
-	s.record(item)
+	s.appendHistory(item)
 	return s.revision
 }
 
@@ -101,49 +101,52 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	s.record(Item{Key: key, Revision: s.revision, Gone: true})
+	s.appendHistory(Item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) record(item Item) {
+func (s *Store) appendHistory(item Item) {
 	s.history = append(s.history, item)
-	if !s.silent {
+	if !s.watchesSilent {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 }
 
-// SetDown makes every call answer 503.
-func (s *Store) SetDown(down bool) { s.set(func() { s.down = down }) }
+// SetDown makes the store answer every call with 503.
+func (s *Store) SetDown(down bool) { s.update(func() { s.down = down }) }
 
-// SetDelay makes every answer late.
-func (s *Store) SetDelay(delay time.Duration) { s.set(func() { s.delay = delay }) }
+// SetDelay delays every answer.
+func (s *Store) SetDelay(delay time.Duration) { s.update(func() { s.delay = delay }) }
 
-// SetLost makes transactions take effect without an answer.
-func (s *Store) SetLost(lost bool) { s.set(func() { s.lost = lost }) }
+// SetLost makes transactions take effect but closes their connections without an answer.
+func (s *Store) SetLost(lost bool) { s.update(func() { s.dropsReplies = lost }) }
 
-// Refuse makes calls from the host answer 503.
-func (s *Store) Refuse(host string, refused bool) { s.set(func() { s.refused[host] = refused }) }
+// Refuse makes the store answer calls from the host with 503.
+func (s *Store) Refuse(host string, rejected bool) {
+	s.update(func() { s.rejectedHosts[host] = rejected })
+}
 
-// SetSilent keeps watches from hearing of changes.
-func (s *Store) SetSilent(silent bool) { s.set(func() { s.silent = silent }) }
+// SetSilent makes watches report no changes.
+func (s *Store) SetSilent(silent bool) { s.update(func() { s.watchesSilent = silent }) }
 
-// Compact forgets the history and cuts the watches.
+// Compact drops the history; watches from an earlier revision get 410.
 func (s *Store) Compact() {
-	s.set(func() {
-		s.history, s.forgotten = nil, s.revision
+	s.update(func() {
+		s.history, s.compactedRevision = nil, s.revision
 		close(s.changed)
 		s.changed = make(chan struct{})
 	})
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-func (s *Store) set(change func()) {
+// update calls change with the mutex held.
+func (s *Store) update(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
@@ -154,8 +157,8 @@
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	s.mutex.Lock()
 	s.calls++
-	unavailable, delay := s.down || s.refused[host], s.delay
-	if s.tellsEra {
+	unavailable, delay := s.down || s.rejectedHosts[host], s.delay
+	if s.sendsEra {
 		w.Header().Set(eraHeader, strconv.FormatInt(s.era, 10))
 	}
 	s.mutex.Unlock()
@@ -183,13 +186,13 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// keyAnswer is one item with the store's revision.
+// keyAnswer is one item with the revision at which it was read.
 type keyAnswer struct {
 	Item
 	At int64 `json:"at"`
@@ -197,7 +200,7 @@
 
 func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
-	s.expire()
+	s.expireLeases()
 	item, found := s.items[r.URL.Query().Get("tls_key")]
 	at := s.revision
 	s.mutex.Unlock()
@@ -205,7 +208,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, keyAnswer{Item: item, At: at})
+	writeJSON(w, http.StatusOK, keyAnswer{Item: item, At: at})
 }
 
 // rangeAnswer is one page of items.
@@ -216,15 +219,15 @@
 }
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
-	answer(w, http.StatusOK, s.page(r.URL.Query().Get("path_prefix"), r.URL.Query().Get("watch_after")))
+	writeJSON(w, http.StatusOK, s.page(r.URL.Query().Get("path_prefix"), r.URL.Query().Get("watch_after")))
 }
 
-// page returns the first items after the key. It is written without the mutex: a
-// reader with a slow link holds up nobody else.
+// page returns the first items with the prefix after the key. The caller writes them without holding
+// the mutex, so that a slow reader blocks no other call.
 func (s *Store) page(prefix, after string) rangeAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeases()
 	page := rangeAnswer{Items: []Item{}, At: s.revision}
 	keys := make([]string, 0, len(s.items))
 	for key := range s.items {
@@ -233,8 +236,8 @@
 		}
 	}
 	sort.Strings(keys)
-	if len(keys) > pageItems {
-		keys, page.More = keys[:pageItems], true
+	if len(keys) > maxPageItems {
+		keys, page.More = keys[:maxPageItems], true
 	}
 	for _, key := range keys {
 		page.Items = append(page.Items, s.items[key])
@@ -242,7 +245,7 @@
 	return page
 }
 
-// watchAnswer is what changed.
+// watchAnswer is the changes up to the revision At.
 type watchAnswer struct {
 	Events []Item `json:"events"`
 	At     int64  `json:"at"`
@@ -251,24 +254,24 @@
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("watch_after"), 10, 64)
-	wait, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
-	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	waitMS, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
+	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
 		s.mutex.Lock()
-		s.expire()
-		if after < s.forgotten || after > s.revision {
+		s.expireLeases()
+		if after < s.compactedRevision || after > s.revision {
 			s.mutex.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		found := watchAnswer{Events: []Item{}, At: after}
-		if !s.silent {
-			found = s.since(query.Get("path_prefix"), after)
+		changes := watchAnswer{Events: []Item{}, At: after}
+		if !s.watchesSilent {
+			changes = s.changesSince(query.Get("path_prefix"), after)
 		}
 		changed, restored := s.changed, s.restored
 		s.mutex.Unlock()
-		if len(found.Events) > 0 {
-			answer(w, http.StatusOK, found)
+		if len(changes.Events) > 0 {
+			writeJSON(w, http.StatusOK, changes)
 			return
 		}
 		select {
@@ -276,7 +279,7 @@
 		case <-restored:
 			panic(http.ErrAbortHandler)
 		case <-timeout:
-			answer(w, http.StatusOK, found)
+			writeJSON(w, http.StatusOK, changes)
 			return
 		case <-r.Context().Done():
 			return
@@ -284,17 +287,18 @@
 	}
 }
 
-func (s *Store) since(prefix string, after int64) watchAnswer {
-	found := watchAnswer{Events: []Item{}, At: s.revision}
+func (s *Store) changesSince(prefix string, after int64) watchAnswer {
+	changes := watchAnswer{Events: []Item{}, At: s.revision}
 	for _, item := range s.history {
 		if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
-			found.Events = append(found.Events, item)
+			changes.Events = append(changes.Events, item)
 		}
 	}
-	return found
+	return changes
 }
 
-// transaction is a change under conditions.
+// transaction is a set of changes that apply if all expected revisions match. Revision 0 expects no
+// item.
 type transaction struct {
 	Expected []struct {
 		Key      string `json:"tls_key"`
@@ -308,58 +312,60 @@
 	Delete []string `json:"delete"`
 }
 
-// conflict names the present items of a failed condition.
+// conflict is the current items of the expected keys after a mismatch.
 type conflict struct {
 	Items []Item `json:"items"`
 }
 
-// revisionAnswer names the revision of a change.
+// revisionAnswer is the store's revision after a transaction.
 type revisionAnswer struct {
 	Revision int64 `json:"revision"`
 }
 
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
-	var given transaction
-	if err := json.NewDecoder(r.Body).Decode(&given); err != nil {
+	var request transaction
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mutex.Lock()
-	status, body := s.apply(&given)
-	lost := s.lost
+	status, body := s.commit(&request)
+	dropsReply := s.dropsReplies
 	s.mutex.Unlock()
-	if lost && status == http.StatusOK {
+	if dropsReply && status == http.StatusOK {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, status, body)
+	writeJSON(w, status, body)
 }
 
-func (s *Store) apply(given *transaction) (int, any) {
-	s.expire()
-	for _, put := range given.Put {
+// commit applies the transaction and returns the status and body of the answer. The caller holds the
+// mutex.
+func (s *Store) commit(request *transaction) (int, any) {
+	s.expireLeases()
+	for _, put := range request.Put {
 		if strings.HasPrefix(put.Key, "op/") || strings.HasPrefix(put.Key, "servers/") {
 			return http.StatusForbidden, nil
 		}
-		if _, alive := s.leases[put.Lease]; put.Lease != 0 && !alive {
+		if _, found := s.leases[put.Lease]; put.Lease != 0 && !found {
 			return http.StatusNotFound, nil
 		}
 	}
-	present := conflict{Items: []Item{}}
-	holds := true
-	for _, expected := range given.Expected {
+	current := conflict{Items: []Item{}}
+	matches := true
+	for _, expected := range request.Expected {
 		item, found := s.items[expected.Key]
-		holds = holds && item.Revision == expected.Revision
+		matches = matches && item.Revision == expected.Revision
 		if found {
-			present.Items = append(present.Items, item)
+			current.Items = append(current.Items, item)
 		}
 	}
-	if !holds {
-		return http.StatusPreconditionFailed, present
+	if !matches {
+		return http.StatusPreconditionFailed, current
 	}
-	for _, put := range given.Put {
+	for _, put := range request.Put {
 		s.put(put.Key, put.Value, put.Lease)
 	}
-	for _, key := range given.Delete {
+	for _, key := range request.Delete {
 		s.remove(key)
 	}
 	return http.StatusOK, revisionAnswer{Revision: s.revision}
--- a/lab/report/canvas.go
+++ b/lab/report/canvas.go
@@ -5,4 +5,4 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-func drawCanvas(canvas *vgsvg.Canvas) draw.Canvas { return draw.New(canvas) }
+func newDrawCanvas(canvas *vgsvg.Canvas) draw.Canvas { return draw.New(canvas) }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report draws results as self-contained HTML pages with plots.
+// Package report renders results of experiments as self-contained HTML pages with plots and a table.
 package report
 
 import (
@@ -23,7 +23,7 @@
 	barWidth   = 0.5 * vg.Centimeter
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;max-width:64em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:.3em .6em;text-align:right}td:first-child,th:first-child{text-align:left}</style>
 <h1>{{.Title}}</h1>
@@ -33,7 +33,7 @@
 {{end}}</table></html>
 `))
 
-// pageData fills the page.
+// pageData is the data of pageTemplate.
 type pageData struct {
 	Title string
 	Tiers []string
@@ -46,15 +46,15 @@
 	Tiers  []float64
 }
 
-// Experiment writes a page with the results of an experiment.
+// Experiment writes an HTML page with the title and the results of an experiment, by policy.
 func Experiment(writer io.Writer, title string, deployment *workload.Deployment, results []emulator.Result) error {
 	data := pageData{Title: title, Tiers: tiers(deployment)}
 	for _, result := range results {
-		entry := row{Result: result}
+		rowData := row{Result: result}
 		for _, tier := range data.Tiers {
-			entry.Tiers = append(entry.Tiers, result.Goodput[tier])
+			rowData.Tiers = append(rowData.Tiers, result.Goodput[tier])
 		}
-		data.Rows = append(data.Rows, entry)
+		data.Rows = append(data.Rows, rowData)
 	}
 	goodput, err := goodputPlot(data.Tiers, results)
 	if err != nil {
@@ -65,9 +65,10 @@
 		return err
 	}
 	data.Plots = []template.HTML{goodput, waste}
-	return page.Execute(writer, data)
+	return pageTemplate.Execute(writer, data)
 }
 
+// tiers returns the deployment's tiers in order of their rank.
 func tiers(deployment *workload.Deployment) []string {
 	kinds := append([]workload.Kind(nil), deployment.Kinds...)
 	sort.SliceStable(kinds, func(i, j int) bool { return kinds[i].Rank < kinds[j].Rank })
@@ -91,7 +92,7 @@
 	drawing.Title.Text = "Goodput by tier"
 	drawing.Y.Max = 1.05
 	drawing.Legend.Top = true
-	for index, tier := range tiers {
+	for tierIndex, tier := range tiers {
 		values := make(plotter.Values, len(results))
 		for i, result := range results {
 			values[i] = result.Goodput[tier]
@@ -100,8 +101,8 @@
 		if err != nil {
 			return "", err
 		}
-		bars.Color = plotutil.Color(index)
-		bars.Offset = barWidth * vg.Length(2*index-len(tiers)+1) / 2
+		bars.Color = plotutil.Color(tierIndex)
+		bars.Offset = barWidth * vg.Length(2*tierIndex-len(tiers)+1) / 2
 		drawing.Add(bars)
 		drawing.Legend.Add(tier, bars)
 	}
@@ -128,13 +129,13 @@
 
 func render(drawing *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
-	drawing.Draw(drawCanvas(canvas))
+	drawing.Draw(newDrawCanvas(canvas))
 	var buffer bytes.Buffer
 	if _, err := canvas.WriteTo(&buffer); err != nil {
 		return "", err
 	}
-	// The drawing is made here from numbers and known names; its XML head has
-	// no place inside a page.
+	// An XML declaration isn't allowed inside an HTML page. The content needs no escaping: it consists
+	// of numbers and names from this repository.
 	content := buffer.Bytes()
 	if start := bytes.Index(content, []byte("<svg")); start > 0 {
 		content = content[start:]
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -16,29 +16,28 @@
 )
 
 const (
-	callersHost = "soak.example"
-	callersKey  = "soak-key"
-	// callersPatience is the deadline of a request, in milliseconds.
-	callersPatience = "3000"
-	// callersLimit is when a caller gives up in any case.
-	callersLimit = 5 * time.Second
+	routeHost         = "soak.example"
+	tenantKey         = "soak-key"
+	requestDeadlineMS = "3000"
+	// callerTimeout is when a caller abandons its request regardless of the deadline.
+	callerTimeout = 5 * time.Second
 )
 
-// outcome is what a caller knows of its request.
+// outcome is the result of a request as its caller sees it.
 type outcome string
 
 const (
 	outcomeAnswered outcome = "answered"
 	outcomeNotRun   outcome = "not run"
 	outcomeUnknown  outcome = "unknown"
-	// outcomeLost is a connection that ended without a whole answer.
+	// outcomeLost is a connection that ended before the answer was complete.
 	outcomeLost outcome = "lost"
-	// outcomeWrong is a success with the wrong content.
+	// outcomeWrong is a success with the wrong content, or a rejection without Retry-After.
 	outcomeWrong outcome = "wrong"
 )
 
-// seen is one request as its caller saw it.
-type seen struct {
+// callResult is one request and its result as the caller saw it.
+type callResult struct {
 	id, route string
 	node      int
 	outcome   outcome
@@ -47,66 +46,67 @@
 	span      span
 }
 
-// callers send requests and keep what became of them.
+// callers sends requests and records their results.
 type callers struct {
-	block  string
-	client http.Client
-	group  sync.WaitGroup
-	mutex  sync.Mutex
-	all    []seen
+	block   string
+	client  http.Client
+	group   sync.WaitGroup
+	mutex   sync.Mutex
+	results []callResult
 }
 
-// mix are the routes that callers use, by turns.
-var mix = []string{"once", "status", "report", "chat"}
+// trafficRoutes are the routes that callers use in rotation.
+var trafficRoutes = []string{"once", "status", "report", "chat"}
 
-// send sends requests at the rate until the time is over.
-func (c *callers) send(ctx context.Context, duration time.Duration, rate float64) {
+// sendTraffic sends requests at the rate, per second, for the duration. It returns when all of them
+// ended.
+func (c *callers) sendTraffic(ctx context.Context, duration time.Duration, rate float64) {
 	interval := time.Duration(float64(time.Second) / rate)
 	end := time.Now().Add(duration)
 	for number := 0; time.Now().Before(end) && ctx.Err() == nil; number++ {
-		route, node := mix[number%len(mix)], number/len(mix)%nodeCount
-		c.group.Go(func() { c.keep(c.one(fmt.Sprintf("r%06d", number), route, node)) })
+		route, node := trafficRoutes[number%len(trafficRoutes)], number/len(trafficRoutes)%nodeCount
+		c.group.Go(func() { c.record(c.sendOne(fmt.Sprintf("r%06d", number), route, node)) })
 		time.Sleep(interval)
 	}
 	c.group.Wait()
 }
 
-func (c *callers) keep(result seen) {
+func (c *callers) record(result callResult) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.all = append(c.all, result)
+	c.results = append(c.results, result)
 }
 
-// one sends one request to the node and judges the answer.
-func (c *callers) one(id, route string, node int) seen {
-	result := seen{id: id, route: route, node: node, span: span{from: time.Now()}}
+// sendOne sends one request to the node and classifies the answer.
+func (c *callers) sendOne(id, route string, node int) callResult {
+	result := callResult{id: id, route: route, node: node, span: span{from: time.Now()}}
 	method, body := http.MethodGet, []byte(nil)
 	if route == "once" || route == "report" || route == "chat" {
 		method, body = http.MethodPost, []byte("soak")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callersLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+at(c.block, node+1, callersPort)+"/"+route+"/", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+hostAddress(c.block, node+1, callersPort)+"/"+route+"/", bytes.NewReader(body))
 	if err != nil {
 		result.outcome, result.detail = outcomeWrong, err.Error()
 		return result
 	}
-	request.Host, request.GetBody = callersHost, nil
+	request.Host, request.GetBody = routeHost, nil
 	request.Header.Set("X-Attempt-Id", id)
-	request.Header.Set("X-Deadline-Ms", callersPatience)
-	request.Header.Set("Authorization", "Bearer "+callersKey)
+	request.Header.Set("X-Deadline-Ms", requestDeadlineMS)
+	request.Header.Set("Authorization", "Bearer "+tenantKey)
 	response, err := c.client.Do(request)
 	if err != nil {
-		result.outcome, result.detail = outcomeOf(err), err.Error()
+		result.outcome, result.detail = outcomeOfError(err), err.Error()
 	} else {
-		result.judge(response)
+		result.classify(response)
 	}
 	result.span.to = time.Now()
 	return result
 }
 
-// outcomeOf tells a connection that never came up from one that was lost.
-func outcomeOf(err error) outcome {
+// outcomeOfError distinguishes a connection that was never established from one that was lost.
+func outcomeOfError(err error) outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return outcomeNotRun
@@ -114,33 +114,33 @@
 	return outcomeLost
 }
 
-// judge reads the answer.
-func (s *seen) judge(response *http.Response) {
+// classify reads the response and sets the outcome.
+func (r *callResult) classify(response *http.Response) {
 	defer response.Body.Close()
-	s.status = response.StatusCode
+	r.status = response.StatusCode
 	body, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
-		s.outcome, s.detail = outcomeLost, err.Error()
-	case s.status == http.StatusOK:
-		s.outcome = outcomeAnswered
-		if response.Header.Get("X-Server-Stamp") == "" || string(body) != wanted(s.id, s.route) {
-			s.outcome, s.detail = outcomeWrong, fmt.Sprintf("%.80q", body)
+		r.outcome, r.detail = outcomeLost, err.Error()
+	case r.status == http.StatusOK:
+		r.outcome = outcomeAnswered
+		if response.Header.Get("X-Server-Stamp") == "" || string(body) != expectedBody(r.id, r.route) {
+			r.outcome, r.detail = outcomeWrong, fmt.Sprintf("%.80q", body)
 		}
-	case s.status == http.StatusServiceUnavailable || s.status == http.StatusTooManyRequests || s.status == http.StatusRequestTimeout:
-		s.outcome = outcomeNotRun
+	case r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests || r.status == http.StatusRequestTimeout:
+		r.outcome = outcomeNotRun
 		if response.Header.Get("Retry-After") == "" {
-			s.outcome, s.detail = outcomeWrong, "refused without a time to come back"
+			r.outcome, r.detail = outcomeWrong, "refused without a time to come back"
 		}
-	case s.status == http.StatusNotFound:
-		s.outcome = outcomeNotRun
+	case r.status == http.StatusNotFound:
+		r.outcome = outcomeNotRun
 	default:
-		s.outcome = outcomeUnknown
+		r.outcome = outcomeUnknown
 	}
 }
 
-// wanted is the whole answer to a request.
-func wanted(id, route string) string {
+// expectedBody returns the complete answer to a request.
+func expectedBody(id, route string) string {
 	if route != "report" && route != "chat" {
 		return platformsim.PlainBody(id)
 	}
--- a/lab/soak/deployment.go
+++ b/lab/soak/deployment.go
@@ -19,111 +19,113 @@
 
 // Ports on the hosts of a deployment.
 const (
-	callersPort      = 8221
-	readinessPort    = 8224
-	operatorsPort    = 8229
-	peerPort         = 7600
-	storePort        = 8225
-	firstStoreProxy  = 8300
-	replicaPort      = 8080
-	replicaProxyPort = 8081
+	callersPort         = 8221
+	readinessPort       = 8224
+	operatorsPort       = 8229
+	peerPort            = 7600
+	storePort           = 8225
+	firstStoreProxyPort = 8300
+	replicaPort         = 8080
+	replicaProxyPort    = 8081
 )
 
-// nodeCount is the number of daemons, and the others the shape of the services.
+// nodeCount is the number of daemons. The engines stream engineEvents events per answer; the
+// registry gives plain answers.
 const (
-	nodeCount     = 3
-	engineCount   = 3
-	engineSlots   = 6
-	engineEvents  = 8
-	engineStep    = 20 * time.Millisecond
-	registryCount = 3
-	registrySlots = 6
-	registryStep  = 15 * time.Millisecond
-	stopGrace     = 4 * time.Second
-	contactBound  = 1500 * time.Millisecond
-	// configurationBound is the nodes' setting for how soon a change is in force.
+	nodeCount           = 3
+	engineCount         = 3
+	engineSlots         = 6
+	engineEvents        = 8
+	engineStep          = 20 * time.Millisecond
+	registryCount       = 3
+	registrySlots       = 6
+	registryStep        = 15 * time.Millisecond
+	stopGrace           = 4 * time.Second
+	storeRecoveryWindow = 1500 * time.Millisecond
+	// configurationBound is the nodes' bound on the time until a configuration change is active.
 	configurationBound = 2 * time.Second
-	// addedFactor spreads the names of added routes, so that they compress no better than
+	// routeNameMultiplier scatters the names of added routes, so that they compress no better than
 	// those of a real configuration.
-	addedFactor    = 2654435761
-	freshRouteName = "fresh"
-	staleRouteName = "stale"
+	routeNameMultiplier = 2654435761
+	freshRouteName      = "fresh"
+	staleRouteName      = "stale"
 )
 
-// The bounds that operators set on all nodes together. A tenant of a run of bounds asks for twice
-// its rate; other runs have a rate that nobody reaches.
+// Quotas that hold for all nodes together. With Options.Bounds the tenant sends more than
+// quotaRate; otherwise its rate is unreachableRate.
 const (
-	plainTokens           = 10
+	tokensPerRequest      = 10
 	quotaRate, quotaBurst = 300, 300
-	wideRate              = 100_000
+	unreachableRate       = 100_000
 	quotaOverage          = 0.1
 	quotaSlack            = 200
 	quotaWindow           = 8 * time.Second
 )
 
+// retryBound is the retry budget of all nodes together, as the nodes' settings have it.
 var retryBound = checker.RetryBound{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 
-// deployment is the daemons with the stand-ins and proxies around them.
+// deployment is the daemons with the stand-ins and the proxies in front of these.
 type deployment struct {
-	store        *platformsim.Store
-	server       *http.Server
-	processes    []*process
-	storeProxies []*proxy
-	replicas     []*platformsim.Replica
-	proxies      []*proxy
-	listeners    []net.Listener
-	version      int64
-	// added is the number of routes that no caller asks for.
-	added int
-	// rate and burst are the tenant's quota in tokens.
+	store            *platformsim.Store
+	storeServer      *http.Server
+	processes        []*process
+	storeProxies     []*proxy
+	replicas         []*platformsim.Replica
+	replicaProxies   []*proxy
+	replicaListeners []net.Listener
+	version          int64
+	// addedRoutes is the number of routes that receive no requests.
+	addedRoutes int
+	// rate is the tenant's quota in tokens per second, burst that in tokens.
 	rate, burst float64
-	// mutex guards what writers wrote last: the configuration and the states of replicas that
-	// are not ready.
+	// mutex guards the last written configuration and the states of replicas that are not ready.
 	mutex         sync.Mutex
 	configuration entrylab.Configuration
 	states        map[int]string
 }
 
-// register writes the replica's entry, as its state was told last.
-func (d *deployment) register(number int) {
+// registerReplica writes the replica's store entry with its last state.
+func (d *deployment) registerReplica(number int) {
 	d.mutex.Lock()
 	state := cmp.Or(d.states[number], "ready")
 	d.mutex.Unlock()
 	d.replicas[number].Register(d.store, state)
 }
 
-// writeAgain writes what a store that came back from a copy may have lost.
-func (d *deployment) writeAgain() {
+// rewriteStore writes all entries that a restored store may have lost.
+func (d *deployment) rewriteStore() {
 	d.mutex.Lock()
 	configuration := d.configuration
 	d.mutex.Unlock()
 	configuration.Write(d.store)
 	for number := range d.replicas {
-		d.register(number)
+		d.registerReplica(number)
 	}
 }
 
-// at returns the address of a port on the host with the number.
-func at(block string, host, port int) string {
+// hostAddress returns the address of a port on the host with the number in the address block.
+func hostAddress(block string, host, port int) string {
 	return net.JoinHostPort(fmt.Sprintf("%s.%d", block, host), fmt.Sprint(port))
 }
 
 // Numbers of hosts in the block of addresses.
 const (
-	storeHost    = 9
-	firstReplica = 20
+	storeHost        = 9
+	firstReplicaHost = 20
 )
 
-// newDeployment starts everything on loopback addresses of the block, as 127.0.8.
-func newDeployment(options *Options, folder string) (*deployment, error) {
-	d := &deployment{store: platformsim.NewStore(), rate: wideRate, burst: wideRate, states: map[int]string{}}
+// startDeployment starts the store, the replicas and the nodes on loopback addresses of
+// options.Block. The caller closes the deployment also when an error is returned.
+func startDeployment(options *Options, folder string) (*deployment, error) {
+	d := &deployment{store: platformsim.NewStore(), rate: unreachableRate, burst: unreachableRate, states: map[int]string{}}
 	if options.Bounds {
 		d.rate, d.burst = quotaRate, quotaBurst
 	}
 	if err := d.startStore(options.Block); err != nil {
 		return d, err
 	}
-	d.configure(staleRouteName)
+	d.writeConfiguration(staleRouteName)
 	for number := range engineCount + registryCount {
 		if err := d.startReplica(options.Block, number); err != nil {
 			return d, err
@@ -138,12 +140,12 @@
 }
 
 func (d *deployment) startStore(block string) error {
-	listener, err := listen(at(block, storeHost, storePort))
+	listener, err := listen(hostAddress(block, storeHost, storePort))
 	if err != nil {
 		return err
 	}
-	d.server = &http.Server{Handler: d.store}
-	go func() { _ = d.server.Serve(listener) }()
+	d.storeServer = &http.Server{Handler: d.store}
+	go func() { _ = d.storeServer.Serve(listener) }()
 	return nil
 }
 
@@ -152,37 +154,37 @@
 	if number >= engineCount {
 		replica.Service, replica.Slots, replica.Events, replica.Step = "registry", registrySlots, 0, registryStep
 	}
-	listener, err := listen(at(block, firstReplica+number, replicaPort))
+	listener, err := listen(hostAddress(block, firstReplicaHost+number, replicaPort))
 	if err != nil {
 		return err
 	}
-	d.listeners = append(d.listeners, listener)
-	between, err := newProxy(at(block, firstReplica+number, replicaProxyPort), listener.Addr().String())
+	d.replicaListeners = append(d.replicaListeners, listener)
+	faultProxy, err := newProxy(hostAddress(block, firstReplicaHost+number, replicaProxyPort), listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	replica.Address = between.address()
+	replica.Address = faultProxy.address()
 	go replica.Serve(listener)
 	replica.Register(d.store, "ready")
-	d.replicas, d.proxies = append(d.replicas, replica), append(d.proxies, between)
+	d.replicas, d.replicaProxies = append(d.replicas, replica), append(d.replicaProxies, faultProxy)
 	return nil
 }
 
 func (d *deployment) startNode(options *Options, folder string, number int) error {
 	block, host := options.Block, number+1
-	between, err := newProxy(at(block, storeHost, firstStoreProxy+number), at(block, storeHost, storePort))
+	faultProxy, err := newProxy(hostAddress(block, storeHost, firstStoreProxyPort+number), hostAddress(block, storeHost, storePort))
 	if err != nil {
 		return err
 	}
-	d.storeProxies = append(d.storeProxies, between)
+	d.storeProxies = append(d.storeProxies, faultProxy)
 	settings := &entry.Settings{
 		Name: fmt.Sprintf("n%d", number), Zone: "east", Host: fmt.Sprintf("%s.%d", block, host), PeerPort: peerPort,
-		Callers: at(block, host, callersPort), Readiness: at(block, host, readinessPort), Operators: at(block, host, operatorsPort),
-		Store: between.address(), StopGrace: int(stopGrace.Milliseconds()), StoreRecoveryWindow: int(contactBound.Milliseconds()), ConfigurationBound: int(configurationBound.Milliseconds()),
+		Callers: hostAddress(block, host, callersPort), Readiness: hostAddress(block, host, readinessPort), Operators: hostAddress(block, host, operatorsPort),
+		Store: faultProxy.address(), StopGrace: int(stopGrace.Milliseconds()), StoreRecoveryWindow: int(storeRecoveryWindow.Milliseconds()), ConfigurationBound: int(configurationBound.Milliseconds()),
 		Cores: 1, RetryRatio: retryBound.Ratio, RetryWindow: retryBound.Window.Seconds(), RetrySlack: retryBound.Slack, QuotaWindow: quotaWindow.Seconds(), QuotaOverage: quotaOverage, QuotaSlack: quotaSlack, BlockedAfter: 3, FirstStart: true,
 	}
 	for seed := range nodeCount {
-		settings.Seeds = append(settings.Seeds, at(block, seed+1, operatorsPort))
+		settings.Seeds = append(settings.Seeds, hostAddress(block, seed+1, operatorsPort))
 	}
 	log := io.Discard
 	if options.LogFolder != "" {
@@ -192,11 +194,11 @@
 		}
 		log = file
 	}
-	daemon, other := options.Daemon, options.Previous
-	if other != "" {
-		daemon, other = other, daemon
+	daemon, alternate := options.Daemon, options.Previous
+	if alternate != "" {
+		daemon, alternate = alternate, daemon
 	}
-	started, err := newProcess(daemon, other, folder, settings, log)
+	started, err := newProcess(daemon, alternate, folder, settings, log)
 	if err != nil {
 		return err
 	}
@@ -204,28 +206,28 @@
 	return nil
 }
 
-// configure writes a new version of the configuration with one more route.
-func (d *deployment) configure(extra string) {
+// writeConfiguration writes a new version of the configuration with the extra route.
+func (d *deployment) writeConfiguration(extraRoute string) {
 	d.version++
 	route := func(name, kind, service string, priority, attempts int, resumable bool) entrylab.Route {
 		return entrylab.Route{
-			Name: name, Host: callersHost, PathPrefix: "/" + name + "/", Kind: kind, Timeout: 3000, Target: 600, TargetGap: 400,
+			Name: name, Host: routeHost, PathPrefix: "/" + name + "/", Kind: kind, Timeout: 3000, Target: 600, TargetGap: 400,
 			Service: service, Priority: priority, Attempts: attempts, Resumable: resumable,
 		}
 	}
 	routes := []entrylab.Route{
 		route("once", "unsafe", "registry", 1, 1, false), route("status", "safe", "registry", 2, 2, false),
 		route("report", "streaming", "engines", 0, 1, false), route("chat", "streaming", "engines", 2, 2, true),
-		route(extra, "safe", "registry", 2, 2, false),
+		route(extraRoute, "safe", "registry", 2, 2, false),
 	}
-	for i := range d.added {
-		routes = append(routes, route(fmt.Sprintf("added-%x", uint32(i)*addedFactor), "safe", "registry", 2, 2, false))
+	for i := range d.addedRoutes {
+		routes = append(routes, route(fmt.Sprintf("added-%x", uint32(i)*routeNameMultiplier), "safe", "registry", 2, 2, false))
 	}
 	configuration := entrylab.Configuration{
 		Version:  d.version,
 		Routes:   routes,
 		Services: []entrylab.Service{{Name: "registry"}, {Name: "engines"}},
-		Tenants:  []entrylab.Tenant{{Name: "office", Keys: []string{callersKey}, Unit: "tokens", PlainTokens: plainTokens, Rate: d.rate, Burst: d.burst}},
+		Tenants:  []entrylab.Tenant{{Name: "office", Keys: []string{tenantKey}, Unit: "tokens", PlainTokens: tokensPerRequest, Rate: d.rate, Burst: d.burst}},
 	}
 	d.mutex.Lock()
 	d.configuration = configuration
@@ -233,22 +235,22 @@
 	configuration.Write(d.store)
 }
 
-// close ends everything that was started.
+// close stops the processes and closes the proxies and listeners.
 func (d *deployment) close() {
-	for _, running := range d.processes {
-		running.close()
+	for _, p := range d.processes {
+		p.close()
 	}
-	// A process that is being started holds copies of all open sockets until it
-	// runs its program; no address would be free as long as that lasts.
+	// A forked process holds copies of all open sockets until exec, which would keep the
+	// addresses in use.
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	for _, between := range append(append([]*proxy{}, d.storeProxies...), d.proxies...) {
-		between.close()
+	for _, faultProxy := range append(append([]*proxy{}, d.storeProxies...), d.replicaProxies...) {
+		faultProxy.close()
 	}
-	for _, listener := range d.listeners {
+	for _, listener := range d.replicaListeners {
 		_ = listener.Close()
 	}
-	if d.server != nil {
-		_ = d.server.Close()
+	if d.storeServer != nil {
+		_ = d.storeServer.Close()
 	}
 }
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -14,79 +14,78 @@
 // injector carries out a plan against a deployment.
 type injector struct {
 	deployment *deployment
-	begun      time.Time
+	startedAt  time.Time
 	group      sync.WaitGroup
 
 	mutex sync.Mutex
-	// disturbed are the times in which something unplanned happened.
-	disturbed []span
-	// stops are the planned stops, by node.
-	stops map[int][]span
-	// ends are the times from when the process of each node was told to end until the next one runs,
-	// and freezes those in which it stood still.
-	ends, freezes map[int][]span
-	drained       string
-	drainAt       time.Time
-	changed       bool
+	// unplanned are the spans in which a fault other than a planned stop may cause losses.
+	unplanned []span
+	// plannedStops are the spans of planned stops, by node.
+	plannedStops map[int][]span
+	// restarts are the spans from the signal that ends a node's process until the next process
+	// runs, suspensions those in which it is suspended; both by node.
+	restarts, suspensions map[int][]span
+	drainedReplica        string
+	drainedAt             time.Time
+	routeReplaced         bool
 }
 
-// span is a time between two moments.
 type span struct{ from, to time.Time }
 
 func (s span) overlaps(other span) bool { return s.from.Before(other.to) && other.from.Before(s.to) }
 
-// run plays the plan and returns when every fault was healed.
+// run injects the faults of the plan, sorted by offset, and returns when every fault is healed.
 func (i *injector) run(plan []fault) {
-	for _, next := range plan {
-		time.Sleep(time.Until(i.begun.Add(next.at)))
-		i.group.Go(func() { i.play(next) })
+	for _, planned := range plan {
+		time.Sleep(time.Until(i.startedAt.Add(planned.offset)))
+		i.group.Go(func() { i.inject(planned) })
 	}
 	i.group.Wait()
 }
 
-// play holds one fault for its time.
-func (i *injector) play(f fault) {
+// inject starts one fault, waits for its duration and heals it.
+func (i *injector) inject(f fault) {
 	now := time.Now()
-	i.note(f, now)
-	heal := i.apply(f)
-	time.Sleep(f.lasts)
+	i.recordSpans(f, now)
+	heal := i.start(f)
+	time.Sleep(f.duration)
 	heal()
 }
 
-// recovery is the time after a fault in which its effects may still be felt.
-const recovery = 3 * time.Second
+// recoveryTime is the time after a fault in which it may still cause losses.
+const recoveryTime = 3 * time.Second
 
-// note records what judging has to know of the fault.
-func (i *injector) note(f fault, now time.Time) {
+// recordSpans records the spans in which the checks have to allow for the fault.
+func (i *injector) recordSpans(f fault, now time.Time) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	killed, stopped := span{now, now.Add(restartDelay)}, span{now, now.Add(stopGrace + restartDelay)}
 	switch node := f.target % nodeCount; f.kind {
 	case kindKill:
-		i.ends[node] = append(i.ends[node], killed)
+		i.restarts[node] = append(i.restarts[node], killed)
 	case kindStop, kindReplace:
-		i.ends[node] = append(i.ends[node], stopped)
+		i.restarts[node] = append(i.restarts[node], stopped)
 	case kindKillAll:
 		for each := range nodeCount {
-			i.ends[each] = append(i.ends[each], killed)
+			i.restarts[each] = append(i.restarts[each], killed)
 		}
 	case kindFreeze:
-		i.freezes[node] = append(i.freezes[node], span{now, now.Add(f.lasts + recovery)})
+		i.suspensions[node] = append(i.suspensions[node], span{now, now.Add(f.duration + recoveryTime)})
 	}
 	switch f.kind {
 	case kindStop, kindReplace:
-		i.stops[f.target] = append(i.stops[f.target], stopped)
+		i.plannedStops[f.target] = append(i.plannedStops[f.target], stopped)
 	case kindHangUp, kindChange, kindGrow, kindDrain, kindReplicaLeaves, kindReplicaLimits, kindReplicaPauses:
 	default:
-		i.disturbed = append(i.disturbed, span{now.Add(-contactBound), now.Add(f.lasts + recovery)})
+		i.unplanned = append(i.unplanned, span{now.Add(-storeRecoveryWindow), now.Add(f.duration + recoveryTime)})
 	}
 }
 
-// apply starts the fault and returns what ends it.
-func (i *injector) apply(f fault) (heal func()) {
+// start starts the fault and returns the function that ends it.
+func (i *injector) start(f fault) (heal func()) {
 	d := i.deployment
 	node, storeProxy := d.processes[f.target%nodeCount], d.storeProxies[f.target%nodeCount]
-	nothing := func() {}
+	noHeal := func() {}
 	switch f.kind {
 	case kindKill:
 		node.signal(syscall.SIGKILL, true)
@@ -95,7 +94,7 @@
 	case kindReplace:
 		node.replace()
 	case kindReplicasRefuse:
-		return i.refuse(f.target)
+		return i.rejectMost(f.target)
 	case kindStoreCopy:
 		return i.restoreStore()
 	case kindHangUp:
@@ -119,25 +118,26 @@
 	case kindCompact:
 		d.store.Compact()
 	case kindChange:
-		i.change()
+		i.replaceRoute()
 	case kindGrow:
-		i.grow()
+		i.addRoutes()
 	case kindDrain:
-		i.drain()
+		i.drainReplica()
 	case kindReplicaLeaves:
 		d.replicas[f.target].Say(platformsim.Pushback{Leaving: "1"})
 	case kindReplicaLimits:
-		d.replicas[f.target].Say(platformsim.Pushback{Limit: strconv.Itoa(f.perSecond)})
+		d.replicas[f.target].Say(platformsim.Pushback{Limit: strconv.Itoa(f.ratePerSecond)})
 	case kindReplicaPauses:
-		return pause(d.replicas[f.target])
+		return pauseReplica(d.replicas[f.target])
 	default:
-		return i.disturbReplica(f)
+		return i.degradeReplica(f)
 	}
-	return nothing
+	return noHeal
 }
 
-// refuse has all replicas of a service refuse two thirds of what they get.
-func (i *injector) refuse(target int) (heal func()) {
+// rejectMost makes all replicas of a service reject two thirds of their requests: of the registry
+// if target is odd, else of the engines.
+func (i *injector) rejectMost(target int) (heal func()) {
 	replicas := i.deployment.replicas[:engineCount]
 	if target%2 == 1 {
 		replicas = i.deployment.replicas[engineCount:]
@@ -158,12 +158,12 @@
 	}
 }
 
-// restAsked is the time for which a replica that refuses asks a node to pause, in seconds.
-const restAsked = "1.5"
+// pauseSeconds is the Retry-After of a replica that asks nodes to pause.
+const pauseSeconds = "1.5"
 
-// pause has the replica refuse everything and ask for a pause.
-func pause(replica *platformsim.Replica) (heal func()) {
-	replica.Say(platformsim.Pushback{RetryAfter: restAsked})
+// pauseReplica makes the replica reject all requests and ask for a pause.
+func pauseReplica(replica *platformsim.Replica) (heal func()) {
+	replica.Say(platformsim.Pushback{RetryAfter: pauseSeconds})
 	replica.SetBehavior(func(*http.Request) platformsim.Behavior { return platformsim.Shed })
 	return func() {
 		replica.SetBehavior(nil)
@@ -171,43 +171,43 @@
 	}
 }
 
-// rewriteTime is within which writers have written again what the store lost.
-const rewriteTime = 2 * time.Second
+// rewriteDelay is the time from the restore of the store until writers write their entries again.
+const rewriteDelay = 2 * time.Second
 
-// restoreStore has the store go away and, at the end, come back from a copy of before; its writers
-// write again.
+// restoreStore takes the store down. Healing restores it from a copy made earlier, after which its
+// entries are written again.
 func (i *injector) restoreStore() (heal func()) {
 	store := i.deployment.store
 	copied := store.Copy()
-	time.Sleep(time.Second) // in which changes are acknowledged that the copy lacks
+	time.Sleep(time.Second) // acknowledge changes that the copy lacks
 	store.SetDown(true)
 	return func() {
 		store.Restore(copied)
 		store.SetDown(false)
-		time.Sleep(rewriteTime)
-		i.deployment.writeAgain()
+		time.Sleep(rewriteDelay)
+		i.deployment.rewriteStore()
 	}
 }
 
-// disturbReplica lets one replica misbehave.
-func (i *injector) disturbReplica(f fault) (heal func()) {
-	number := f.target % engineCount * 2 // engines and plain replicas by turns
+// degradeReplica injects a replica fault into one replica.
+func (i *injector) degradeReplica(f fault) (heal func()) {
+	number := f.target % engineCount * 2 // alternate engines and plain replicas
 	number %= len(i.deployment.replicas)
-	replica, between := i.deployment.replicas[number], i.deployment.proxies[number]
+	replica, faultProxy := i.deployment.replicas[number], i.deployment.replicaProxies[number]
 	switch f.kind {
 	case kindReplicaReset, kindReplicaHang:
-		between.setMode(map[kind]mode{kindReplicaReset: modeReset, kindReplicaHang: modeHang}[f.kind])
-		return func() { between.setMode(modePass) }
+		faultProxy.setMode(map[kind]mode{kindReplicaReset: modeReset, kindReplicaHang: modeHang}[f.kind])
+		return func() { faultProxy.setMode(modePass) }
 	}
 	behaviors := map[kind]platformsim.Behavior{
 		kindReplicaGrey: platformsim.Fail, kindReplicaCut: platformsim.Cut, kindReplicaStray: platformsim.Stray,
 	}
-	replica.SetBehavior(everyThird(behaviors[f.kind]))
+	replica.SetBehavior(everyThirdRequest(behaviors[f.kind]))
 	return func() { replica.SetBehavior(nil) }
 }
 
-// everyThird treats one request in three so and answers the others.
-func everyThird(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
+// everyThirdRequest applies the behavior to every third request and answers the others.
+func everyThirdRequest(behavior platformsim.Behavior) func(*http.Request) platformsim.Behavior {
 	var count atomic.Int64
 	return func(*http.Request) platformsim.Behavior {
 		if count.Add(1)%3 == 0 {
@@ -217,55 +217,51 @@
 	}
 }
 
-// drain lets the last replica leave: it says so and serves on.
-func (i *injector) drain() {
+// drainReplica registers the last replica as draining; it continues to serve.
+func (i *injector) drainReplica() {
 	number := len(i.deployment.replicas) - 1
 	last := i.deployment.replicas[number]
 	i.deployment.mutex.Lock()
 	i.deployment.states[number] = "draining"
 	i.deployment.mutex.Unlock()
-	i.deployment.register(number)
+	i.deployment.registerReplica(number)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.drained, i.drainAt = last.ID, time.Now()
+	i.drainedReplica, i.drainedAt = last.ID, time.Now()
 }
 
-// change replaces the route 'stale' by the route 'fresh'.
-func (i *injector) change() {
+// replaceRoute replaces staleRouteName by freshRouteName in the configuration.
+func (i *injector) replaceRoute() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.changed = true
-	i.configure()
+	i.routeReplaced = true
+	i.writeConfiguration()
 }
 
-// Bounds of a growth of the configuration.
+// Growth of the configuration by one addRoutes.
 const (
-	// growthSteps is the number of changes in a series, growthPause the time between two,
-	// and growthRoutes the routes that each adds.
-	growthSteps  = 3
-	growthPause  = 300 * time.Millisecond
-	growthRoutes = 1400
-	// mostRoutes bounds the added routes of a run.
-	mostRoutes = 3 * growthSteps * growthRoutes
+	growthChanges   = 3
+	growthInterval  = 300 * time.Millisecond
+	routesPerChange = 1400
+	maxAddedRoutes  = 3 * growthChanges * routesPerChange
 )
 
-// grow adds many routes that no caller asks for.
-func (i *injector) grow() {
-	for range growthSteps {
+// addRoutes adds routes that receive no requests, in growthChanges changes.
+func (i *injector) addRoutes() {
+	for range growthChanges {
 		i.mutex.Lock()
-		i.deployment.added = min(i.deployment.added+growthRoutes, mostRoutes)
-		i.configure()
+		i.deployment.addedRoutes = min(i.deployment.addedRoutes+routesPerChange, maxAddedRoutes)
+		i.writeConfiguration()
 		i.mutex.Unlock()
-		time.Sleep(growthPause)
+		time.Sleep(growthInterval)
 	}
 }
 
-// configure writes the configuration that the changes so far amount to. The caller holds
-// the mutex.
-func (i *injector) configure() {
-	extra := staleRouteName
-	if i.changed {
-		extra = freshRouteName
+// writeConfiguration writes the configuration with all changes so far. The caller holds the mutex.
+func (i *injector) writeConfiguration() {
+	extraRoute := staleRouteName
+	if i.routeReplaced {
+		extraRoute = freshRouteName
 	}
-	i.deployment.configure(extra)
+	i.deployment.writeConfiguration(extraRoute)
 }
--- a/lab/soak/listen.go
+++ b/lab/soak/listen.go
@@ -8,19 +8,17 @@
 )
 
 const (
-	// listenLimit is how long an address may take to become free, and listenPause the time
-	// between two tries.
-	listenLimit = 5 * time.Second
-	listenPause = 20 * time.Millisecond
+	listenTimeout       = 5 * time.Second
+	listenRetryInterval = 20 * time.Millisecond
 )
 
-// listen listens at an address that the deployment before may have had. A listener that was
-// closed frees its address only when the goroutine that waits for connections has run once
-// more: beside load nine of 56 seeds were not played for it.
+// listen listens on a TCP address that a previous deployment may have used. A closed listener keeps
+// its address until its accept loop returns, so listen retries for up to listenTimeout while the
+// address is in use.
 func listen(address string) (net.Listener, error) {
-	for limit := time.Now().Add(listenLimit); ; time.Sleep(listenPause) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
 		listener, err := net.Listen("tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 	}
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -13,46 +13,47 @@
 const (
 	kindKill         kind = "kill"          // the process is killed
 	kindStop         kind = "stop"          // a planned stop
-	kindFreeze       kind = "freeze"        // the process stands still
+	kindFreeze       kind = "freeze"        // the process is suspended
 	kindHangUp       kind = "hup"           // the settings file changed
 	kindKillAll      kind = "kill-all"      // all processes are killed
-	kindStoreReset   kind = "store-reset"   // the store turns one node away
-	kindStoreHang    kind = "store-hang"    // the store says nothing to one node
+	kindStoreReset   kind = "store-reset"   // the store resets one node's connections
+	kindStoreHang    kind = "store-hang"    // the store answers nothing to one node
 	kindStoreDown    kind = "store-down"    // the store answers 503 to all
-	kindStoreLost    kind = "store-lost"    // answers of the store are lost
-	kindCompact      kind = "compact"       // the store forgets its history
+	kindStoreLost    kind = "store-lost"    // answers to transactions are lost
+	kindCompact      kind = "compact"       // the store drops its history
 	kindReplicaReset kind = "replica-reset" // connections to a replica are reset
-	kindReplicaHang  kind = "replica-hang"  // a replica is silent
+	kindReplicaHang  kind = "replica-hang"  // a replica answers nothing
 	kindReplicaGrey  kind = "replica-grey"  // a replica fails every third request
 	kindReplicaCut   kind = "replica-cut"   // a replica cuts every third answer
-	kindReplicaStray kind = "replica-stray" // a replica sends the answers of others
-	kindDrain        kind = "drain"         // a replica leaves
+	kindReplicaStray kind = "replica-stray" // a replica sends the answers to other requests
+	kindDrain        kind = "drain"         // a replica registers as draining
 	kindChange       kind = "change"        // the operator changes the configuration
 	kindGrow         kind = "grow"          // the operator adds many routes, in several changes
 )
 
-// kinds are all kinds that a plan draws from.
+// kinds are the kinds that a plan draws from by default.
 var kinds = []kind{
 	kindKill, kindStop, kindFreeze, kindHangUp, kindKillAll, kindStoreReset, kindStoreHang, kindStoreDown, kindStoreLost, kindCompact,
 	kindReplicaReset, kindReplicaHang, kindReplicaGrey, kindReplicaCut, kindReplicaStray, kindDrain, kindChange, kindGrow,
 }
 
-// Kinds beside those of every plan.
+// Kinds of plans with Options.Bounds, Previous or Pushback.
 const (
-	kindReplicasRefuse kind = "replicas-refuse" // all replicas of a service refuse most requests
-	kindStoreCopy      kind = "store-copy"      // the store goes away and comes back from a copy
-	kindReplace        kind = "replace"         // a process is stopped and the other version started
-	kindReplicaLeaves  kind = "replica-leaves"  // a replica says in its answers that it leaves
-	kindReplicaLimits  kind = "replica-limits"  // a replica names the rate that it takes
-	kindReplicaPauses  kind = "replica-pauses"  // a replica refuses and asks nodes to pause
+	kindReplicasRefuse kind = "replicas-refuse" // all replicas of a service reject most requests
+	kindStoreCopy      kind = "store-copy"      // the store goes down and is restored from a copy
+	kindReplace        kind = "replace"         // a process is stopped and the other version starts
+	kindReplicaLeaves  kind = "replica-leaves"  // a replica sends Server-Leaving
+	kindReplicaLimits  kind = "replica-limits"  // a replica sends Server-Limit
+	kindReplicaPauses  kind = "replica-pauses"  // a replica rejects requests with Retry-After
 )
 
-// boundKinds strike what bounds all nodes together, and those who keep the bounds.
+// boundKinds affect the bounds that hold for all nodes together, and the nodes that enforce them.
+// A kind that is listed twice is drawn twice as often.
 var boundKinds = []kind{kindReplicasRefuse, kindReplicasRefuse, kindKill, kindStop, kindStop, kindFreeze, kindKillAll, kindStoreReset, kindChange, kindDrain}
 
-// kindsOf returns what the plan of a run draws from. Versions that know no eras are not confronted
-// with a store that comes back from a copy.
-func kindsOf(options *Options) []kind {
+// kindsFor returns the kinds that the plan of a run draws from. Runs with a previous version, which
+// may not know eras, exclude restores of the store.
+func kindsFor(options *Options) []kind {
 	switch {
 	case !options.Bounds:
 		return kinds
@@ -62,30 +63,32 @@
 	return append(append([]kind{}, boundKinds...), kindStoreCopy, kindStoreCopy)
 }
 
-// replacements returns the steps by which every node is replaced by the other version, and again,
-// so that both run side by side most of the time.
-func replacements(traffic time.Duration, nodes int) []fault {
+// replacementFaults returns faults that replace every node by the other version, one after the other,
+// and then back, so that both versions run at the same time.
+func replacementFaults(traffic time.Duration, nodes int) []fault {
 	var plan []fault
 	steps := 2 * nodes
 	for step := range steps {
-		plan = append(plan, fault{kind: kindReplace, at: traffic * time.Duration(step+1) / time.Duration(steps+2), target: step % nodes})
+		plan = append(plan, fault{kind: kindReplace, offset: traffic * time.Duration(step+1) / time.Duration(steps+2), target: step % nodes})
 	}
 	return plan
 }
 
-// pushbacks returns faults by which replicas hold requests back in their answers, each of a replica of
-// its own. One that left or named its rate goes on saying so to the end.
-func pushbacks(seed uint64, traffic time.Duration) []fault {
+// pushbackFaults returns faults in which replicas send pushback, each kind at other replicas. A leave
+// or a rate limit lasts until the end of the run.
+func pushbackFaults(seed uint64, traffic time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, ^seed))
-	at := func() time.Duration { return time.Duration((earliestFault + random.Float64()/3) * float64(traffic)) }
-	engines, registry := random.Perm(engineCount), random.Perm(registryCount-1) // the last one drains
+	offset := func() time.Duration {
+		return time.Duration((minFaultStartShare + random.Float64()/3) * float64(traffic))
+	}
+	engines, registry := random.Perm(engineCount), random.Perm(registryCount-1) // the last one is left for drains
 	plan := []fault{
-		{kind: kindReplicaLeaves, at: at(), target: engines[0]},
-		{kind: kindReplicaLimits, at: at(), target: engines[1], perSecond: 1 + random.IntN(8)},
-		{kind: kindReplicaLimits, at: at(), target: engineCount + registry[0], perSecond: 1 + random.IntN(8)},
+		{kind: kindReplicaLeaves, offset: offset(), target: engines[0]},
+		{kind: kindReplicaLimits, offset: offset(), target: engines[1], ratePerSecond: 1 + random.IntN(8)},
+		{kind: kindReplicaLimits, offset: offset(), target: engineCount + registry[0], ratePerSecond: 1 + random.IntN(8)},
 	}
 	for range 2 {
-		plan = append(plan, fault{kind: kindReplicaPauses, at: at(), lasts: time.Duration(shortestFault+random.IntN(longestFault)) * time.Millisecond, target: engineCount + registry[1]})
+		plan = append(plan, fault{kind: kindReplicaPauses, offset: offset(), duration: time.Duration(minFaultMS+random.IntN(maxFaultMS)) * time.Millisecond, target: engineCount + registry[1]})
 	}
 	return plan
 }
@@ -93,50 +96,49 @@
 // fault is one entry of a plan.
 type fault struct {
 	kind kind
-	// at is the time from the start of traffic, and lasts how long it holds.
-	at, lasts time.Duration
-	// target is a node or a replica, by number.
+	// offset is the time from the start of traffic to the start of the fault.
+	offset, duration time.Duration
+	// target is the number of a node or a replica.
 	target int
-	// perSecond is the rate that a replica names.
-	perSecond int
+	// ratePerSecond is the limit that a replica sends, in requests per second.
+	ratePerSecond int
 }
 
-// String names the fault for reports.
 func (f fault) String() string {
-	return fmt.Sprintf("%.1fs %s #%d for %.1fs", f.at.Seconds(), f.kind, f.target, f.lasts.Seconds())
+	return fmt.Sprintf("%.1fs %s #%d for %.1fs", f.offset.Seconds(), f.kind, f.target, f.duration.Seconds())
 }
 
-// Bounds of a plan, as parts of the time of traffic and in milliseconds.
+// Bounds of a plan. Shares are of the duration of traffic.
 const (
-	earliestFault  = 0.05
-	latestFault    = 0.75
-	shortestFault  = 300
-	longestFault   = 2500
-	mostDrains     = 1
-	faultsASecond  = 0.8
-	smallestNumber = 3
+	minFaultStartShare = 0.05
+	maxFaultStartShare = 0.75
+	minFaultMS         = 300
+	maxFaultMS         = 2500
+	maxDrains          = 1
+	faultsPerSecond    = 0.8
+	minFaults          = 3
 )
 
-// newPlan draws the faults of a run from the seed.
+// newPlan draws the faults of a run from the seed, sorted by offset.
 func newPlan(seed uint64, traffic time.Duration, nodes int, kinds []kind) []fault {
 	random := rand.New(rand.NewPCG(seed, seed))
-	count := max(smallestNumber, int(traffic.Seconds()*faultsASecond))
+	count := max(minFaults, int(traffic.Seconds()*faultsPerSecond))
 	var plan []fault
 	drains := 0
 	for range count {
-		drawn := fault{
-			kind:   kinds[random.IntN(len(kinds))],
-			at:     time.Duration((earliestFault + (latestFault-earliestFault)*random.Float64()) * float64(traffic)),
-			lasts:  time.Duration(shortestFault+random.IntN(longestFault-shortestFault)) * time.Millisecond,
-			target: random.IntN(nodes),
+		planned := fault{
+			kind:     kinds[random.IntN(len(kinds))],
+			offset:   time.Duration((minFaultStartShare + (maxFaultStartShare-minFaultStartShare)*random.Float64()) * float64(traffic)),
+			duration: time.Duration(minFaultMS+random.IntN(maxFaultMS-minFaultMS)) * time.Millisecond,
+			target:   random.IntN(nodes),
 		}
-		if drawn.kind == kindDrain {
-			if drains++; drains > mostDrains {
-				continue // some replica of each service has to stay
+		if planned.kind == kindDrain {
+			if drains++; drains > maxDrains {
+				continue // keep replicas of the registry available
 			}
 		}
-		plan = append(plan, drawn)
+		plan = append(plan, planned)
 	}
-	sort.Slice(plan, func(i, j int) bool { return plan[i].at < plan[j].at })
+	sort.Slice(plan, func(i, j int) bool { return plan[i].offset < plan[j].offset })
 	return plan
 }
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -15,33 +15,33 @@
 	"github.com/thornwalk/thornwalk/entry"
 )
 
-// settingsVariable names the environment variable with the settings file's path.
-const settingsVariable = "THORNWALK_CONFIG"
+// settingsPathVariable is the environment variable with the settings file's path.
+const settingsPathVariable = "THORNWALK_CONFIG"
 
-// restartDelay is the time from the end of a process to its next start.
+// restartDelay is the time from the exit of a process to its next start.
 const restartDelay = 200 * time.Millisecond
 
-// process is one daemon on its machine, started again whenever it ends.
+// process is one daemon, which is restarted whenever it exits.
 type process struct {
-	// daemon is the version that is started next, and other the one that replaces it.
-	daemon, other string
-	settings      *entry.Settings
-	path          string
-	log           io.Writer
+	// daemon is the path of the version that is started next, alternate that of the other version.
+	daemon, alternate string
+	settings          *entry.Settings
+	path              string
+	log               io.Writer
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// expected is true while the process was told to end.
-	expected bool
-	closed   bool
-	// failures are ends that nobody asked for.
-	failures []string
-	done     sync.WaitGroup
+	// exitExpected is true after a signal that ends the process.
+	exitExpected bool
+	closed       bool
+	// failures describe unexpected exits and failed starts.
+	failures    []string
+	supervisors sync.WaitGroup
 }
 
-// newProcess writes the settings file and starts the daemon.
-func newProcess(daemon, other, folder string, settings *entry.Settings, log io.Writer) (*process, error) {
-	p := &process{daemon: daemon, other: other, settings: settings, path: filepath.Join(folder, settings.Name+".yaml"), log: log}
+// newProcess writes the settings file into the folder and starts the daemon.
+func newProcess(daemon, alternate, folder string, settings *entry.Settings, log io.Writer) (*process, error) {
+	p := &process{daemon: daemon, alternate: alternate, settings: settings, path: filepath.Join(folder, settings.Name+".yaml"), log: log}
 	if err := p.writeSettings(); err != nil {
 		return nil, err
 	}
@@ -56,29 +56,30 @@
 	return os.WriteFile(p.path, content, 0o600)
 }
 
-// start starts the daemon and watches for its end.
+// start starts the daemon and a goroutine that awaits its exit.
 func (p *process) start() error {
 	p.mutex.Lock()
 	daemon := p.daemon
 	p.mutex.Unlock()
 	command := exec.Command(daemon, "entry")
-	command.Env = append(os.Environ(), settingsVariable+"="+p.path)
+	command.Env = append(os.Environ(), settingsPathVariable+"="+p.path)
 	command.Stdout, command.Stderr = p.log, p.log
 	if err := command.Start(); err != nil {
 		return err
 	}
 	p.mutex.Lock()
-	p.command, p.expected = command, false
+	p.command, p.exitExpected = command, false
 	p.mutex.Unlock()
-	p.done.Go(func() { p.await(command) })
+	p.supervisors.Go(func() { p.awaitExit(command) })
 	return nil
 }
 
-// await notes an end that nobody asked for, and starts the daemon again.
-func (p *process) await(command *exec.Cmd) {
+// awaitExit waits for the exit, records an unexpected one and starts the daemon again unless the
+// process is closed.
+func (p *process) awaitExit(command *exec.Cmd) {
 	err := command.Wait()
 	p.mutex.Lock()
-	if !p.expected {
+	if !p.exitExpected {
 		p.failures = append(p.failures, fmt.Sprintf("%s ended by itself: %v", p.settings.Name, err))
 	}
 	closed := p.closed
@@ -95,42 +96,42 @@
 		return
 	}
 	if err := p.writeSettings(); err != nil {
-		p.fail(err)
+		p.recordFailure(err)
 		return
 	}
 	if err := p.start(); err != nil {
-		p.fail(err)
+		p.recordFailure(err)
 	}
 }
 
-func (p *process) fail(err error) {
+func (p *process) recordFailure(err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.failures = append(p.failures, err.Error())
 }
 
-// signal sends a signal to the present process; ends says that it ends by it.
-func (p *process) signal(which syscall.Signal, ends bool) {
+// signal sends a signal to the running process; exits says that the process exits on it.
+func (p *process) signal(which syscall.Signal, exits bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.expected = p.expected || ends
+	p.exitExpected = p.exitExpected || exits
 	_ = p.command.Process.Signal(which)
 }
 
-// replace has the other version start in place of the present one, which is stopped.
+// replace stops the running version, so that the other version starts in its place.
 func (p *process) replace() {
 	p.mutex.Lock()
-	p.daemon, p.other = p.other, p.daemon
+	p.daemon, p.alternate = p.alternate, p.daemon
 	p.mutex.Unlock()
 	p.signal(syscall.SIGTERM, true)
 }
 
-// close ends the process for good.
+// close kills the process without a restart and waits until it is gone.
 func (p *process) close() {
 	p.mutex.Lock()
-	p.closed, p.expected = true, true
+	p.closed, p.exitExpected = true, true
 	_ = p.command.Process.Signal(syscall.SIGCONT)
 	_ = p.command.Process.Kill()
 	p.mutex.Unlock()
-	p.done.Wait()
+	p.supervisors.Wait()
 }
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -10,48 +10,48 @@
 type mode int
 
 const (
-	// modePass passes everything on.
+	// modePass forwards all bytes.
 	modePass mode = iota
-	// modeReset closes new and present connections at once.
+	// modeReset closes new and existing connections at once.
 	modeReset
-	// modeHang passes nothing on and closes nothing.
+	// modeHang forwards nothing and keeps connections open.
 	modeHang
 )
 
-// proxy stands on loopback between daemons and one stand-in.
+// proxy forwards connections from daemons to one stand-in. It is safe for concurrent use.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mutex  sync.Mutex
-	mode   mode
-	passed chan struct{} // closed while bytes may pass
-	conns  map[net.Conn]bool
+	mutex   sync.Mutex
+	mode    mode
+	flowing chan struct{} // closed unless the mode is modeHang
+	conns   map[net.Conn]bool
 }
 
-// newProxy listens at the address and leads to the target.
+// newProxy listens on the address and forwards connections to the target.
 func newProxy(address, target string) (*proxy, error) {
 	listener, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, passed: make(chan struct{}), conns: map[net.Conn]bool{}}
-	close(p.passed)
+	p := &proxy{listener: listener, target: target, flowing: make(chan struct{}), conns: map[net.Conn]bool{}}
+	close(p.flowing)
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// setMode changes the treatment of connections from now on.
+// setMode sets the mode for new and existing connections.
 func (p *proxy) setMode(next mode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.mode == modeHang && next != modeHang {
-		close(p.passed)
+		close(p.flowing)
 	}
 	if p.mode != modeHang && next == modeHang {
-		p.passed = make(chan struct{})
+		p.flowing = make(chan struct{})
 	}
 	p.mode = next
 	if next == modeReset {
@@ -67,14 +67,15 @@
 		if err != nil {
 			return
 		}
-		if p.enter(conn) {
+		if p.track(conn) {
 			go p.serve(conn)
 		}
 	}
 }
 
-// enter registers the connection, or closes it while the proxy resets.
-func (p *proxy) enter(conn net.Conn) bool {
+// track registers the connection and returns true. In modeReset it closes the connection and returns
+// false.
+func (p *proxy) track(conn net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.mode == modeReset {
@@ -85,39 +86,39 @@
 	return true
 }
 
-func (p *proxy) leave(conn net.Conn) {
+func (p *proxy) closeConn(conn net.Conn) {
 	_ = conn.Close()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, conn)
 }
 
-func (p *proxy) serve(inner net.Conn) {
-	defer p.leave(inner)
-	outer, err := net.Dial("tcp", p.target)
-	if err != nil || !p.enter(outer) {
+func (p *proxy) serve(client net.Conn) {
+	defer p.closeConn(client)
+	server, err := net.Dial("tcp", p.target)
+	if err != nil || !p.track(server) {
 		return
 	}
-	defer p.leave(outer)
+	defer p.closeConn(server)
 	done := make(chan struct{}, 2)
-	for _, pair := range [][2]net.Conn{{inner, outer}, {outer, inner}} {
+	for _, pair := range [][2]net.Conn{{client, server}, {server, client}} {
 		go func() {
-			p.pass(pair[0], pair[1])
+			p.copyBytes(pair[0], pair[1])
 			done <- struct{}{}
 		}()
 	}
 	<-done
 }
 
-// pass copies bytes one way until either side closes.
-func (p *proxy) pass(from io.Reader, to io.Writer) {
+// copyBytes copies in one direction until either side closes. In modeHang it blocks.
+func (p *proxy) copyBytes(from io.Reader, to io.Writer) {
 	buffer := make([]byte, 16<<10)
 	for {
 		count, err := from.Read(buffer)
 		p.mutex.Lock()
-		passed := p.passed
+		flowing := p.flowing
 		p.mutex.Unlock()
-		<-passed
+		<-flowing
 		if count > 0 {
 			if _, err := to.Write(buffer[:count]); err != nil {
 				return
@@ -129,7 +130,7 @@
 	}
 }
 
-// close ends the proxy and all its connections.
+// close closes the listener and all connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.setMode(modeReset)
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -9,57 +9,57 @@
 	"time"
 )
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
 	// Daemon is the path of the built thornwalkd.
 	Daemon string
-	// Seed decides the faults.
+	// Seed determines the plan of faults.
 	Seed uint64
-	// Traffic is how long requests are sent, at Rate a second.
+	// Traffic is how long requests are sent, Rate their number per second.
 	Traffic time.Duration
 	Rate    float64
-	// Block is the first three numbers of the loopback addresses, as 127.0.8; runs
-	// beside each other need blocks of their own.
+	// Block is the first three numbers of the loopback addresses, such as 127.0.8. Concurrent runs
+	// need different blocks.
 	Block string
-	// Previous is the path of another version of thornwalkd, which all nodes run at first; they
-	// are replaced one after the other, forth and back. Empty plays one version.
+	// Previous is the path of another version of thornwalkd, which all nodes run at first. They are
+	// replaced one after the other by Daemon and then back. Empty runs Daemon only.
 	Previous string
-	// Bounds plays faults against the bounds of repeats and quotas and against the store, in
-	// place of the usual mix, and gives the tenant a quota that it exceeds.
+	// Bounds replaces the default kinds of faults by those that affect the retry and quota bounds
+	// and the store, and gives the tenant a quota that it exceeds.
 	Bounds bool
-	// Pushback has replicas hold requests back by what they say in their answers, beside the other
-	// faults.
+	// Pushback adds faults in which replicas send pushback.
 	Pushback bool
-	// LogFolder takes the lines of the daemons; empty drops them.
+	// LogFolder is where the daemons' logs are written; empty discards them.
 	LogFolder string
 }
 
-// Result is what one run showed.
+// Result is the outcome of one run.
 type Result struct {
-	Seed       uint64
-	Faults     []string
+	Seed   uint64
+	Faults []string
+	// Counts is the number of requests by outcome.
 	Counts     map[string]int
 	Violations []string
-	// Worst tells how near the bounds on all nodes together the run came.
+	// Worst describes, by bound, the window that came closest to it or exceeded it most.
 	Worst map[string]string
 }
 
 const (
-	// startLimit is how long the daemons may take to become ready.
-	startLimit = 10 * time.Second
-	// settleTime is given after the last fault before all must be well.
-	settleTime = 6 * time.Second
-	pollTime   = 50 * time.Millisecond
+	startTimeout = 10 * time.Second
+	// settleTime is the time from the last fault until the checks expect a healthy deployment.
+	settleTime   = 6 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// Run plays one seed.
+// Run starts a deployment, sends requests while it injects the faults of the seed's plan, and checks
+// the promises. Broken promises are in the result; an error means that the run could not start.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	folder, err := os.MkdirTemp("", "thornwalk-soak")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	d, err := newDeployment(&options, folder)
+	d, err := startDeployment(&options, folder)
 	defer d.close()
 	if err != nil {
 		return nil, err
@@ -68,37 +68,37 @@
 		return nil, err
 	}
 	c := &callers{block: options.Block, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}}
-	i := &injector{deployment: d, begun: time.Now(), stops: map[int][]span{}, ends: map[int][]span{}, freezes: map[int][]span{}}
-	plan := newPlan(options.Seed, options.Traffic, nodeCount, kindsOf(&options))
+	i := &injector{deployment: d, startedAt: time.Now(), plannedStops: map[int][]span{}, restarts: map[int][]span{}, suspensions: map[int][]span{}}
+	plan := newPlan(options.Seed, options.Traffic, nodeCount, kindsFor(&options))
 	if options.Previous != "" {
-		plan = append(plan, replacements(options.Traffic, nodeCount)...)
+		plan = append(plan, replacementFaults(options.Traffic, nodeCount)...)
 	}
 	if options.Pushback {
-		plan = append(plan, pushbacks(options.Seed, options.Traffic)...)
+		plan = append(plan, pushbackFaults(options.Seed, options.Traffic)...)
 	}
-	sort.SliceStable(plan, func(i, j int) bool { return plan[i].at < plan[j].at })
+	sort.SliceStable(plan, func(i, j int) bool { return plan[i].offset < plan[j].offset })
 	done := make(chan struct{})
 	go func() { i.run(plan); close(done) }()
-	c.send(ctx, options.Traffic, options.Rate)
+	c.sendTraffic(ctx, options.Traffic, options.Rate)
 	<-done
 	time.Sleep(settleTime)
 	result := &Result{Seed: options.Seed, Counts: map[string]int{}, Worst: map[string]string{}}
 	for _, planned := range plan {
 		result.Faults = append(result.Faults, planned.String())
 	}
-	judge(result, &options, d, c, i)
+	checkRun(result, &options, d, c, i)
 	return result, nil
 }
 
-// awaitReady waits until every daemon would get requests.
+// awaitReady waits until every daemon reports ready, for at most startTimeout.
 func awaitReady(ctx context.Context, block string) error {
-	limit := time.Now().Add(startLimit)
+	deadline := time.Now().Add(startTimeout)
 	for number := range nodeCount {
-		for !isReady(at(block, number+1, readinessPort)) {
-			if time.Now().After(limit) || ctx.Err() != nil {
-				return fmt.Errorf("node %d is not ready after %s: look at its lines with -log", number, startLimit)
+		for !isReady(hostAddress(block, number+1, readinessPort)) {
+			if time.Now().After(deadline) || ctx.Err() != nil {
+				return fmt.Errorf("start node %d: not ready within %s; see its log with -log", number, startTimeout)
 			}
-			time.Sleep(pollTime)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
