--- a/lab/entrylab/keeper.go
+++ b/lab/entrylab/keeper.go
@@ -35,7 +35,7 @@
 	ends         []time.Time
 }
 
-// Keep starts the keeper's replica on the host, until the deployment stops.
+// Keep starts the keeper's replica on the host. It restarts until the deployment stops.
 func (d *Deployment) Keep(host string, keeper *Keeper) error {
 	keeper.deployment, keeper.host = d, host
 	return keeper.start()
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -149,10 +149,10 @@
 		}
 	}
 	allowed := (d.rate*quotaWindow.Seconds()+d.burst)*(1+quotaOverage) + quotaSlack
-	begins, worst := checker.Worst(used, quotaWindow)
+	start, worst := checker.Worst(used, quotaWindow)
 	result.Worst["tokens"] = fmt.Sprintf("%.0f tokens of %.0f allowed", worst, allowed)
 	if worst > allowed {
-		violate("the tenant got %.0f tokens of %.0f allowed in %v from %v on", worst, allowed, quotaWindow, begins)
+		violate("the tenant got %.0f tokens of %.0f allowed in %v from %v on", worst, allowed, quotaWindow, start)
 	}
 }
 
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -191,7 +191,7 @@
 
 // degradeReplica injects a replica fault into one replica.
 func (i *injector) degradeReplica(f fault) (heal func()) {
-	number := f.target % engineCount * 2 // alternate engines and plain replicas
+	number := f.target % engineCount * 2 // two engines and one plain replica
 	number %= len(i.deployment.replicas)
 	replica, faultProxy := i.deployment.replicas[number], i.deployment.replicaProxies[number]
 	switch f.kind {
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -74,8 +74,8 @@
 	return plan
 }
 
-// pushbackFaults returns faults in which replicas send pushback, each kind at other replicas. A leave
-// or a rate limit lasts until the end of the run.
+// pushbackFaults returns faults in which replicas send pushback, each kind at different replicas.
+// Leaving and rate limits last until the end of the run.
 func pushbackFaults(seed uint64, traffic time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, ^seed))
 	offset := func() time.Duration {
