--- a/cmd/thornwalk/barred.go
+++ b/cmd/thornwalk/barred.go
@@ -19,7 +19,7 @@
 			if len(arguments) != 1 {
 				return fmt.Errorf("name one request by its fingerprint, from the column content of thornwalk barred")
 			}
-			if err := o.client().Lift(ctx, arguments[0]); err != nil {
+			if err := o.client().Unblock(ctx, arguments[0]); err != nil {
 				return err
 			}
 			fmt.Println("lifted; it is barred again if three more replicas end under it")
--- a/cmd/thornwalk/config.go
+++ b/cmd/thornwalk/config.go
@@ -296,7 +296,7 @@
 	sort.Slice(zones, func(i, j int) bool { return zones[i].Zone < zones[j].Zone })
 	var rows [][]string
 	for _, zone := range zones {
-		rows = append(rows, []string{zone.Zone, strings.Join(zone.InForce, " "), strings.Join(zone.Behind, " "), strings.Join(zone.Unheard, " "), fmt.Sprint(zone.CutOff)})
+		rows = append(rows, []string{zone.Zone, strings.Join(zone.Active, " "), strings.Join(zone.Behind, " "), strings.Join(zone.Unreported, " "), fmt.Sprint(zone.Unreachable)})
 	}
 	fmt.Printf("after %s:\n", time.Since(start).Round(time.Millisecond))
 	return o.print(zones, []string{"zone", "in force", "behind", "not heard of", "cut off"}, rows)
@@ -306,7 +306,7 @@
 // none that are behind.
 func isActiveEverywhere(zones []node.ZoneSpread) bool {
 	for _, zone := range zones {
-		if !zone.CutOff && (len(zone.Behind) > 0 || len(zone.InForce) == 0) {
+		if !zone.Unreachable && (len(zone.Behind) > 0 || len(zone.Active) == 0) {
 			return false
 		}
 	}
--- a/cmd/thornwalk/inspect.go
+++ b/cmd/thornwalk/inspect.go
@@ -29,9 +29,9 @@
 			}
 			rows := [][]string{
 				{"node", status.Node}, {"zone", status.Zone}, {"ready", fmt.Sprint(status.Ready)}, {"draining", fmt.Sprint(status.Draining)},
-				{"generation", fmt.Sprint(status.Generation)}, {"store answers", fmt.Sprint(status.StoreUp)},
+				{"generation", fmt.Sprint(status.Generation)}, {"store answers", fmt.Sprint(status.StoreHealthy)},
 				{"live nodes of the zone", fmt.Sprint(status.LiveNodes)}, {"in flight", fmt.Sprint(status.InFlight)},
-				{"waiting", fmt.Sprint(status.Waiting)}, {"keys kept", fmt.Sprint(status.Keys)}, {"heap bytes", fmt.Sprint(status.HeapBytes)},
+				{"waiting", fmt.Sprint(status.Queued)}, {"keys kept", fmt.Sprint(status.Keys)}, {"heap bytes", fmt.Sprint(status.HeapBytes)},
 			}
 			for service, floor := range status.Floors {
 				rows = append(rows, []string{"floor of " + service, floorText(floor)})
--- a/cmd/thornwalk/rollout.go
+++ b/cmd/thornwalk/rollout.go
@@ -34,7 +34,7 @@
 func rolloutRows(status *entry.Status, rollout entry.RolloutStatus) [][]string {
 	rows := [][]string{
 		{"service", rollout.Service}, {"target version", rollout.Target}, {"step", rollout.Step}, {"why", rollout.Reason},
-		{"time left, ms", fmt.Sprint(rollout.Left)}, {"requests since the order", fmt.Sprint(rollout.Requests)},
+		{"time left, ms", fmt.Sprint(rollout.RemainingMS)}, {"requests since the order", fmt.Sprint(rollout.Requests)},
 		{"of these to the target at most, until judged", fmt.Sprint(rollout.Exposed)},
 		{"versions not used", fmt.Sprint(rollout.Excluded)}, {"stepped by", status.Scheduler},
 	}
--- a/cmd/thornwalkd/entry.go
+++ b/cmd/thornwalkd/entry.go
@@ -64,7 +64,7 @@
 			}
 			reloadEntrySettings(node, path, log, true)
 		case <-poll.C:
-			bootClock.Look()
+			bootClock.CheckSuspension()
 			reloadEntrySettings(node, path, log, false)
 		}
 	}
--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -223,7 +223,7 @@
 	queued.suspects = s.shareSuspects(&queued.Request)
 	s.queued[request.ID] = queued
 	pool.queue = append(pool.queue, queued)
-	pool.canaryBudget.Ask(request.Route)
+	pool.canaryBudget.RecordEligible(request.Route)
 }
 
 // Cancel removes a request from the queue without a decision. It does nothing if the request is not
@@ -254,21 +254,21 @@
 }
 
 // Count is the state of one service as operators see it.
-type Count struct {
+type ServiceStatus struct {
 	Queued int `json:"waiting"`
 	// InFlight counts the reported requests by replica.
 	InFlight map[string]int `json:"used"`
 }
 
 // Counts returns the state of every service by name.
-func (s *Scheduler) Counts() map[string]Count {
-	counts := map[string]Count{}
+func (s *Scheduler) Counts() map[string]ServiceStatus {
+	counts := map[string]ServiceStatus{}
 	for name, pool := range s.pools {
 		inFlight := map[string]int{}
 		for _, state := range pool.replicas {
 			inFlight[state.entry.ID] = state.reportedInFlight()
 		}
-		counts[name] = Count{Queued: len(pool.queue), InFlight: inFlight}
+		counts[name] = ServiceStatus{Queued: len(pool.queue), InFlight: inFlight}
 	}
 	return counts
 }
--- a/coordination/admission/assignments.go
+++ b/coordination/admission/assignments.go
@@ -25,14 +25,14 @@
 
 // Completion describes an assigned request that ended.
 type Completion struct {
-	Content                 fingerprint.Fingerprint
+	Fingerprint             fingerprint.Fingerprint
 	Service, Route, Replica string
 	// Version is the replica's.
 	Version string
 	// Prompt is the number of prompt tokens.
 	Prompt int
 	// Placed is the time of the assignment.
-	Placed structs.Instant
+	AssignedAt structs.Instant
 }
 
 // Finish removes the assignment of a request and learns the replica's health and speed from its end.
@@ -42,7 +42,7 @@
 	if !found {
 		return Completion{}, false
 	}
-	ended := Completion{Content: assignment.fingerprint, Service: assignment.service, Route: assignment.route, Replica: assignment.replicaID, Version: assignment.version, Prompt: assignment.promptTokens, Placed: assignment.assignedAt}
+	ended := Completion{Fingerprint: assignment.fingerprint, Service: assignment.service, Route: assignment.route, Replica: assignment.replicaID, Version: assignment.version, Prompt: assignment.promptTokens, AssignedAt: assignment.assignedAt}
 	s.removeAssignment(id)
 	if !seen.Left && !assignment.late {
 		s.recordOutcome(now, assignment.service, assignment.replicaID, seen.Failed)
@@ -58,7 +58,7 @@
 
 // Observe learns the replica's speed from a request that another scheduler assigned, so that this one
 // knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
-func (s *Scheduler) Observe(now structs.Instant, service, replica string, prompt int, seen Observation) {
+func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, seen Observation) {
 	if seen.Failed || seen.Left || seen.Duration <= 0 {
 		return
 	}
--- a/coordination/admission/canary.go
+++ b/coordination/admission/canary.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	pool := s.pool(request.Service)
-	if pool.canaryBudget.Spent() || !pool.canaryBudget.Fair(request.Route) {
+	if pool.canaryBudget.IsExhausted() || !pool.canaryBudget.AllowsRoute(request.Route) {
 		return nil
 	}
 	pauses := s.pauses[pauseKey{request.Node, request.Service}]
@@ -87,7 +87,7 @@
 			continue
 		}
 		if canary.inFlight < canary.maxInFlight && !canary.isUnhealthy && !slices.Contains(request.Doubted, canary.state.entry.ID) && canary.canFinish(request.Answer, remaining) {
-			pool.canaryBudget.Spend(request.Route)
+			pool.canaryBudget.Consume(request.Route)
 			return canary
 		}
 	}
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -100,7 +100,7 @@
 
 // decideRequest decides one request, and returns false if it stays queued.
 func (s *Scheduler) decideRequest(now structs.Instant, request *queuedRequest, snapshot *poolSnapshot, queuedAhead int) (Decision, bool) {
-	decision := Decision{ID: request.ID, Waited: now - request.submittedAt, QueuedAhead: queuedAhead, Free: snapshot.freeSlots, Expected: snapshot.expectedWait(queuedAhead)}
+	decision := Decision{ID: request.ID, Waited: now - request.submittedAt, QueuedAhead: queuedAhead, FreeSlots: snapshot.freeSlots, ExpectedWait: snapshot.expectedWait(queuedAhead)}
 	if canary := s.chooseCanary(now, request, snapshot, request.Deadline-decision.Waited); canary != nil {
 		s.assign(now, request, canary, &decision)
 		return decision, true
@@ -133,7 +133,7 @@
 		s.assign(now, request, replica, &decision)
 		return decision, true
 	}
-	expectedWait := decision.Expected
+	expectedWait := decision.ExpectedWait
 	decision.RetryAfter = retryAfter(expectedWait, remaining)
 	if decision.Waited >= request.Patience {
 		decision.Reason = ReasonNoSlot
--- a/coordination/admission/decide_bench_test.go
+++ b/coordination/admission/decide_bench_test.go
@@ -28,7 +28,7 @@
 	for i, replica := range all {
 		for event := range 10 {
 			prompt := 500 * (event%4 + 1)
-			s.Observe(0, "s", replica.ID, prompt, Observation{
+			s.ObserveExternal(0, "s", replica.ID, prompt, Observation{
 				FirstEvent: 60*time.Millisecond + time.Duration(prompt)*30*time.Microsecond,
 				Duration:   time.Second, Events: 20, Stride: 6,
 			})
--- a/coordination/admission/messages.go
+++ b/coordination/admission/messages.go
@@ -98,8 +98,8 @@
 	Waited time.Duration
 	// QueuedAhead is the number of requests before it, Free the number of free slots of healthy replicas
 	// and Expected the expected wait, all at the time of the decision.
-	QueuedAhead, Free int
-	Expected          time.Duration
+	QueuedAhead, FreeSlots int
+	ExpectedWait           time.Duration
 }
 
 // Observation describes how an assigned request ended.
--- a/coordination/admission/prefill_test.go
+++ b/coordination/admission/prefill_test.go
@@ -82,13 +82,13 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(4, 4))
-	s.Observe(0, "s", "r0", 100, Observation{FirstEvent: 100 * ms, Duration: 1100 * ms, Events: 11, Stride: 1})
-	s.Observe(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r0", 100, Observation{FirstEvent: 100 * ms, Duration: 1100 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
 	s.Submit(0, promptRequest("a", 1000))
 	decisions := s.Decide(0)
 	g.Expect(decisions).To(gomega.HaveLen(1))
 	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r1"))
-	s.Observe(0, "s", "r1", 100, Observation{Failed: true, Duration: time.Second, Events: 2, Stride: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{Failed: true, Duration: time.Second, Events: 2, Stride: 1})
 	g.Expect(s.replicaState("r1").speed.stepTime).To(gomega.Equal(20*ms), "a failed request does not change the speed")
 }
 
@@ -99,8 +99,8 @@
 	s.SetReplicas(0, replicasWithSlots(2, 4, 2))
 	s.Submit(0, promptRequest("first", 100))
 	g.Expect(s.Decide(0)[0].Replica.ID).To(gomega.Equal("r0"))
-	s.Observe(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
-	s.Observe(0, "s", "r2", 100, Observation{FirstEvent: 90 * ms, Duration: 990 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r2", 100, Observation{FirstEvent: 90 * ms, Duration: 990 * ms, Events: 11, Stride: 1})
 	var order []string
 	for i := range 6 {
 		s.Submit(ms, promptRequest(fmt.Sprint(i), 100))
--- a/coordination/admission/slow_start_test.go
+++ b/coordination/admission/slow_start_test.go
@@ -98,10 +98,10 @@
 	s := New()
 	s.SetSlowStart("s", testSlowStart)
 	s.SetReplicas(0, coldPool(1, 2*time.Second))
-	s.Observe(time.Second, "s", "r0", 0, Observation{Duration: 900 * ms})
+	s.ObserveExternal(time.Second, "s", "r0", 0, Observation{Duration: 900 * ms})
 	g.Expect(s.replicaStates["r0"].speed.stepTime).To(gomega.BeZero())
 	g.Expect(s.replicaStates["r0"].coldSpeed.stepTime).To(gomega.Equal(900 * ms))
-	s.Observe(3*time.Second, "s", "r0", 0, Observation{Duration: 30 * ms})
+	s.ObserveExternal(3*time.Second, "s", "r0", 0, Observation{Duration: 30 * ms})
 	g.Expect(s.replicaStates["r0"].speed.stepTime).To(gomega.Equal(30 * ms))
 }
 
--- a/coordination/admission/snapshot.go
+++ b/coordination/admission/snapshot.go
@@ -58,7 +58,7 @@
 	pool := s.pools[service]
 	snapshot := &poolSnapshot{meanDuration: pool.meanDuration, suspectViews: map[*suspectList]*suspectView{}, replicas: make([]*replicaSnapshot, 0, len(pool.replicas))}
 	fastest := pool.fastestStep()
-	isCanaryOpen := pool.canaryBudget.Open(now)
+	isCanaryOpen := pool.canaryBudget.InBurst(now)
 	if cap(s.snapshotBuffer) < len(pool.replicas) {
 		s.snapshotBuffer = make([]replicaSnapshot, len(pool.replicas))
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	snapshot.useUnhealthyIfAllAre(s.followerShare)
-	snapshot.selectCanaries(pool.canaryBudget.Turn())
+	snapshot.selectCanaries(pool.canaryBudget.BurstCount())
 	return snapshot
 }
 
--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -151,7 +151,7 @@
 // commitPage commits batches until no operation is pending for the page.
 func (c *Committer) commitPage(page Page) {
 	for {
-		if !wait.For(c.ctx, c.settings().Window) {
+		if !wait.Sleep(c.ctx, c.settings().Window) {
 			return
 		}
 		batch := c.takeBatch(page)
@@ -189,7 +189,7 @@
 		if done {
 			return
 		}
-		if !errors.Is(err, errkind.Conflict) && !wait.For(c.ctx, retryDelay) {
+		if !errors.Is(err, errkind.Conflict) && !wait.Sleep(c.ctx, retryDelay) {
 			return
 		}
 	}
--- a/coordination/liveness/eligibility.go
+++ b/coordination/liveness/eligibility.go
@@ -32,14 +32,14 @@
 // TopEligible returns up to count eligible nodes in the order in which they take on the
 // scheduling role.
 func TopEligible(heartbeats []*Heartbeat, count int) []string {
-	return rendezvous.Top(EligibleNodes(heartbeats), rendezvous.Key(schedulerOrderKey), count)
+	return rendezvous.Top(EligibleNodes(heartbeats), rendezvous.Hash(schedulerOrderKey), count)
 }
 
 // RankNodes returns up to count nodes in the order in which they take on the scheduling role: the
 // eligible nodes first, then the others.
 func RankNodes(heartbeats []*Heartbeat, count int) []string {
 	eligible := EligibleNodes(heartbeats)
-	order := rendezvous.Top(eligible, rendezvous.Key(schedulerOrderKey), count)
+	order := rendezvous.Top(eligible, rendezvous.Hash(schedulerOrderKey), count)
 	if len(order) == count || len(eligible) == len(heartbeats) {
 		return order
 	}
@@ -53,7 +53,7 @@
 			others = append(others, heartbeat.Name)
 		}
 	}
-	return append(order, rendezvous.Top(others, rendezvous.Key(schedulerOrderKey), count-len(order))...)
+	return append(order, rendezvous.Top(others, rendezvous.Hash(schedulerOrderKey), count-len(order))...)
 }
 
 // FirstNotSlow returns the first node in order that is not slow, or the first node if all are
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -146,7 +146,7 @@
 	OrderPosition structs.StorePosition `msgpack:"o"`
 	Phase         uint8                 `msgpack:"p"`
 	// Busy counts the node's requests at replicas that get no new requests.
-	Busy int `msgpack:"b"`
+	InFlightAtOldReplicas int `msgpack:"b"`
 }
 
 // Peer is a node's name and address.
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -121,7 +121,7 @@
 }
 
 // Heard records a message that came directly from the member.
-func (t *Table) Heard(now structs.Instant, member Member) {
+func (t *Table) RecordMessage(now structs.Instant, member Member) {
 	t.merge(now, Rumor{Member: member, Status: Alive})
 	if entry, found := t.members[member.Name]; found && entry.Status != Dead {
 		entry.lastMessageAt = now
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -18,7 +18,7 @@
 func TestUnrefutedSuspectsBecomeDead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := newTestTable("a"), newTestTable("b")
-	a.Heard(0, b.Self())
+	a.RecordMessage(0, b.Self())
 	a.ProbeFailed(0, "b")
 	b.Merge(0, a.Rumors(8)) // b learns that it is suspected and refutes it
 	a.Merge(time.Millisecond, b.Rumors(8))
@@ -35,11 +35,11 @@
 	g := gomega.NewWithT(t)
 	a := newTestTable("a")
 	old := Member{Name: "b", Zone: "z", Incarnation: FirstIncarnation(5)}
-	a.Heard(0, old)
+	a.RecordMessage(0, old)
 	a.Merge(0, []Rumor{{Member: old, Status: Dead}})
-	a.Heard(1, old) // a delayed message of the dead process
+	a.RecordMessage(1, old) // a delayed message of the dead process
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a"}))
-	a.Heard(2, Member{Name: "b", Zone: "z", Incarnation: FirstIncarnation(6)})
+	a.RecordMessage(2, Member{Name: "b", Zone: "z", Incarnation: FirstIncarnation(6)})
 	g.Expect(a.LiveNames()).To(gomega.Equal([]string{"a", "b"}))
 }
 
@@ -56,7 +56,7 @@
 	g := gomega.NewWithT(t)
 	a := newTestTable("a")
 	for _, name := range []string{"b", "c", "d", "e"} {
-		a.Heard(0, Member{Name: name, Zone: "z", Incarnation: FirstIncarnation(1)})
+		a.RecordMessage(0, Member{Name: name, Zone: "z", Incarnation: FirstIncarnation(1)})
 	}
 	seen := map[string]int{}
 	for range 2 {
--- a/coordination/poison/tracker.go
+++ b/coordination/poison/tracker.go
@@ -216,12 +216,12 @@
 // incarnationsChanged updates the fields that depend on the entry's incarnations.
 func (t *Tracker) incarnationsChanged(now structs.Instant, e *entry) {
 	t.summaryStale = true
-	e.shared = e.shared || e.Persistent || len(e.Incarnations) >= minSharedIncarnations
+	e.shared = e.shared || e.IsPersistent || len(e.Incarnations) >= minSharedIncarnations
 	switch {
 	case t.stateOf(e) != Blocked:
 		e.nextTrialAt = 0
 	case e.nextTrialAt == 0:
-		e.Persistent, e.nextTrialAt = true, now+t.policy.FirstTrialDelay
+		e.IsPersistent, e.nextTrialAt = true, now+t.policy.FirstTrialDelay
 	}
 }
 
@@ -257,7 +257,7 @@
 	if record.Fingerprint.IsZero() || t.policy.CrashThreshold <= 0 {
 		return false
 	}
-	if _, found := t.entries[record.Fingerprint]; found || record.Persistent && len(record.Incarnations) >= t.policy.CrashThreshold {
+	if _, found := t.entries[record.Fingerprint]; found || record.IsPersistent && len(record.Incarnations) >= t.policy.CrashThreshold {
 		return true
 	}
 	return time.Duration(record.Age)*time.Millisecond < recordRetention-maxExpirySkew
@@ -299,7 +299,7 @@
 // Persistent returns the records to write to the store. If there are more than
 // maxPersistentRecords, it returns those that changed last.
 func (t *Tracker) Persistent(now structs.Instant) []poisonrecords.Record {
-	persistent := t.selectRecords(now, func(e *entry) bool { return e.Persistent })
+	persistent := t.selectRecords(now, func(e *entry) bool { return e.IsPersistent })
 	if len(persistent) <= maxPersistentRecords {
 		return persistent
 	}
@@ -369,8 +369,8 @@
 
 // evictsFirst reports whether e is evicted before other.
 func evictsFirst(e, other *entry) bool {
-	if e.Persistent != other.Persistent {
-		return other.Persistent
+	if e.IsPersistent != other.IsPersistent {
+		return other.IsPersistent
 	}
 	return e.changedAt < other.changedAt
 }
--- a/coordination/poison/tracker_test.go
+++ b/coordination/poison/tracker_test.go
@@ -170,7 +170,7 @@
 			for _, request := range requests {
 				first, _ := nodes[0].Get(request.Fingerprint)
 				record, _ := node.Get(request.Fingerprint)
-				if isShared := first.Persistent || len(first.Incarnations) >= minSharedIncarnations; isShared && fmt.Sprint(first.Incarnations, first.Generation, first.Trials) != fmt.Sprint(record.Incarnations, record.Generation, record.Trials) {
+				if isShared := first.IsPersistent || len(first.Incarnations) >= minSharedIncarnations; isShared && fmt.Sprint(first.Incarnations, first.Generation, first.Trials) != fmt.Sprint(record.Incarnations, record.Generation, record.Trials) {
 					t.Fatalf("records differ between nodes: %v and %v", first, record)
 				}
 			}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -192,7 +192,7 @@
 
 // SetAuthoritativeAfter sets the time until which other nodes may report usage from before the
 // buckets were created. It is for a process that starts or resumes after a suspension.
-func (b *Buckets) SetAuthoritativeAfter(at structs.Instant) { b.authoritativeAt = at }
+func (b *Buckets) SetAuthoritativeAt(at structs.Instant) { b.authoritativeAt = at }
 
 // Restore initializes new buckets with the levels that another scheduler had at until, the last time
 // at which it may have granted anything. Tenants without a level start with their full burst.
@@ -231,7 +231,7 @@
 
 // Taken returns the usage of the buckets that are not nearly full since they were created, by
 // tenant, for at most maxCount of them.
-func (b *Buckets) Taken(now structs.Instant, maxCount int) map[string]float64 {
+func (b *Buckets) Usage(now structs.Instant, maxCount int) map[string]float64 {
 	usage := map[string]float64{}
 	for tenant, bucket := range b.buckets {
 		level := bucket.level + bucket.limit.Rate*(now-bucket.refilledAt).Seconds()
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -162,7 +162,7 @@
 	limit := Limit{Rate: 100, Burst: 1000}
 	buckets := NewBuckets(0.1)
 	buckets.CreditDowntime(400*time.Millisecond, 3*time.Second)
-	buckets.SetAuthoritativeAfter(time.Second)
+	buckets.SetAuthoritativeAt(time.Second)
 	_, ok := buckets.Take(0, "busy", limit, 60)
 	g.Expect(ok).To(gomega.BeTrue())
 	_, ok = buckets.Take(0, "idle", limit, 50)
--- a/coordination/quota/remote_test.go
+++ b/coordination/quota/remote_test.go
@@ -38,7 +38,7 @@
 		other.Restore(partitionedAt, buckets.Levels(partitionedAt, 10))
 		endedAt := startedAt + time.Second
 		granted += takeAll(buckets, partitionedAt, endedAt, limit) + takeAll(other, partitionedAt, endedAt, limit)
-		buckets.ChargeRemote(RemoteUsage{Since: partitionedAt, Amounts: other.Taken(endedAt, 10), Levels: other.Levels(endedAt, 10)})
+		buckets.ChargeRemote(RemoteUsage{Since: partitionedAt, Amounts: other.Usage(endedAt, 10), Levels: other.Levels(endedAt, 10)})
 	}
 	allowed := limit.Rate*float64(cycles) + limit.Burst + limit.Rate
 	g.Expect(granted).To(gomega.BeNumerically("<=", allowed))
@@ -55,7 +55,7 @@
 	takeAll(buckets, 0, healedAt, limit.Scaled(0.6))
 	takeAll(other, 0, healedAt, limit.Scaled(0.4))
 	before := buckets.Level(healedAt, "a", limit.Scaled(0.6))
-	buckets.ChargeRemote(RemoteUsage{Amounts: other.Taken(healedAt, 10)})
+	buckets.ChargeRemote(RemoteUsage{Amounts: other.Usage(healedAt, 10)})
 	g.Expect(buckets.Level(healedAt, "a", limit)).To(gomega.BeNumerically("~", before, 2))
 }
 
--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -48,14 +48,14 @@
 	Route   string
 	Replica string
 	// Begun is when the request was assigned.
-	Begun structs.Instant
+	AssignedAt structs.Instant
 	// Target is true if the replica has the target version.
 	Target bool
 	Failed bool
 	// First is the time to the first event, divided by the size of the prompt for answers in
 	// events. Step is the time between two events, or the duration of a plain answer. Zero means
 	// unknown.
-	First, Step time.Duration
+	FirstEventTime, EventInterval time.Duration
 }
 
 // Analyzer compares the answers of the target with those of other versions on the same routes at the
@@ -84,14 +84,14 @@
 		route = &routeAnalyzer{replicaSums: map[string]float64{}}
 		a.routes[sample.Route] = route
 	}
-	isBad := sample.Failed || route.firstTimes.isSlow(sample.First) || route.stepTimes.isSlow(sample.Step)
+	isBad := sample.Failed || route.firstTimes.isSlow(sample.FirstEventTime) || route.stepTimes.isSlow(sample.EventInterval)
 	if sample.Target {
 		route.addEvidence(sample.Replica, isBad)
 		return isBad
 	}
 	if !sample.Failed {
-		route.firstTimes.add(sample.First)
-		route.stepTimes.add(sample.Step)
+		route.firstTimes.add(sample.FirstEventTime)
+		route.stepTimes.add(sample.EventInterval)
 	}
 	route.slowMean += slowMeanWeight * (badShare(isBad) - route.slowMean)
 	route.fastMean += fastMeanWeight * (badShare(isBad) - route.fastMean)
--- a/coordination/rollout/analyzer_test.go
+++ b/coordination/rollout/analyzer_test.go
@@ -39,7 +39,7 @@
 		route = &rankRoute{}
 		d.routes[sample.Route] = route
 	}
-	elapsed := float64(sample.Step)
+	elapsed := float64(sample.EventInterval)
 	if sample.Failed {
 		elapsed = math.Inf(1)
 	}
@@ -206,7 +206,7 @@
 		if a.slowed {
 			elapsed *= 6
 		}
-		sample := Sample{Route: fmt.Sprint("r", a.route), Replica: fmt.Sprint(a.isTarget, a.replica), Target: a.isTarget, Failed: a.failed, Step: time.Duration(elapsed * float64(time.Millisecond))}
+		sample := Sample{Route: fmt.Sprint("r", a.route), Replica: fmt.Sprint(a.isTarget, a.replica), Target: a.isTarget, Failed: a.failed, EventInterval: time.Duration(elapsed * float64(time.Millisecond))}
 		d.Observe(sample)
 		if !a.isTarget {
 			continue
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -66,7 +66,7 @@
 
 // Open reports whether the next request may go to the target. A burst begins once the budget suffices
 // for burstSize requests and ends when it is used up.
-func (b *CanaryBudget) Open(now structs.Instant) bool {
+func (b *CanaryBudget) InBurst(now structs.Instant) bool {
 	if b == nil {
 		return false
 	}
@@ -79,10 +79,10 @@
 }
 
 // Spent reports whether the budget is used up, regardless of its expiry.
-func (b *CanaryBudget) Spent() bool { return b == nil || b.remaining <= 0 }
+func (b *CanaryBudget) IsExhausted() bool { return b == nil || b.remaining <= 0 }
 
 // Ask counts a request of the route that could go to the target.
-func (b *CanaryBudget) Ask(route string) {
+func (b *CanaryBudget) RecordEligible(route string) {
 	if b != nil {
 		b.eligible.add(route)
 	}
@@ -90,18 +90,18 @@
 
 // Fair reports whether the route has not used more than its share of the budget. Otherwise the most
 // urgent route could use all of it under load, and faults on other routes would stay undetected.
-func (b *CanaryBudget) Fair(route string) bool {
+func (b *CanaryBudget) AllowsRoute(route string) bool {
 	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
 
 // Spend counts a request of the route that is sent to the target.
-func (b *CanaryBudget) Spend(route string) {
+func (b *CanaryBudget) Consume(route string) {
 	b.remaining--
 	b.consumed.add(route)
 }
 
 // Turn returns the number of bursts so far. Callers use it to start each burst at another replica.
-func (b *CanaryBudget) Turn() int {
+func (b *CanaryBudget) BurstCount() int {
 	if b == nil {
 		return 0
 	}
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -61,11 +61,11 @@
 	// InService is true if the target had replicas before the order and there is no other version.
 	InService bool
 	// Longest is the duration of long answers of the service.
-	Longest time.Duration
+	LongAnswerTime time.Duration
 	// Confirmed is true if every node that may be alive confirmed the record's phase. Busy counts
 	// the requests running at replicas that get no new ones.
-	Confirmed bool
-	Busy      int
+	Confirmed         bool
+	InFlightElsewhere int
 }
 
 // Controller advances the rollouts of one service. It is not safe for concurrent use.
@@ -127,7 +127,7 @@
 func (c *Controller) RegressionScore() (float64, string) { return c.analyzer.RegressionScore() }
 
 // Adopt replaces the current record if the store position differs.
-func (c *Controller) Adopt(record rollouts.Record) {
+func (c *Controller) ApplyRecord(record rollouts.Record) {
 	if record.Position != c.record.Position {
 		c.applyRecord(record)
 	}
@@ -149,7 +149,7 @@
 // RecordResult records the result of a request that reached the service. If isConclusive is false, as
 // when the caller disconnected, the request is counted but is no evidence about its replica.
 func (c *Controller) RecordResult(sample Sample, isConclusive bool) {
-	if sample.Begun < c.countsFrom {
+	if sample.AssignedAt < c.countsFrom {
 		return
 	}
 	c.pending.requests++
@@ -204,7 +204,7 @@
 		return c.proposeCanary(now, next, inputs)
 	case rollouts.PhaseSwitching:
 		next.Phase = rollouts.PhaseCompleted
-		return next, inputs.Confirmed && inputs.Busy == 0 && c.hasCapacity(inputs)
+		return next, inputs.Confirmed && inputs.InFlightElsewhere == 0 && c.hasCapacity(inputs)
 	}
 	next.Phase = rollouts.PhaseRolledBack
 	return next, inputs.Confirmed
@@ -251,7 +251,7 @@
 // as a version may turn bad later, but early enough for the other versions' longest answers to end.
 func (c *Controller) switchAfter(inputs Inputs) time.Duration {
 	maxSwitchTime := time.Duration(maxSwitchFraction * float64(inputs.Order.Duration))
-	return inputs.Order.Duration - min(minSwitchTime+inputs.Longest, maxSwitchTime)
+	return inputs.Order.Duration - min(minSwitchTime+inputs.LongAnswerTime, maxSwitchTime)
 }
 
 // switchObstacle returns the reason not to switch to the target, or the empty string.
--- a/coordination/rollout/controller_test.go
+++ b/coordination/rollout/controller_test.go
@@ -30,13 +30,13 @@
 func recordAnswers(c *Controller, count int, targetFails bool) {
 	for i := range count {
 		target := i%10 == 0
-		c.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(target, i%4), Target: target, Failed: targetFails && target, Step: 20 * time.Millisecond}, true)
+		c.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(target, i%4), Target: target, Failed: targetFails && target, EventInterval: 20 * time.Millisecond}, true)
 	}
 }
 
 // inputsAt returns the inputs of a healthy system whose nodes have confirmed the record.
 func inputsAt(elapsed time.Duration) Inputs {
-	return Inputs{Order: testOrder(), Elapsed: elapsed, TargetSlots: 8, OtherSlots: 8, Longest: time.Second, Confirmed: true}
+	return Inputs{Order: testOrder(), Elapsed: elapsed, TargetSlots: 8, OtherSlots: 8, LongAnswerTime: time.Second, Confirmed: true}
 }
 
 // The other versions must not be stopped while a request runs there or a node may still send one.
@@ -51,7 +51,7 @@
 	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseSwitching))
 	c.WriteCommitted(17*time.Second, next, 9)
 	busy := inputsAt(18 * time.Second)
-	busy.Busy = 1
+	busy.InFlightElsewhere = 1
 	_, due = c.Propose(18*time.Second, busy)
 	g.Expect(due).To(gomega.BeFalse(), "a request is running at a replica that would be stopped")
 	unconfirmed := inputsAt(18 * time.Second)
@@ -111,7 +111,7 @@
 func TestRequestsFromBeforeTheOrderAddNoBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startCanary(g)
-	early := Sample{Route: "r", Replica: "a", Begun: -time.Second, Step: 20 * time.Millisecond}
+	early := Sample{Route: "r", Replica: "a", AssignedAt: -time.Second, EventInterval: 20 * time.Millisecond}
 	for range 1000 {
 		c.RecordResult(early, true)
 	}
@@ -168,9 +168,9 @@
 	consumed := map[string]int{}
 	for i := range 1000 {
 		for _, route := range []string{"urgent", "urgent", "urgent", "rare"} {
-			budget.Ask(route)
-			if i%5 == 0 && budget.Fair(route) {
-				budget.Spend(route)
+			budget.RecordEligible(route)
+			if i%5 == 0 && budget.AllowsRoute(route) {
+				budget.Consume(route)
 				consumed[route]++
 			}
 		}
@@ -179,11 +179,11 @@
 	skewed := &CanaryBudget{}
 	skewed.add(0, 100)
 	for range 100 {
-		skewed.Ask("urgent")
-		skewed.Ask("rare")
+		skewed.RecordEligible("urgent")
+		skewed.RecordEligible("rare")
 	}
-	for skewed.Fair("urgent") {
-		skewed.Spend("urgent")
+	for skewed.AllowsRoute("urgent") {
+		skewed.Consume("urgent")
 	}
 	g.Expect(skewed.consumed.byRoute["urgent"]).To(gomega.BeNumerically("<=", 2*burstSize), "the urgent route must get no more than its share")
 }
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -94,7 +94,7 @@
 	node := m.nodes[i]
 	node.table.PutRecord(m.now, m.record)
 	known, _ := node.table.Record("s")
-	node.controller.Adopt(known)
+	node.controller.ApplyRecord(known)
 	node.policy = node.table.Policy("s", false)
 }
 
@@ -102,13 +102,13 @@
 func (m *model) inputs(i int) Inputs {
 	own, other := m.nodes[i], m.nodes[1-i]
 	record := own.controller.Record()
-	inputs := Inputs{Order: testOrder(), Elapsed: m.now, TargetSlots: 4, OtherSlots: 4, Busy: m.busy(own)}
+	inputs := Inputs{Order: testOrder(), Elapsed: m.now, TargetSlots: 4, OtherSlots: 4, InFlightElsewhere: m.busy(own)}
 	inputs.Confirmed = m.defects.skipConfirmed || other.policy.OrderPosition == record.OrderPosition && other.policy.Phase == record.Phase
 	if inputs.Confirmed && !m.defects.skipConfirmed {
-		inputs.Busy += m.busy(other)
+		inputs.InFlightElsewhere += m.busy(other)
 	}
 	if m.defects.skipBusy {
-		inputs.Busy = 0
+		inputs.InFlightElsewhere = 0
 	}
 	return inputs
 }
@@ -169,7 +169,7 @@
 	node := m.nodes[i]
 	phase := node.policy.Phase
 	if phase == rollouts.PhaseCanary && node.controller.CanaryBudget().Remaining(m.now) > 0 {
-		node.controller.CanaryBudget().Spend("r")
+		node.controller.CanaryBudget().Consume("r")
 		m.targetRequests++
 		if m.record.Phase == rollouts.PhaseRolledBack {
 			m.violation = errors.New("a request was sent to the target after the rollback")
@@ -194,7 +194,7 @@
 	}
 	node.answerSets++
 	for n := range 2 * minAnswers {
-		node.controller.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, Begun: m.now, Failed: targetFails && n%2 == 0, Step: time.Millisecond}, true)
+		node.controller.RecordResult(Sample{Route: "r", Replica: fmt.Sprint(n % 4), Target: n%2 == 0, AssignedAt: m.now, Failed: targetFails && n%2 == 0, EventInterval: time.Millisecond}, true)
 	}
 	return true
 }
--- a/coordination/routing/pipeline.go
+++ b/coordination/routing/pipeline.go
@@ -134,7 +134,7 @@
 	var top [affinityReplicaCount]*backend.ReplicaState
 	var weights [affinityReplicaCount]uint64
 	for _, state := range pool.States {
-		weight := rendezvous.WeightHashed(state.IDHash, key)
+		weight := rendezvous.WeightOfHash(state.IDHash, key)
 		if weight <= weights[affinityReplicaCount-1] || filter.Check(state, query.Request, &query.Context) != filter.None {
 			continue
 		}
--- a/coordination/routing/reserve/reserve.go
+++ b/coordination/routing/reserve/reserve.go
@@ -52,7 +52,7 @@
 		return
 	}
 	state.Reserve(now, request.ID, request.PromptTokens-candidate.CachedTokens)
-	r.prefixes.Sent(candidate.Replica, request.Prefix)
+	r.prefixes.RecordSent(candidate.Replica, request.Prefix)
 	r.byRequest[request.ID] = &Reservation{Request: request, Replica: candidate.Replica, ReservedAt: now, Predicted: candidate}
 }
 
@@ -64,14 +64,14 @@
 	}
 	reservation.firstTokenAt = now
 	if state, known := r.view.Get(reservation.Replica); known {
-		state.FirstToken(now, id)
+		state.RecordFirstToken(now, id)
 	}
 }
 
 // Result describes how a request in flight ended.
 type Result struct {
 	// Connected is false if no byte was sent.
-	Connected bool
+	Sent bool
 	// Complete is true if the answer arrived completely.
 	Complete     bool
 	OutputTokens int
@@ -90,7 +90,7 @@
 		return reservation, true
 	}
 	state.Release(now, id)
-	if !result.Connected {
+	if !result.Sent {
 		state.RecordConnectFailure(now)
 		return reservation, true
 	}
--- a/coordination/scheduler/schedule.go
+++ b/coordination/scheduler/schedule.go
@@ -52,7 +52,7 @@
 // queued for a replica that caches its prompt does not block those behind it.
 func (s *Scheduler) schedulePool(now structs.Instant, p *pool, plans []structs.Plan) []structs.Plan {
 	p.backlogged = false
-	items := p.queue.Order(now, s.options.AgingLimit, maxScannedRequests)
+	items := p.queue.NextItems(now, s.options.AgingLimit, maxScannedRequests)
 	if len(items) == 0 {
 		return plans
 	}
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -205,7 +205,7 @@
 func (s *Scheduler) InFlight() int { return s.reservations.Len() }
 
 // Waiting returns the number of queued requests.
-func (s *Scheduler) Waiting() int { return len(s.poolByRequest) }
+func (s *Scheduler) QueuedCount() int { return len(s.poolByRequest) }
 
 // QueuedByRank returns the number of queued requests of the service and rank.
 func (s *Scheduler) QueuedByRank(name string, rank structs.Rank) int {
@@ -317,5 +317,5 @@
 }
 
 func rejection(request *structs.Request, reason structs.Reason, retryAfter time.Duration) structs.Plan {
-	return structs.Plan{Request: request, Verdict: structs.VerdictRefuse, Reason: reason, RetryAfter: retryAfter, Chosen: -1}
+	return structs.Plan{Request: request, Verdict: structs.VerdictReject, Reason: reason, RetryAfter: retryAfter, Chosen: -1}
 }
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -58,7 +58,7 @@
 	plans := s.Schedule(2 * time.Minute)
 	g.Expect(plans).To(gomega.HaveLen(1))
 	g.Expect(plans[0].Reason).To(gomega.Equal(structs.ReasonExpired))
-	g.Expect(s.Waiting()).To(gomega.BeZero())
+	g.Expect(s.QueuedCount()).To(gomega.BeZero())
 }
 
 // A raised floor must reject lower tiers that are queued as well as new ones.
@@ -136,7 +136,7 @@
 		}
 		s.FirstToken(now+20*time.Millisecond, r.ID)
 		now += 20*time.Millisecond + 19*stepTime
-		s.Finish(now, r.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: 20})
+		s.Finish(now, r.ID, reserve.Result{Sent: true, Complete: true, OutputTokens: 20})
 	}
 	g.Expect(chosen["e001"]).To(gomega.BeNumerically(">=", 11))
 }
@@ -173,7 +173,7 @@
 				if plans := s.Schedule(0); len(plans) != 1 {
 					b.Fatal("Schedule did not plan the request")
 				}
-				s.Finish(0, r.ID, reserve.Result{Connected: true})
+				s.Finish(0, r.ID, reserve.Result{Sent: true})
 			}
 		})
 	}
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -143,7 +143,7 @@
 		if done {
 			return record, document, err
 		}
-		if !wait.For(ctx, retryDelay) {
+		if !wait.Sleep(ctx, retryDelay) {
 			if written {
 				return ChangeRecord{}, nil, errkind.New(errkind.StoreUnknown, "committing settings change %s: outcome unknown: %v", change.ID, err)
 			}
--- a/coordination/staleness/freshness.go
+++ b/coordination/staleness/freshness.go
@@ -28,4 +28,4 @@
 func (f *Freshness) Known() bool { return f.hasRead }
 
 // At returns the start of the read, or zero if there was none.
-func (f *Freshness) At() structs.Instant { return f.readStartedAt }
+func (f *Freshness) ReadStartedAt() structs.Instant { return f.readStartedAt }
--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -21,7 +21,7 @@
 	scheduler string
 	address   string
 	// asked is the number of nodes that were asked until there was a decision.
-	asked int
+	attempts int
 }
 
 // maxSchedulerAttempts bounds the nodes that are asked for one assignment; the last one is this
@@ -42,13 +42,13 @@
 		scheduler, address := n.currentScheduler()
 		if address == "" || attemptsLeft == 1 {
 			granted := n.assignLocally(ctx, request)
-			granted.asked = attempt + 1
+			granted.attempts = attempt + 1
 			return granted
 		}
 		reply := &assignReply{}
 		err := n.callScheduler(ctx, scheduler, address, request, reply)
 		if err == nil && reply.Reason != reasonUnreachable {
-			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, asked: attempt + 1})
+			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, attempts: attempt + 1})
 		}
 		n.sendFinish(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
 		if ctx.Err() != nil {
@@ -111,7 +111,7 @@
 	callContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go n.cancelOnSilence(callContext, cancel, scheduler)
-	return n.peers.Call(callContext, address, peerwire.KindPlace, request, reply)
+	return n.peers.Call(callContext, address, peerwire.KindAssign, request, reply)
 }
 
 // cancelOnSilence cancels the call when no heartbeat of the scheduling node arrived within its
@@ -149,7 +149,7 @@
 )
 
 // finish ends a granted assignment, here and at its scheduling node.
-func (n *Node) finish(granted *grant, message *finishRequest) {
+func (n *Node) reportFinish(granted *grant, message *finishRequest) {
 	n.mutex.Lock()
 	delete(n.assignments, granted.id)
 	n.mutex.Unlock()
@@ -200,6 +200,6 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, reportTimeout)
 		defer cancel()
-		_ = n.peers.Call(ctx, granted.address, peerwire.KindBegun, message, &firstEventReply{})
+		_ = n.peers.Call(ctx, granted.address, peerwire.KindFirstEvent, message, &firstEventReply{})
 	}()
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		if c.ctx.Err() == nil {
 			node.recordUnreachable(granted.Replica.ID)
-			node.noteZone(granted.Replica.Zone, false)
+			node.recordZoneContact(granted.Replica.Zone, false)
 			c.recordConnectFailure(granted.Replica, err)
 		}
 		return resultNotSent, admission.Observation{Left: true}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return c.recordIncomplete(granted.Replica.ID, err), admission.Observation{Failed: true, Left: c.ctx.Err() != nil}
 	}
-	node.noteZone(granted.Replica.Zone, true)
+	node.recordZoneContact(granted.Replica.Zone, true)
 	node.reportFirstEvent(granted, c.reportedLoad(answer), node.applyPushback(answer, granted.Replica, sentAt))
 	outcome, observed := c.relay(answer, granted.Replica, sentTime)
 	switch outcome {
@@ -118,7 +118,7 @@
 
 // reportedLoad returns the number of requests that the replica reported, or -1 if it reported none.
 func (c *call) reportedLoad(answer *replicahttp.Answer) int {
-	parts := splitList(answer.Header.Get(c.node.deps.Headers.Load))
+	parts := splitList(answer.Header.Get(c.node.dependencies.Headers.Load))
 	if len(parts) < 2 {
 		return -1
 	}
@@ -177,7 +177,7 @@
 
 // replicaRequest returns the request in the form that is sent to the replica.
 func (c *call) replicaRequest(replica replicas.Replica) *replicahttp.Request {
-	names := &c.node.deps.Headers
+	names := &c.node.dependencies.Headers
 	header, dropped := replicaHeaders(c.request.Header, names)
 	c.node.counter("headers.dropped").Inc(int64(dropped))
 	if c.tenant != nil {
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -58,7 +58,7 @@
 		return
 	}
 	n.publish(document)
-	n.scheduling.setWarmings(n.settings.Load().slowStarts(document.Services))
+	n.scheduling.setSlowStarts(n.settings.Load().slowStarts(document.Services))
 	n.catalog.Store(compiled)
 	n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "in-force", Version: document.Version, Count: len(document.Routes), Detail: source})
 }
@@ -146,7 +146,7 @@
 	if err != nil {
 		if n.ctx.Err() == nil {
 			n.counter("configuration.fetches_failed").Inc(1)
-			n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "not-fetched", Peer: address, Version: current, Took: took.Milliseconds(), Detail: err.Error()})
+			n.log.Write(eventlog.Event{Kind: "configuration", Outcome: "not-fetched", Peer: address, Version: current, TookMS: took.Milliseconds(), Detail: err.Error()})
 		}
 		return
 	}
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -24,10 +24,10 @@
 // unresolvedDisconnect is a request that a replica broke off, where it is not known yet whether the
 // replica crashed.
 type unresolvedDisconnect struct {
-	replica replicas.Replica
-	content fingerprint.Fingerprint
-	ended   *crashedIncarnation
-	at      structs.Instant
+	replica     replicas.Replica
+	fingerprint fingerprint.Fingerprint
+	crash       *crashedIncarnation
+	at          structs.Instant
 }
 
 func (n *Node) deferDisconnect(disconnect unresolvedDisconnect) {
@@ -48,7 +48,7 @@
 		if !kept.replica.IsSameIncarnation(replica) || now-kept.at > disconnectRetention {
 			return false
 		}
-		go n.reportCrash(&finishRequest{Content: kept.content, Ended: kept.ended})
+		go n.reportCrash(&finishRequest{Content: kept.fingerprint, Ended: kept.crash})
 		return true
 	})
 }
--- a/entry/disconnects_test.go
+++ b/entry/disconnects_test.go
@@ -21,19 +21,19 @@
 		isCounted bool
 	}{
 		"the entry is gone": {func(n *Node, replica replicas.Replica) {
-			n.handleEntryRemoved(outside.Gone{ID: replica.ID, Revision: 9})
+			n.handleEntryRemovedLocked(outside.RemovedReplica{ID: replica.ID, Position: 9})
 		}, true},
 		"it has restarted": {func(n *Node, replica replicas.Replica) {
 			replica.StartedAt, replica.Position = 2, 9
-			n.applyReplica(replica)
+			n.applyReplicaLocked(replica)
 		}, true},
 		"it drained before its entry is gone": {func(n *Node, replica replicas.Replica) {
 			replica.Draining, replica.Position = true, 8
-			n.applyReplica(replica)
-			n.handleEntryRemoved(outside.Gone{ID: replica.ID, Revision: 9})
+			n.applyReplicaLocked(replica)
+			n.handleEntryRemovedLocked(outside.RemovedReplica{ID: replica.ID, Position: 9})
 		}, false},
 		"another replica's entry is gone": {func(n *Node, replica replicas.Replica) {
-			n.handleEntryRemoved(outside.Gone{ID: "other", Revision: 9})
+			n.handleEntryRemovedLocked(outside.RemovedReplica{ID: "other", Position: 9})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -44,10 +44,10 @@
 				n := New(&Settings{Name: "n", BlockedAfter: 3}, Dependencies{Log: log})
 				defer n.scheduling.timer.Stop()
 				replica := replicas.Replica{ID: "r", Service: "s", Position: 1, StartedAt: 1}
-				n.applyReplica(replica)
-				n.applyReplica(replicas.Replica{ID: "other", Service: "s", Position: 2})
+				n.applyReplicaLocked(replica)
+				n.applyReplicaLocked(replicas.Replica{ID: "other", Service: "s", Position: 2})
 				content := fingerprint.Of("office", "POST", "a.example", "/x", nil)
-				n.deferDisconnect(unresolvedDisconnect{replica: replica, content: content, ended: &crashedIncarnation{Life: poisonrecords.IncarnationOf("r", 1)}})
+				n.deferDisconnect(unresolvedDisconnect{replica: replica, fingerprint: content, crash: &crashedIncarnation{Life: poisonrecords.IncarnationOf("r", 1)}})
 				n.mutex.Lock()
 				test.event(n, replica)
 				n.mutex.Unlock()
--- a/entry/era.go
+++ b/entry/era.go
@@ -23,7 +23,7 @@
 type era struct {
 	// isKnown is true once the store or a peer reported an era; present is the newest one.
 	isKnown bool
-	present int64
+	current int64
 	// restoreWindow describes the latest restore, which this node counts from restoredAt.
 	restoreWindow structs.RestoreWindow
 	restoredAt    structs.Instant
@@ -52,14 +52,14 @@
 func (n *Node) checkEra(position structs.StorePosition) bool {
 	switch {
 	case !n.era.isKnown:
-		n.era.isKnown, n.era.present = true, position.Era()
-	case position.Era() > n.era.present:
+		n.era.isKnown, n.era.current = true, position.Era()
+	case position.Era() > n.era.current:
 		n.enterEra(structs.RestoreWindow{Base: n.baseEra(), Era: position.Era(), Listed: position.Revision()}, n.now(), "store")
-	case position.Era() < n.era.present:
+	case position.Era() < n.era.current:
 		n.counter("store.old_eras").Inc(1)
 		if !n.era.isOldEraLogged {
 			n.era.isOldEraLogged = true
-			n.log.Write(eventlog.Event{Kind: "store.era", Outcome: "kept-out", Reason: "older", Era: position.Era(), Detail: fmt.Sprintf("store response ignored: the known era is %d", n.era.present)})
+			n.log.Write(eventlog.Event{Kind: "store.era", Outcome: "kept-out", Reason: "older", Era: position.Era(), Detail: fmt.Sprintf("store response ignored: the known era is %d", n.era.current)})
 		}
 		return false
 	}
@@ -72,7 +72,7 @@
 	if n.era.isInRestoreWindow(n.now()) {
 		return n.era.restoreWindow.Base
 	}
-	return n.era.present
+	return n.era.current
 }
 
 // mergePeerEra merges what a peer reports of the eras. It returns true if the caller must pull all
@@ -83,14 +83,14 @@
 		return false
 	}
 	reported, restoredAt := *heartbeat.RestoreWindow, n.now()-time.Duration(heartbeat.RestoreAgeMS)*time.Millisecond
-	if n.now()-restoredAt >= restoreWindowDuration || n.era.isKnown && reported.Era < n.era.present {
+	if n.now()-restoredAt >= restoreWindowDuration || n.era.isKnown && reported.Era < n.era.current {
 		return false
 	}
 	switch {
 	case !n.era.isKnown:
 		n.enterEra(reported, restoredAt, heartbeat.Name)
 		n.era.lacksEarlierState = true
-	case reported.Era > n.era.present:
+	case reported.Era > n.era.current:
 		reported.Base = min(reported.Base, n.baseEra())
 		n.enterEra(reported, restoredAt, heartbeat.Name)
 	case n.era.restoreWindow.Era < reported.Era: // this process started after the restore
@@ -116,7 +116,7 @@
 
 // enterEra starts a new era. The caller holds the mutex.
 func (n *Node) enterEra(window structs.RestoreWindow, restoredAt structs.Instant, source string) {
-	n.era = era{isKnown: true, present: window.Era}
+	n.era = era{isKnown: true, current: window.Era}
 	n.setRestoreWindow(window, restoredAt)
 	n.storeFailedAt, n.watchHealthy = n.now(), false // entries are missing until they are written again
 	n.poisonStored = storedPoisonRecords{}
@@ -147,14 +147,14 @@
 // or sends none. Its positions and their age can't be compared with this node's. The caller holds
 // the mutex.
 func (n *Node) isFromEarlierEra(heartbeat liveness.Heartbeat) bool {
-	return heartbeat.Era < n.era.present
+	return heartbeat.Era < n.era.current
 }
 
 // addEra adds what this node knows of the eras to the heartbeat. The restore window is left out if
 // this node lacks the earlier state, so that two such processes do not pull from each other. The
 // caller holds the mutex.
 func (n *Node) addEra(now structs.Instant, heartbeat *liveness.Heartbeat) {
-	heartbeat.Era = n.era.present
+	heartbeat.Era = n.era.current
 	if n.era.isInRestoreWindow(now) && !n.era.lacksEarlierState {
 		window := n.era.restoreWindow
 		heartbeat.RestoreWindow, heartbeat.RestoreAgeMS = &window, (now - n.era.restoredAt).Milliseconds()
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -19,7 +19,7 @@
 	n.mutex.Lock()
 	orders := update.Evacuations
 	if update.FullSnapshot {
-		orders = append(orders, n.evacuations.LiftsForUnlisted(orders, update.Revision)...)
+		orders = append(orders, n.evacuations.LiftsForUnlisted(orders, update.Position)...)
 	}
 	n.mutex.Unlock()
 	return n.applyEvacuationOrders(orders, "store")
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -46,10 +46,10 @@
 		n.recordStoreReached(now)
 	}
 	if heartbeat.ReplicasAgeMS >= 0 && !n.isFromEarlierEra(heartbeat) && heartbeat.LatestPosition <= n.table.LatestPosition() {
-		n.fresh.Observe(now - time.Duration(heartbeat.ReplicasAgeMS)*time.Millisecond)
+		n.replicaFreshness.Observe(now - time.Duration(heartbeat.ReplicasAgeMS)*time.Millisecond)
 	}
 	if own := n.version(); heartbeat.ConfigurationAgeMS >= 0 && own > 0 && heartbeat.Version <= own {
-		n.freshConfiguration.Observe(now - time.Duration(heartbeat.ConfigurationAgeMS)*time.Millisecond)
+		n.configurationFreshness.Observe(now - time.Duration(heartbeat.ConfigurationAgeMS)*time.Millisecond)
 	}
 }
 
@@ -67,22 +67,22 @@
 // readDue reports whether this node should read the store now and what, given the time of its last
 // read and the transfer time of the configuration. The caller holds the mutex.
 func (n *Node) readDue(now, last structs.Instant, transfer time.Duration) (scope outside.Scope, due bool) {
-	if n.storeDown || now-last < readInterval {
+	if n.isStoreDown || now-last < readInterval {
 		return 0, false // the watch loop retries a store that is down
 	}
 	interval := max(readInterval, configurationReadFactor*transfer)
 	if n.watchRank < readingNodes {
 		// The read starts up to readCheckInterval after it became due.
-		if !n.freshConfiguration.Known() || now-n.freshConfiguration.At() > interval-readCheckInterval {
+		if !n.configurationFreshness.Known() || now-n.configurationFreshness.ReadStartedAt() > interval-readCheckInterval {
 			return outside.ScopeAll, true
 		}
 		return outside.ScopeReplicas, true
 	}
 	staleAge := staleAfter + interval - readInterval + n.staleReadDelay(now, min(staleStepPerRank+transfer, maxStaleStepPerRank)) + n.configurationReadJitter(transfer)
 	switch {
-	case n.freshConfiguration.Known() && !n.versionPull.IsPulling() && now-n.freshConfiguration.At() > staleAge:
+	case n.configurationFreshness.Known() && !n.versionPull.IsPulling() && now-n.configurationFreshness.ReadStartedAt() > staleAge:
 		return outside.ScopeAll, !n.waitsForProbingNodes(now)
-	case n.fresh.Known() && now-n.fresh.At() > staleAfter+n.staleReadDelay(now, staleStepPerRank):
+	case n.replicaFreshness.Known() && now-n.replicaFreshness.ReadStartedAt() > staleAfter+n.staleReadDelay(now, staleStepPerRank):
 		return outside.ScopeReplicas, !n.waitsForProbingNodes(now)
 	}
 	return outside.ScopeReplicas, false
@@ -105,7 +105,7 @@
 		n.mutex.Lock()
 		now := n.now()
 		scope, due := n.readDue(now, last, transfer)
-		stale, age := n.watchRank >= readingNodes, n.fresh.Age(now)
+		stale, age := n.watchRank >= readingNodes, n.replicaFreshness.Age(now)
 		n.mutex.Unlock()
 		if !due {
 			continue
@@ -122,7 +122,7 @@
 		}
 		if stale {
 			n.counter("store.stale_reads").Inc(1)
-			n.log.Write(eventlog.Event{Kind: "store", Outcome: "read", Reason: "knowledge-old", Age: age, Detail: scope.String()})
+			n.log.Write(eventlog.Event{Kind: "store", Outcome: "read", Reason: "knowledge-old", AgeMS: age, Detail: scope.String()})
 		}
 	}
 }
--- a/entry/freshness_test.go
+++ b/entry/freshness_test.go
@@ -35,7 +35,7 @@
 	later := now + staleAfter
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.Equal("all"))
 	g.Expect(dueScope(n, later, later-readCheckInterval, 0)).To(gomega.BeEmpty(), "readInterval has not passed")
-	n.storeDown = true
+	n.isStoreDown = true
 	g.Expect(dueScope(n, later, 0, 0)).To(gomega.BeEmpty())
 }
 
@@ -70,8 +70,8 @@
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 7, ReplicasAgeMS: 100, ConfigurationAgeMS: 100})
-	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(100))
-	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
+	g.Expect(n.replicaFreshness.Age(20 * time.Second)).To(gomega.BeEquivalentTo(100))
+	g.Expect(n.configurationFreshness.Known()).To(gomega.BeFalse())
 }
 
 // Guards against recording state as fresh that is older than the peer's.
@@ -80,10 +80,10 @@
 	n := newFreshnessNode(5)
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 4, LatestPosition: 8, ReplicasAgeMS: 0})
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: -1, ConfigurationAgeMS: -1})
-	g.Expect(n.fresh.Known()).To(gomega.BeFalse())
-	g.Expect(n.freshConfiguration.Known()).To(gomega.BeFalse())
+	g.Expect(n.replicaFreshness.Known()).To(gomega.BeFalse())
+	g.Expect(n.configurationFreshness.Known()).To(gomega.BeFalse())
 	n.recordFreshness(20*time.Second, liveness.Heartbeat{Version: 3, LatestPosition: 6, ReplicasAgeMS: 250})
-	g.Expect(n.fresh.Age(20 * time.Second)).To(gomega.BeEquivalentTo(250))
+	g.Expect(n.replicaFreshness.Age(20 * time.Second)).To(gomega.BeEquivalentTo(250))
 }
 
 // Guards against reads of the configuration that fill the reading node's link.
@@ -91,7 +91,7 @@
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
 	start := 20 * time.Second
-	n.freshConfiguration.Observe(start + time.Millisecond) // a read starts after it became due
+	n.configurationFreshness.Observe(start + time.Millisecond) // a read starts after it became due
 	g.Expect(dueScope(n, start+readInterval, start, 0)).To(gomega.Equal("all"))
 	g.Expect(dueScope(n, start+readInterval, start, time.Second)).To(gomega.Equal("replicas"))
 	g.Expect(dueScope(n, start+configurationReadFactor*time.Second, start, time.Second)).To(gomega.Equal("all"))
@@ -101,7 +101,7 @@
 func TestFirstRankedNodesReadEvenWhenFresh(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
-	n.fresh.Observe(20 * time.Second)
+	n.replicaFreshness.Observe(20 * time.Second)
 	g.Expect(dueScope(n, 20*time.Second, 20*time.Second-readInterval, time.Second)).To(gomega.Equal("all"))
 }
 
@@ -110,9 +110,9 @@
 func TestFreshnessOfPeerWithoutEraIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
-	n.era = era{isKnown: true, present: 1}
+	n.era = era{isKnown: true, current: 1}
 	now := 20 * time.Second
-	n.fresh.Observe(now - staleAfter - time.Second)
+	n.replicaFreshness.Observe(now - staleAfter - time.Second)
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 10, ConfigurationAgeMS: 10})
 	g.Expect(dueScope(n, now, 0, 0)).To(gomega.Equal("replicas"))
 	n.recordFreshness(now, liveness.Heartbeat{Version: 3, LatestPosition: 7, ReplicasAgeMS: 10, ConfigurationAgeMS: 10, Era: 1})
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -78,9 +78,9 @@
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
-	c := &call{node: n, writer: w, request: r, arrived: n.now(), id: r.Header.Get(n.deps.Headers.RequestID)}
+	c := &call{node: n, writer: w, request: r, arrived: n.now(), id: r.Header.Get(n.dependencies.Headers.RequestID)}
 	c.alwaysLogged = n.log.Keep(c.id)
-	if n.stopping.Load() != 0 {
+	if n.stoppingSince.Load() != 0 {
 		w.Header().Set("Connection", "close")
 	}
 	current := n.catalog.Load()
@@ -131,7 +131,7 @@
 
 // admit determines route, tenant, service and deadline. If it returns false, it has ended the request.
 func (c *call) admit(current *catalog.Catalog) bool {
-	names := &c.node.deps.Headers
+	names := &c.node.dependencies.Headers
 	c.route = current.Match(c.request.Host, c.request.URL.EscapedPath())
 	if c.route == nil {
 		c.endNotConfigured(current, http.StatusNotFound, "no-route")
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -106,8 +106,8 @@
 // replicas, which may be broken without notice.
 func (n *Node) handleResume(pause time.Duration) {
 	cancelled := n.calls.cancelExpired(n.now())
-	n.pool.CloseRested(0)
-	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", Age: pause.Milliseconds(), Count: cancelled})
+	n.pool.CloseIdle(0)
+	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", AgeMS: pause.Milliseconds(), Count: cancelled})
 	n.mutex.Lock()
 	all, policies := n.table.All(), n.policies
 	n.mutex.Unlock()
@@ -270,8 +270,8 @@
 func (n *Node) buildHeartbeat(now structs.Instant) liveness.Heartbeat {
 	settings := n.settings.Load()
 	heartbeat := liveness.Heartbeat{
-		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.nextHeartbeatInterval().Milliseconds(), Incarnation: n.deps.Incarnation,
-		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.knownPeerCount(now), Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.storeDown, LatestPosition: n.latest(), ReplicasAgeMS: n.fresh.Age(now), ConfigurationAgeMS: n.freshConfiguration.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
+		Name: settings.Name, Zone: settings.Zone, Address: n.selfAddress(), Cores: settings.Cores, LinkMbps: settings.LinkMbps, IntervalMS: n.nextHeartbeatInterval().Milliseconds(), Incarnation: n.dependencies.Incarnation,
+		Term: n.term, Scheduler: n.scheduler, KnownNodes: n.knownPeerCount(now), Leaving: n.stoppingSince.Load() != 0, Slow: n.slowness.Slow(), StoreUnreachable: n.isStoreDown, LatestPosition: n.latestPosition(), ReplicasAgeMS: n.replicaFreshness.Age(now), ConfigurationAgeMS: n.configurationFreshness.Age(now), StoreHealthyMS: n.watchHealthyFor(now).Milliseconds(), FailingReplicas: n.health.Failing(now),
 		InFlight: map[string]liveness.InFlightCount{}, CanRelay: true, Rollouts: n.rolloutViews(),
 	}
 	heartbeat.Version, heartbeat.Evacuations = n.version(), n.evacuations.All()
--- a/entry/idle_connections.go
+++ b/entry/idle_connections.go
@@ -14,7 +14,7 @@
 // handleSilentLink checks a peer whose connection was closed as silent. If it answers on a new
 // connection, something on the path drops connections without notice, and idle ones to replicas may
 // be broken as well. These are closed, as a request written to one would be lost.
-func (n *Node) handleSilentLink(address string) {
+func (n *Node) handleSilentConnection(address string) {
 	ctx, cancel := context.WithTimeout(n.ctx, pingTimeout)
 	defer cancel()
 	err := n.peers.Ping(ctx, address)
@@ -31,7 +31,7 @@
 // closeIdle closes the connections to replicas that have been idle for at least the time in which
 // silence is detected.
 func (n *Node) closeIdle(reason string) {
-	closed := n.pool.CloseRested(peer.SilenceTime)
+	closed := n.pool.CloseIdle(peer.SilenceTime)
 	n.counter("links.silent").Inc(1)
 	n.log.Write(eventlog.Event{Kind: "connections", Outcome: "closed", Reason: reason, Count: closed})
 }
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -41,7 +41,7 @@
 // registerMemoryMetrics registers the gauges of memory and of bytes being sent.
 func (n *Node) registerMemoryMetrics(server *peer.Server) {
 	n.sendingBytes = func() int64 {
-		return server.Sending(peerwire.KindNews) + server.Sending(peerwire.KindConfigurationParts)
+		return server.Sending(peerwire.KindUpdates) + server.Sending(peerwire.KindConfigurationParts)
 	}
 	for name, value := range map[string]func() int64{
 		"memory.heap_bytes": heapBytes, "memory.held_bytes": mappedBytes, "news.sending_bytes": n.sendingBytes,
--- a/entry/node.go
+++ b/entry/node.go
@@ -44,7 +44,7 @@
 	// Rollouts stores the progress of roll-outs; nil means that it is not stored.
 	Rollouts outside.Rollouts
 	// PoisonRecords stores the records of poison requests; nil means that they are lost with the nodes.
-	PoisonRecords outside.Contents
+	PoisonRecords outside.PoisonRecordStore
 	Headers       outside.HeaderNames
 	// ParsePushback parses the pushback signals in the head of a replica's response. Its error
 	// names each part that can't be parsed; the signals of the other parts are still returned.
@@ -69,9 +69,9 @@
 
 // Node is one entry node.
 type Node struct {
-	settings atomic.Pointer[Settings]
-	deps     Dependencies
-	log      *eventlog.Log
+	settings     atomic.Pointer[Settings]
+	dependencies Dependencies
+	log          *eventlog.Log
 	// startedAt is what Now returned at the start.
 	startedAt     time.Duration
 	metrics       metrics.Registry
@@ -102,8 +102,8 @@
 	// isConfigurationLarge is true once a read found that the configuration exceeds maxReadBytes.
 	isConfigurationLarge atomic.Bool
 
-	stopping atomic.Int64
-	inFlight atomic.Int64
+	stoppingSince atomic.Int64
+	inFlight      atomic.Int64
 	// calls holds the callers' requests in progress.
 	calls activeCalls
 
@@ -145,7 +145,7 @@
 	// watchHealthySince is when that began.
 	watchHealthy      bool
 	watchHealthySince structs.Instant
-	storeDown         bool
+	isStoreDown       bool
 	// nextReadTimeout bounds the next complete read of the store, and cancelWatch ends the
 	// current watch.
 	nextReadTimeout time.Duration
@@ -159,10 +159,10 @@
 	// era is the known era of the store.
 	era era
 	// fresh is the freshness of the replicas, freshConfiguration that of the configuration.
-	fresh, freshConfiguration staleness.Freshness
-	unackedFinishes           []unackedFinish
-	replicaPull               staleness.PullTracker[structs.StorePosition]
-	versionPull, poisonPull   staleness.PullTracker[int64]
+	replicaFreshness, configurationFreshness staleness.Freshness
+	unackedFinishes                          []unackedFinish
+	replicaPull                              staleness.PullTracker[structs.StorePosition]
+	versionPull, poisonPull                  staleness.PullTracker[int64]
 	// loggedProblems are the store entries and parts of responses that failed to parse and were
 	// logged.
 	loggedProblems map[string]bool
@@ -184,23 +184,23 @@
 // New returns a node that is not started.
 func New(settings *Settings, dependencies Dependencies) *Node {
 	n := &Node{
-		deps: dependencies, log: dependencies.Log, metrics: metrics.NewRegistry(),
+		dependencies: dependencies, log: dependencies.Log, metrics: metrics.NewRegistry(),
 		pool: replicahttp.NewPool(dependencies.Network), peers: peer.NewClient(dependencies.Network, nil),
 		table: replicas.NewTable(), evacuations: evacuations.NewTable(), rollouts: rollouts.NewTable(), members: liveness.NewTable(settings.Name), relays: liveness.NewRelays(rand.IntN), health: replicahealth.NewTracker(), pushback: pushback.NewTracker(), zones: zones.NewTracker(),
 		assignments: map[string]assignment{}, peerUsage: map[string]receivedUsage{}, loggedProblems: map[string]bool{}, term: 1, storeFailedAt: -time.Hour, lastActiveAt: -time.Hour, selectedAt: -time.Hour, peersRequestedAt: -time.Hour,
 		parts: dissemination.NewPartStore(), sendLimiter: dissemination.NewSendLimiter(settings.LinkMbps),
 	}
-	if n.deps.Now == nil {
+	if n.dependencies.Now == nil {
 		started := time.Now()
-		n.deps.Now = func() time.Duration { return time.Since(started) }
+		n.dependencies.Now = func() time.Duration { return time.Since(started) }
 	}
-	n.startedAt = n.deps.Now()
+	n.startedAt = n.dependencies.Now()
 	n.settings.Store(settings)
-	n.peers.OnSilence(func(address string) { go n.handleSilentLink(address) })
+	n.peers.OnSilence(func(address string) { go n.handleSilentConnection(address) })
 	n.scheduling = newSchedulingService(n.now, settings.retryPolicy(1), settings.FirstStart)
 	n.scheduling.rolloutPolicy = settings.rolloutPolicy()
 	n.scheduling.setRegions(settings.Regions)
-	n.scheduling.setContentPolicy(settings.poisonPolicy())
+	n.scheduling.setPoisonPolicy(settings.poisonPolicy())
 	n.scheduling.onPoisonTransition = n.logPoisonTransition
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
@@ -208,10 +208,12 @@
 
 // now returns the time since the node started, which advances while the machine is suspended,
 // unlike timers and time.Since. All ages are measured with it.
-func (n *Node) now() structs.Instant { return n.deps.Now() - n.startedAt }
+func (n *Node) now() structs.Instant { return n.dependencies.Now() - n.startedAt }
 
 // process returns the name under which schedulers know this process.
-func (n *Node) process() string { return processName(n.settings.Load().Name, n.deps.Incarnation) }
+func (n *Node) process() string {
+	return processName(n.settings.Load().Name, n.dependencies.Incarnation)
+}
 
 // processName returns the name of a process of the node.
 func processName(name string, incarnation uint64) string {
@@ -249,28 +251,28 @@
 }
 
 func (n *Node) listenPeers(address string) error {
-	listener, err := n.deps.Network.Listen(address)
+	listener, err := n.dependencies.Network.Listen(address)
 	if err != nil {
 		return fmt.Errorf("listen for peers at %s: %w", address, err)
 	}
-	if n.heartbeatConn, err = n.deps.Datagrams.ListenDatagrams(address); err != nil {
+	if n.heartbeatConn, err = n.dependencies.Datagrams.ListenDatagrams(address); err != nil {
 		return fmt.Errorf("listen for heartbeats at %s: %w", address, err)
 	}
 	server := peer.NewServer(nil)
 	server.OnReplaced(func() { n.closeIdle("a peer replaced its connection") })
-	peer.Handle(server, peerwire.KindPlace, func(ctx context.Context, request *assignRequest) (*assignReply, error) {
+	peer.Handle(server, peerwire.KindAssign, func(ctx context.Context, request *assignRequest) (*assignReply, error) {
 		return n.scheduling.assign(ctx, request), nil
 	})
 	peer.Handle(server, peerwire.KindFinish, func(_ context.Context, request *finishRequest) (*finishReply, error) {
 		n.scheduling.finish(request)
 		return &finishReply{}, nil
 	})
-	peer.Handle(server, peerwire.KindBegun, func(_ context.Context, request *firstEventRequest) (*firstEventReply, error) {
+	peer.Handle(server, peerwire.KindFirstEvent, func(_ context.Context, request *firstEventRequest) (*firstEventReply, error) {
 		n.scheduling.recordFirstEvent(request)
 		return &firstEventReply{}, nil
 	})
-	peer.Handle(server, peerwire.KindNews, n.serveUpdates)
-	peer.Handle(server, peerwire.KindContents, n.servePoisonRecords)
+	peer.Handle(server, peerwire.KindUpdates, n.serveUpdates)
+	peer.Handle(server, peerwire.KindPoisonRecords, n.servePoisonRecords)
 	peer.Handle(server, peerwire.KindConfigurationParts, n.serveParts)
 	n.registerMemoryMetrics(server)
 	n.peerListener = listener
@@ -286,7 +288,7 @@
 )
 
 func (n *Node) listenHTTP(address string, handler http.Handler) error {
-	listener, err := n.deps.Network.Listen(address)
+	listener, err := n.dependencies.Network.Listen(address)
 	if err != nil {
 		return fmt.Errorf("listen at %s: %w", address, err)
 	}
@@ -299,14 +301,14 @@
 // Reload activates changed settings. Addresses do not change until a restart.
 func (n *Node) Reload(settings *Settings) {
 	n.settings.Store(settings)
-	n.scheduling.setContentPolicy(settings.poisonPolicy())
+	n.scheduling.setPoisonPolicy(settings.poisonPolicy())
 	n.scheduling.setRegions(settings.Regions)
 	n.log.Write(eventlog.Event{Kind: "process.reload", Outcome: "in-force"})
 }
 
 // Ready reports whether the balancer should send requests to this node.
 func (n *Node) Ready() bool {
-	if n.stopping.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.isConfigurationStale() {
+	if n.stoppingSince.Load() != 0 || n.catalog.Load() == nil || n.now() < readinessDelay || n.isConfigurationStale() {
 		return false
 	}
 	n.mutex.Lock()
@@ -319,7 +321,7 @@
 
 func (n *Node) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+n.deps.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+n.dependencies.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -32,13 +32,13 @@
 	Scheduler  string `json:"scheduler"`
 	// NonDelegate is true if this node is no delegate of its zone, and Fleet is the estimated
 	// number of nodes.
-	NonDelegate bool                       `json:"ordinary"`
-	Fleet       int                        `json:"fleet"`
-	Live        []string                   `json:"live_peers"`
-	Silent      []string                   `json:"silent_peers"`
-	Failing     []string                   `json:"failing_replicas"`
-	Replicas    []replicas.Replica         `json:"replicas"`
-	Services    map[string]admission.Count `json:"services"`
+	NonDelegate bool                               `json:"ordinary"`
+	Fleet       int                                `json:"fleet"`
+	Live        []string                           `json:"live_peers"`
+	Silent      []string                           `json:"silent_peers"`
+	Failing     []string                           `json:"failing_replicas"`
+	Replicas    []replicas.Replica                 `json:"replicas"`
+	Services    map[string]admission.ServiceStatus `json:"services"`
 	// Pushback is what replicas reported to this node to limit requests.
 	Pushback []PushbackStatus `json:"pushback,omitempty"`
 	// Evacuations are the zones that operators evacuated, and the orders that were lifted.
@@ -52,17 +52,17 @@
 // Status returns the node's current state.
 func (n *Node) Status() *Status {
 	settings := n.settings.Load()
-	status := &Status{Name: settings.Name, Zone: settings.Zone, Ready: n.Ready(), Stopping: n.stopping.Load() != 0, Services: n.scheduling.counts(), Blocked: n.poisonStatus()}
+	status := &Status{Name: settings.Name, Zone: settings.Zone, Ready: n.Ready(), Stopping: n.stoppingSince.Load() != 0, Services: n.scheduling.counts(), Blocked: n.poisonStatus()}
 	if current := n.catalog.Load(); current != nil {
 		status.Version = current.Version
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
-	status.Revision, status.Era, status.Restored = n.table.CompleteTo().Revision(), n.era.present, n.era.restoreWindowAge(now).Milliseconds()
-	status.UpdatesAge, status.StoreDown = (now - n.updatedAt).Milliseconds(), n.storeDown
+	status.Revision, status.Era, status.Restored = n.table.CompleteTo().Revision(), n.era.current, n.era.restoreWindowAge(now).Milliseconds()
+	status.UpdatesAge, status.StoreDown = (now - n.updatedAt).Milliseconds(), n.isStoreDown
 	status.Scheduler, status.Failing, status.Replicas = n.scheduler, n.health.Failing(now), n.table.All()
-	status.NonDelegate, status.Fleet = n.isNonDelegate, n.fleet
+	status.NonDelegate, status.Fleet = n.isNonDelegate, n.fleetSize
 	status.Pushback = n.pushbackStatus(now)
 	status.Rollouts, status.Evacuations = n.rolloutStatus(now), n.evacuationsStatus()
 	for _, member := range n.members.All(now) {
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, crashProbeTimeout)
 	defer cancel()
-	conn, err := n.deps.Network.Dial(ctx, replica.Address)
+	conn, err := n.dependencies.Network.Dial(ctx, replica.Address)
 	switch {
 	case err == nil:
 		_ = conn.Close()
@@ -80,7 +80,7 @@
 		incarnations = append(incarnations, string(incarnation))
 	}
 	n.log.Write(eventlog.Event{
-		Kind: "content", Outcome: outcome, Content: record.Fingerprint.String(), Service: record.Service, Route: record.Route,
+		Kind: "content", Outcome: outcome, Fingerprint: record.Fingerprint.String(), Service: record.Service, Route: record.Route,
 		Count: len(record.Incarnations), Detail: strings.Join(incarnations, " "),
 	})
 }
@@ -115,7 +115,7 @@
 	defer cancel()
 	before := n.scheduling.poisonSummary()
 	reply := &poisonReply{}
-	err := n.peers.Call(ctx, address, peerwire.KindContents, &poisonRequest{}, reply)
+	err := n.peers.Call(ctx, address, peerwire.KindPoisonRecords, &poisonRequest{}, reply)
 	if err == nil {
 		n.scheduling.mergePoisonRecords(reply.Records)
 	} else if n.ctx.Err() == nil {
@@ -152,7 +152,7 @@
 
 // poisonSyncLoop keeps the store's records up to date while this node is the active scheduler.
 func (n *Node) poisonSyncLoop() {
-	if n.deps.PoisonRecords == nil {
+	if n.dependencies.PoisonRecords == nil {
 		return
 	}
 	wait := poisonIdleInterval
@@ -176,7 +176,7 @@
 func (n *Node) isActiveScheduler() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.scheduler == n.settings.Load().Name && n.stopping.Load() == 0
+	return n.scheduler == n.settings.Load().Name && n.stoppingSince.Load() == 0
 }
 
 // writePoisonRecords writes the records to the store if that is still at the position. Otherwise it
@@ -184,7 +184,7 @@
 func (n *Node) writePoisonRecords(persistent []poisonrecords.Record, position structs.StorePosition) {
 	ctx, cancel := context.WithTimeout(n.ctx, poisonStoreTimeout)
 	defer cancel()
-	written, err := n.deps.PoisonRecords.WriteContents(ctx, persistent, position)
+	written, err := n.dependencies.PoisonRecords.WritePoisonRecords(ctx, persistent, position)
 	if err == nil {
 		n.counter("contents.writes").Inc(1)
 		n.applyPoisonRecords(persistent, written)
@@ -194,7 +194,7 @@
 	if errors.Is(err, errkind.StoreUnavailable) {
 		return // nothing was written, and a second call would fail too
 	}
-	records, found, err := n.deps.PoisonRecords.ReadContents(ctx)
+	records, found, err := n.dependencies.PoisonRecords.ReadPoisonRecords(ctx)
 	if err != nil {
 		n.counter("contents.reads_failed").Inc(1)
 		return
--- a/entry/request_log.go
+++ b/entry/request_log.go
@@ -15,7 +15,7 @@
 func (c *call) newEvent(kind string) eventlog.Event {
 	event := eventlog.Event{
 		Kind: kind, Request: c.id, Service: c.service,
-		Took: c.age().Milliseconds(), Waited: c.waited.Milliseconds(),
+		TookMS: c.age().Milliseconds(), WaitedMS: c.waited.Milliseconds(),
 	}
 	if c.route != nil {
 		event.Route = c.route.Name
@@ -24,7 +24,7 @@
 		event.Tenant = c.tenant.Name
 	}
 	if !c.fingerprint.IsZero() {
-		event.Content = c.fingerprint.String()
+		event.Fingerprint = c.fingerprint.String()
 	}
 	return event
 }
@@ -43,18 +43,18 @@
 func (c *call) logReceived(version int64) {
 	event := c.newEvent("request.received")
 	event.Version, event.Prompt, event.Answer = version, c.promptTokens, c.expectedOutputTokens()
-	event.Remaining = c.remaining().Milliseconds()
+	event.RemainingMS = c.remaining().Milliseconds()
 	c.logEvent(event)
 }
 
 // logAssignment logs the scheduling node's decision and its grounds.
 func (c *call) logAssignment(granted *grant) {
 	event := c.newEvent("request.placed")
-	event.Peer, event.Priority, event.Repeat = granted.scheduler, c.priority(), c.sends > 0
-	if granted.asked > 1 {
-		event.Asked = granted.asked
+	event.Peer, event.Priority, event.IsRetry = granted.scheduler, c.priority(), c.sends > 0
+	if granted.attempts > 1 {
+		event.SchedulerCalls = granted.attempts
 	}
-	event.Waiting, event.Free, event.Expected = granted.Waiting, granted.Free, granted.Expected.Milliseconds()
+	event.QueuedAhead, event.FreeSlots, event.ExpectedWaitMS = granted.Waiting, granted.Free, granted.Expected.Milliseconds()
 	if granted.Reason != "" {
 		event.Outcome, event.Reason = "refused", granted.Reason
 	} else {
@@ -70,7 +70,7 @@
 	event.Replica, event.Outcome, event.Peer = granted.Replica.ID, outcome.String(), granted.scheduler
 	event.Revision, event.Era = granted.Replica.Position.Revision(), granted.Replica.Position.Era()
 	event.Count, event.Reason = c.sends, string(c.lastFailure)
-	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
+	event.FirstEventMS, event.MaxPauseMS = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
 	c.logEvent(event)
 	c.node.counter("sends." + outcome.String()).Inc(1)
 }
@@ -78,7 +78,7 @@
 // recordEnd logs the end of the request, and the buffered events unless it was answered.
 func (c *call) recordEnd(event eventlog.Event) {
 	c.ended = true
-	event.First, event.Pause = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
+	event.FirstEventMS, event.MaxPauseMS = c.firstEventDelay.Milliseconds(), c.maxEventGap.Milliseconds()
 	event.Prompt, event.Answer = c.promptTokens, c.expectedOutputTokens()
 	c.logEvent(event)
 	c.node.counter("requests." + event.Outcome).Inc(1)
--- a/entry/response.go
+++ b/entry/response.go
@@ -23,7 +23,7 @@
 
 // relay forwards the replica's response to the caller.
 func (c *call) relay(answer *replicahttp.Answer, replica replicas.Replica, sentTime time.Time) (result, admission.Observation) {
-	names := &c.node.deps.Headers
+	names := &c.node.dependencies.Headers
 	notRun := answer.Header.Get(names.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	switch {
@@ -89,7 +89,7 @@
 	if _, isSet := answer.Header["Content-Type"]; !isSet {
 		header["Content-Type"] = nil
 	}
-	if c.node.stopping.Load() != 0 {
+	if c.node.stoppingSince.Load() != 0 {
 		header.Set("Connection", "close")
 	}
 }
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -35,7 +35,7 @@
 	for _, order := range orders {
 		if n.rollouts.PutOrder(now, order) {
 			changed = true
-			n.log.Write(eventlog.Event{Kind: "rollout", Service: order.Service, Outcome: "ordered", Revision: order.Position.Revision(), Era: order.Position.Era(), Detail: order.Target, Remaining: order.Duration.Milliseconds()})
+			n.log.Write(eventlog.Event{Kind: "rollout", Service: order.Service, Outcome: "ordered", Revision: order.Position.Revision(), Era: order.Position.Era(), Detail: order.Target, RemainingMS: order.Duration.Milliseconds()})
 		}
 	}
 	phaseChanged := false
@@ -136,7 +136,7 @@
 	}
 	policies := map[string]rollouts.VersionPolicy{}
 	for service, pool := range pools {
-		if policy := n.versionPolicy(service, pool); policy.Active() {
+		if policy := n.versionPolicy(service, pool); policy.IsActive() {
 			policies[service] = policy
 		}
 	}
@@ -164,7 +164,7 @@
 		if views == nil {
 			views = map[string]liveness.RolloutView{}
 		}
-		views[service] = liveness.RolloutView{OrderPosition: policy.OrderPosition, Phase: uint8(policy.Phase), Busy: n.inFlightAtExcluded(service)}
+		views[service] = liveness.RolloutView{OrderPosition: policy.OrderPosition, Phase: uint8(policy.Phase), InFlightAtOldReplicas: n.inFlightAtExcluded(service)}
 	}
 	return views
 }
@@ -183,7 +183,7 @@
 
 // rolloutLoop restores and steps the roll-outs while this node is the active scheduler.
 func (n *Node) rolloutLoop() {
-	if n.deps.Rollouts == nil {
+	if n.dependencies.Rollouts == nil {
 		return
 	}
 	wait := rolloutIdleInterval
@@ -207,7 +207,7 @@
 func (n *Node) rolloutsInProgress() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.scheduler != n.settings.Load().Name || n.stopping.Load() != 0 {
+	if n.scheduler != n.settings.Load().Name || n.stoppingSince.Load() != 0 {
 		return nil
 	}
 	isEnded := func(service string) bool { return n.policies[service].Phase.IsTerminal() }
@@ -226,7 +226,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
-	position, err := n.deps.Rollouts.WriteRollout(ctx, next)
+	position, err := n.dependencies.Rollouts.WriteRollout(ctx, next)
 	n.scheduling.recordRolloutWrite(next, position, err)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
@@ -241,7 +241,7 @@
 // rereadRollout reads the record from the store after a failed write: another node may have written
 // it, or the write's outcome is unknown.
 func (n *Node) rereadRollout(ctx context.Context, service string) {
-	record, err := n.deps.Rollouts.ReadRollout(ctx, service)
+	record, err := n.dependencies.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
 		n.counter("rollouts.reads_failed").Inc(1)
 		return // the next write fails as well and is followed by another read
@@ -277,13 +277,13 @@
 			inputs.OtherSlots += replica.Slots
 		}
 	}
-	inputs.Busy, inputs.Confirmed = n.inFlightAtExcluded(service), true
+	inputs.InFlightElsewhere, inputs.Confirmed = n.inFlightAtExcluded(service), true
 	for _, member := range n.confirmingNodes(now, record.Phase) {
 		view, reported := member.Rollouts[service]
 		if !reported || view.OrderPosition != record.OrderPosition || view.Phase != uint8(record.Phase) {
 			inputs.Confirmed = false
 		}
-		inputs.Busy += view.Busy
+		inputs.InFlightElsewhere += view.InFlightAtOldReplicas
 	}
 	return inputs, record
 }
--- a/entry/rollout_restore.go
+++ b/entry/rollout_restore.go
@@ -14,7 +14,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.rollouts.ServicesToRewrite(n.era.present)
+	return n.rollouts.ServicesToRewrite(n.era.current)
 }
 
 // restoreRollout writes a record again that the restored store lacks, unless the store has a newer
@@ -23,7 +23,7 @@
 func (n *Node) restoreRollout(service string) {
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutWriteTimeout)
 	defer cancel()
-	stored, err := n.deps.Rollouts.ReadRollout(ctx, service)
+	stored, err := n.dependencies.Rollouts.ReadRollout(ctx, service)
 	if err != nil {
 		n.counter("rollouts.reads_failed").Inc(1)
 		return
@@ -45,7 +45,7 @@
 	record.Elapsed = n.rollouts.Elapsed(now, service)
 	n.mutex.Unlock()
 	record.Position = stored.Position
-	written, err := n.deps.Rollouts.WriteRollout(ctx, record)
+	written, err := n.dependencies.Rollouts.WriteRollout(ctx, record)
 	if err != nil {
 		n.counter("rollouts.writes_failed").Inc(1)
 		return // read again in the next round
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -14,7 +14,7 @@
 	rollouts.Record
 	Step string `json:"step"`
 	// Left is the time to the deadline in milliseconds; negative once it has passed.
-	Left int64 `json:"left_ms"`
+	RemainingMS int64 `json:"left_ms"`
 	// RegressionScore is the evidence against the target at the scheduling node; the target is
 	// rolled back from 1 on. RegressionRoute is the route with the highest score.
 	RegressionScore float64 `json:"doubt"`
@@ -32,7 +32,7 @@
 			continue
 		}
 		order, _ := n.rollouts.Order(service)
-		status := RolloutStatus{Record: record, Step: record.Phase.String(), Left: (order.Duration - n.rollouts.Elapsed(now, service)).Milliseconds()}
+		status := RolloutStatus{Record: record, Step: record.Phase.String(), RemainingMS: (order.Duration - n.rollouts.Elapsed(now, service)).Milliseconds()}
 		status.RegressionScore, status.RegressionRoute = n.scheduling.regressionScore(service)
 		for _, route := range slices.Sorted(maps.Keys(record.EvidenceByRoute)) {
 			status.Evidence = append(status.Evidence, rollout.Describe(route, record.EvidenceByRoute[route]))
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -30,7 +30,7 @@
 	// and the size that other nodes report, and zone the size of this node's zone as observed by
 	// this node.
 	size, zone liveness.Size
-	fleet      int
+	fleetSize  int
 	// watchRank is this node's rank among the live nodes that reach the store, and isCandidate is
 	// true if it is a candidate for scheduling.
 	watchRank   int
@@ -167,8 +167,8 @@
 func (n *Node) updateFleetSize(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
 	n.size, n.zone = n.members.Size(now, settings.Zone)
-	n.fleet = max(n.size.Known, liveness.ReportedFleetSize(live))
-	if n.isLarge = liveness.IsLarge(n.fleet, n.isLarge); n.isLarge {
+	n.fleetSize = max(n.size.Known, liveness.ReportedFleetSize(live))
+	if n.isLarge = liveness.IsLarge(n.fleetSize, n.isLarge); n.isLarge {
 		return
 	}
 	// In a small fleet every node receives heartbeats from all others.
@@ -180,7 +180,7 @@
 // caller holds the mutex.
 func (n *Node) detectLargeFleet(heartbeat *liveness.Heartbeat) {
 	if fleet := max(n.members.Known()+1, heartbeat.KnownNodes, heartbeat.FleetSize); !n.isLarge && liveness.IsLarge(fleet, false) {
-		n.isLarge, n.fleet = true, fleet
+		n.isLarge, n.fleetSize = true, fleet
 	}
 }
 
@@ -190,7 +190,7 @@
 	settings := n.settings.Load()
 	return &liveness.Heartbeat{
 		Name: settings.Name, Zone: settings.Zone, Cores: settings.Cores, LinkMbps: settings.LinkMbps,
-		Leaving: n.stopping.Load() != 0, Slow: n.slowness.Slow(),
+		Leaving: n.stoppingSince.Load() != 0, Slow: n.slowness.Slow(),
 	}
 }
 
@@ -221,7 +221,7 @@
 	if current.isNonDelegate {
 		outcome = "laid-down"
 	}
-	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: current.fleet})
+	n.log.Write(eventlog.Event{Kind: "delegate", Outcome: outcome, Count: current.fleetSize})
 	if !current.isNonDelegate || roleTime < delegateKnownTime {
 		return
 	}
--- a/entry/scheduling_poison.go
+++ b/entry/scheduling_poison.go
@@ -21,7 +21,7 @@
 	poisonBlockedByPeer = "heard-barred"
 )
 
-func (s *schedulingService) setContentPolicy(policy poison.Policy) {
+func (s *schedulingService) setPoisonPolicy(policy poison.Policy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.poisonTracker.SetPolicy(policy)
@@ -33,8 +33,8 @@
 	now := s.clock()
 	switch {
 	case finished.Ended != nil:
-		assignedAt := completion.Placed
-		if completion.Content.IsZero() {
+		assignedAt := completion.AssignedAt
+		if completion.Fingerprint.IsZero() {
 			assignedAt = -1 // unknown, so that an incarnation counts once
 		}
 		record := poisonrecords.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
@@ -48,7 +48,7 @@
 		}
 		s.reportPoisonTransition(outcome, finished.Content)
 	case finished.NotRun:
-		s.poisonTracker.CancelTrial(completion.Content)
+		s.poisonTracker.CancelTrial(completion.Fingerprint)
 	case finished.Seen.Whole:
 		if s.poisonTracker.RecordSuccess(now, finished.Content) {
 			s.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: completion.Service, Route: completion.Route})
--- a/entry/scheduling_quota.go
+++ b/entry/scheduling_quota.go
@@ -49,7 +49,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock()
-	return &liveness.QuotaUsage{Epoch: s.epoch, Led: (now - s.activeSince).Milliseconds(), Taken: s.quotas.Taken(now, maxReportedBuckets)}
+	return &liveness.QuotaUsage{Epoch: s.epoch, Led: (now - s.activeSince).Milliseconds(), Taken: s.quotas.Usage(now, maxReportedBuckets)}
 }
 
 // chargeRemoteUsage charges what other scheduling nodes granted while this node is active.
--- a/entry/scheduling_rollout.go
+++ b/entry/scheduling_rollout.go
@@ -45,9 +45,9 @@
 		s.controllers[service] = controller
 		s.scheduler.SetCanaryBudget(service, controller.CanaryBudget())
 	}
-	controller.Adopt(known)
-	inputs.Busy = max(inputs.Busy, s.scheduler.InFlightAt(service))
-	inputs.Longest = s.maxResponseTimes[service]
+	controller.ApplyRecord(known)
+	inputs.InFlightElsewhere = max(inputs.InFlightElsewhere, s.scheduler.InFlightAt(service))
+	inputs.LongAnswerTime = s.maxResponseTimes[service]
 	return controller.Propose(s.clock(), inputs)
 }
 
@@ -95,15 +95,15 @@
 // first event, and per event for the others.
 func sampleOf(ended admission.Completion, observed admission.Observation, target string) rollout.Sample {
 	sample := rollout.Sample{
-		Route: ended.Route, Replica: ended.Replica, Begun: ended.Placed, Target: ended.Version == target, Failed: observed.Failed, Step: observed.Duration,
+		Route: ended.Route, Replica: ended.Replica, AssignedAt: ended.AssignedAt, Target: ended.Version == target, Failed: observed.Failed, EventInterval: observed.Duration,
 	}
 	if observed.Events == 0 {
 		return sample
 	}
-	sample.First = observed.FirstEvent / time.Duration(ended.Prompt+promptOverheadTokens)
-	sample.Step = 0
+	sample.FirstEventTime = observed.FirstEvent / time.Duration(ended.Prompt+promptOverheadTokens)
+	sample.EventInterval = 0
 	if observed.Events > 1 {
-		sample.Step = (observed.Duration - observed.FirstEvent) / time.Duration(observed.Events-1)
+		sample.EventInterval = (observed.Duration - observed.FirstEvent) / time.Duration(observed.Events-1)
 	}
 	return sample
 }
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -106,7 +106,7 @@
 	}
 	s.quotas = quota.NewBuckets(start)
 	if start < 1 {
-		s.quotas.SetAuthoritativeAfter(s.clock() + quotaSettleTime)
+		s.quotas.SetAuthoritativeAt(s.clock() + quotaSettleTime)
 	}
 	s.pending = map[string]chan admission.Decision{}
 	s.charges = map[string]requestCharge{}
@@ -223,7 +223,7 @@
 			Limit:   s.limitReport(decision),
 			Replica: decision.Replica, Reason: string(decision.Reason),
 			RetryAfter: decision.RetryAfter, Waited: decision.Waited, Term: s.currentTerm(),
-			Waiting: decision.QueuedAhead, Free: decision.Free, Expected: decision.Expected,
+			Waiting: decision.QueuedAhead, Free: decision.FreeSlots, Expected: decision.ExpectedWait,
 		}
 	case <-ctx.Done():
 		s.finish(&finishRequest{ID: request.Request.ID, NotRun: true})
@@ -290,7 +290,7 @@
 func (s *schedulingService) observe(service string, prompt int, finished *finishRequest, replica string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.scheduler.Observe(s.clock(), service, replica, prompt, finished.Seen)
+	s.scheduler.ObserveExternal(s.clock(), service, replica, prompt, finished.Seen)
 	s.recordPoisonResult(admission.Completion{}, finished)
 }
 
@@ -395,7 +395,7 @@
 }
 
 // counts returns the counts of every service.
-func (s *schedulingService) counts() map[string]admission.Count {
+func (s *schedulingService) counts() map[string]admission.ServiceStatus {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.scheduler.Counts()
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -14,7 +14,7 @@
 }
 
 // setWarmings sets the limits of cold replicas by service.
-func (s *schedulingService) setWarmings(slowStarts map[string]admission.SlowStart) {
+func (s *schedulingService) setSlowStarts(slowStarts map[string]admission.SlowStart) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.slowStarts = slowStarts
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -27,7 +27,7 @@
 			return
 		}
 		if !c.node.maySend(granted) {
-			c.node.finish(granted, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
+			c.node.reportFinish(granted, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
 			tried = append(tried, granted.Replica.ID)
 			if len(tried) >= maxSends {
 				c.endUnanswered(resultNotSent, executions)
@@ -71,7 +71,7 @@
 	if granted.address != "" {
 		c.node.scheduling.observe(c.service, c.promptTokens, message, granted.Replica.ID)
 	}
-	c.node.finish(granted, message)
+	c.node.reportFinish(granted, message)
 }
 
 // checkReplicaCrash determines whether the replica that failed the request has crashed. It enters
@@ -89,7 +89,7 @@
 	case incarnationEnded:
 		message.Ended = crashed
 	case incarnationUnknown:
-		c.node.deferDisconnect(unresolvedDisconnect{replica: granted.Replica, content: c.fingerprint, ended: crashed})
+		c.node.deferDisconnect(unresolvedDisconnect{replica: granted.Replica, fingerprint: c.fingerprint, crash: crashed})
 	}
 }
 
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -18,7 +18,7 @@
 // work takes, and announces when the node becomes slow or recovers.
 func (n *Node) slowNodeLoop() {
 	probe := newWorkProbe()
-	sleep := n.deps.Sleep
+	sleep := n.dependencies.Sleep
 	if sleep == nil {
 		sleep = sleepLateness
 	}
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -23,7 +23,7 @@
 // serves requests until the balancer no longer sends any and the last response is complete, at most
 // for StopGrace.
 func (n *Node) Stop() {
-	n.stopping.Store(int64(max(n.now(), 1)))
+	n.stoppingSince.Store(int64(max(n.now(), 1)))
 	n.log.Write(eventlog.Event{Kind: "process.stop", Outcome: "begun", Count: int(n.inFlight.Load())})
 	n.sendHeartbeats()
 	startedAt := n.now()
@@ -62,7 +62,7 @@
 
 // stoppingFor returns for how long the node has been stopping, or zero if it is not.
 func (n *Node) stoppingFor() time.Duration {
-	startedAt := n.stopping.Load()
+	startedAt := n.stoppingSince.Load()
 	if startedAt == 0 {
 		return 0
 	}
--- a/entry/store.go
+++ b/entry/store.go
@@ -164,7 +164,7 @@
 	decoded := n.catalogRevision
 	n.storeCalledAt = startedAt
 	n.mutex.Unlock()
-	update, err := n.deps.Directory.Read(ctx, scope, decoded, n.maxReadBytes(scope))
+	update, err := n.dependencies.Directory.Read(ctx, scope, decoded, n.maxReadBytes(scope))
 	n.mutex.Lock()
 	// The response may have filled the link, so that no heartbeat arrived during the read.
 	n.lastContactAt = n.now()
@@ -179,20 +179,20 @@
 	n.setNextReadTimeout(min(readTimeFactor*took, maxReadTimeout))
 	n.recordDuration("store_read_ms", took)
 	if !n.apply(update) {
-		return 0, errkind.New(errkind.StoreUnavailable, "read store: response of era %d is outdated", update.Revision.Era())
+		return 0, errkind.New(errkind.StoreUnavailable, "read store: response of era %d is outdated", update.Position.Era())
 	}
 	n.mutex.Lock()
 	n.readCalls = update.Calls
 	n.recordRead(startedAt, scope)
 	n.mutex.Unlock()
-	return update.Revision, nil
+	return update.Position, nil
 }
 
 // recordRead records that the scope is known as of startedAt. The caller holds the mutex.
 func (n *Node) recordRead(startedAt structs.Instant, scope outside.Scope) {
-	n.fresh.Observe(startedAt)
+	n.replicaFreshness.Observe(startedAt)
 	if scope == outside.ScopeAll {
-		n.freshConfiguration.Observe(startedAt)
+		n.configurationFreshness.Observe(startedAt)
 	}
 }
 
@@ -201,7 +201,7 @@
 // instead: a watch that has reached it has missed nothing.
 func (n *Node) mayHaveMissedChanges() bool {
 	n.mutex.Lock()
-	canCheck := n.readCalls > 1 && n.watchHealthy && n.deps.Revisions != nil
+	canCheck := n.readCalls > 1 && n.watchHealthy && n.dependencies.Revisions != nil
 	startedAt := n.now()
 	n.mutex.Unlock()
 	if !canCheck {
@@ -209,13 +209,13 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, readTimeout)
 	defer cancel()
-	latest, err := n.deps.Revisions.Revision(ctx)
+	latest, err := n.dependencies.Revisions.Revision(ctx)
 	if err != nil || !n.sleep(maxWatchDelay) {
 		return true
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.table.CompleteTo() < latest || latest.Era() != n.era.present {
+	if n.table.CompleteTo() < latest || latest.Era() != n.era.current {
 		return true
 	}
 	n.recordRead(startedAt, outside.ScopeAll) // the watch covers all keys
@@ -251,7 +251,7 @@
 		margin := max(watchMargin, transferTimeFactor*n.configurationTransferTime())
 		ctx, cancel := context.WithTimeout(n.ctx, watchDuration+margin)
 		n.setCancelWatch(cancel)
-		update, err := n.deps.Directory.Watch(ctx, revision, watchDuration)
+		update, err := n.dependencies.Directory.Watch(ctx, revision, watchDuration)
 		cancel()
 		switch {
 		case errors.Is(err, errkind.StaleFence), errors.Is(err, errkind.OtherEra):
@@ -270,8 +270,8 @@
 		if !n.apply(update) {
 			return
 		}
-		if update.Revision > revision {
-			revision = update.Revision
+		if update.Position > revision {
+			revision = update.Position
 			n.sleep(watchBatchTime)
 		}
 	}
@@ -322,8 +322,8 @@
 func (n *Node) recordStoreFailure(err error) {
 	n.mutex.Lock()
 	n.storeFailedAt, n.watchHealthy = n.now(), false
-	isFirst := !n.storeDown
-	n.storeDown = true
+	isFirst := !n.isStoreDown
+	n.isStoreDown = true
 	cancelWatch := n.cancelWatch
 	n.mutex.Unlock()
 	if isFirst && cancelWatch != nil {
@@ -341,8 +341,8 @@
 // recordStoreSuccess records that a call to the store succeeded.
 func (n *Node) recordStoreSuccess() {
 	n.mutex.Lock()
-	hasRecovered, isCandidate := n.storeDown, n.isCandidate
-	n.storeDown = false
+	hasRecovered, isCandidate := n.isStoreDown, n.isCandidate
+	n.isStoreDown = false
 	if hasRecovered {
 		n.storeFailedAt = n.now()
 	}
--- a/entry/store_watchers.go
+++ b/entry/store_watchers.go
@@ -59,7 +59,7 @@
 // outage and right after it, such a node can't know yet which nodes reach the store.
 // The caller holds the mutex and has set storeCallRank.
 func (n *Node) watchRankAmong(live []*liveness.Member) int {
-	if n.storeDown || n.storeCallRank >= probingNodes {
+	if n.isStoreDown || n.storeCallRank >= probingNodes {
 		return len(live) + watchingNodes
 	}
 	reaching := slices.DeleteFunc(slices.Clone(live), func(m *liveness.Member) bool { return m.Leaving || m.StoreUnreachable })
@@ -86,7 +86,7 @@
 		return false
 	case n.watchesStore(now):
 		return true
-	case !n.storeDown:
+	case !n.isStoreDown:
 		return false
 	}
 	return n.storeCallRank < probingNodes || now-n.storeCalledAt > probeIntervalPerRank*time.Duration(n.storeCallRank)
@@ -122,8 +122,8 @@
 // recordStoreReached records that another node recently reached the store. A node that does not
 // probe the store learns only so that it has recovered. The caller holds the mutex.
 func (n *Node) recordStoreReached(now structs.Instant) {
-	if n.storeDown && n.storeCallRank >= probingNodes {
-		n.storeDown, n.storeFailedAt = false, now
+	if n.isStoreDown && n.storeCallRank >= probingNodes {
+		n.isStoreDown, n.storeFailedAt = false, now
 	}
 }
 
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -42,7 +42,7 @@
 // latest returns the position of the latest known update of replicas and roll-outs. It does not
 // advance with replicas alone, as a node must not know the replicas of a new version without the
 // order that brings it. The caller holds the mutex.
-func (n *Node) latest() structs.StorePosition {
+func (n *Node) latestPosition() structs.StorePosition {
 	if n.rollouts.CompleteTo() < n.table.LatestPosition() {
 		return n.rollouts.CompleteTo()
 	}
@@ -52,7 +52,7 @@
 // replicaPullDue reports whether to pull replicas and roll-outs from the sender of the heartbeat now.
 // If so, the caller must call pullUpdates. The caller holds the mutex.
 func (n *Node) replicaPullDue(heartbeat liveness.Heartbeat) bool {
-	return n.replicaPull.ShouldPull(n.now(), n.latest(), heartbeat.LatestPosition, n.pullDelay(heartbeat))
+	return n.replicaPull.ShouldPull(n.now(), n.latestPosition(), heartbeat.LatestPosition, n.pullDelay(heartbeat))
 }
 
 // serveUpdates returns the updates that the requesting peer lacks.
@@ -62,7 +62,7 @@
 	reply := &updatesReply{Known: n.rollouts.CompleteTo()}
 	reply.Orders, reply.Records = n.rollouts.Since(request.Rollouts)
 	if n.table.LatestPosition() > request.Latest {
-		reply.Replicas, reply.Removed = n.table.Since(request.Latest), n.table.RemovedSince(n.now(), request.Latest)
+		reply.Replicas, reply.Removed = n.table.Since(request.Latest), n.table.RemovalsSince(n.now(), request.Latest)
 	}
 	return reply, nil
 }
@@ -102,14 +102,14 @@
 	ctx, cancel := context.WithTimeout(n.ctx, updatesTimeout)
 	defer cancel()
 	reply := &updatesReply{}
-	if err := n.peers.Call(ctx, address, peerwire.KindNews, request, reply); err != nil {
+	if err := n.peers.Call(ctx, address, peerwire.KindUpdates, request, reply); err != nil {
 		return err
 	}
 	n.applyRollouts(reply.Orders, reply.Records, reply.Known)
 	n.mutex.Lock()
 	before := n.table.ChangeCount()
 	for _, replica := range reply.Replicas {
-		n.applyReplica(replica)
+		n.applyReplicaLocked(replica)
 	}
 	for id, revision := range reply.Removed {
 		n.removeReplica(id, revision)
--- a/entry/update_pull_test.go
+++ b/entry/update_pull_test.go
@@ -48,7 +48,7 @@
 func TestPullsOfEachKindRunOneAtATime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(9)
-	n.startedAt, n.deps.Now = 0, func() time.Duration { return 0 }
+	n.startedAt, n.dependencies.Now = 0, func() time.Duration { return 0 }
 	heartbeat := liveness.Heartbeat{Version: 4, LatestPosition: 9}
 	g.Expect(n.replicaPullDue(heartbeat)).To(gomega.BeTrue())
 	g.Expect(n.replicaPullDue(heartbeat)).To(gomega.BeFalse(), "one at a time")
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -15,7 +15,7 @@
 // earlier era.
 func (n *Node) apply(update *outside.Update) bool {
 	n.mutex.Lock()
-	isCurrent := n.checkEra(update.Revision)
+	isCurrent := n.checkEra(update.Position)
 	n.mutex.Unlock()
 	if !isCurrent {
 		return false
@@ -27,32 +27,32 @@
 	}
 	known := structs.StorePosition(0)
 	if !update.Complete || update.FullSnapshot {
-		known = update.Revision
+		known = update.Position
 	}
-	n.applyRollouts(update.Orders, update.Records, known)
-	n.applyPoisonRecords(update.Contents, update.ContentsRevision)
+	n.applyRollouts(update.RolloutOrders, update.RolloutRecords, known)
+	n.applyPoisonRecords(update.PoisonRecords, update.PoisonRecordsPosition)
 	n.mutex.Lock()
-	n.catalogRevision = max(n.catalogRevision, update.CatalogRevision)
+	n.catalogRevision = max(n.catalogRevision, update.CatalogPosition)
 	before := n.table.ChangeCount()
 	for _, replica := range update.Replicas {
-		n.applyReplica(replica)
+		n.applyReplicaLocked(replica)
 	}
 	if update.Complete {
-		for _, id := range n.table.Missing(update.Replicas, update.Revision) {
-			n.handleEntryRemoved(outside.Gone{ID: id, Revision: n.table.RemovalPosition(id, update.Revision)})
+		for _, id := range n.table.Missing(update.Replicas, update.Position) {
+			n.handleEntryRemovedLocked(outside.RemovedReplica{ID: id, Position: n.table.RemovalPosition(id, update.Position)})
 		}
 	}
-	for _, gone := range update.Gone {
-		n.handleEntryRemoved(gone)
+	for _, gone := range update.Removed {
+		n.handleEntryRemovedLocked(gone)
 	}
-	n.table.SetCompleteTo(update.Revision)
+	n.table.SetCompleteTo(update.Position)
 	n.updatedAt = n.now()
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
 	if changed {
 		n.handleReplicaChange()
 	}
-	if changed || evacuationsChanged || update.Catalog != nil || len(update.Orders)+len(update.Records) > 0 {
+	if changed || evacuationsChanged || update.Catalog != nil || len(update.RolloutOrders)+len(update.RolloutRecords) > 0 {
 		n.sendHeartbeats()
 	}
 	return true
@@ -70,7 +70,7 @@
 		n.mutex.Unlock()
 		if isNew {
 			n.counter("directory.kept_out").Inc(1)
-			n.log.Write(eventlog.Event{Kind: "directory.entry", Outcome: "kept-out", Detail: text, Revision: update.Revision.Revision(), Era: update.Revision.Era()})
+			n.log.Write(eventlog.Event{Kind: "directory.entry", Outcome: "kept-out", Detail: text, Revision: update.Position.Revision(), Era: update.Position.Era()})
 		}
 	}
 }
@@ -86,7 +86,7 @@
 }
 
 // applyReplica applies an update of a replica and logs a change. The caller holds the mutex.
-func (n *Node) applyReplica(replica replicas.Replica) {
+func (n *Node) applyReplicaLocked(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
 		return
@@ -114,18 +114,18 @@
 // handleEntryRemoved handles a removed entry. While the store is unhealthy, replicas can't renew
 // their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
-func (n *Node) handleEntryRemoved(gone outside.Gone) {
+func (n *Node) handleEntryRemovedLocked(gone outside.RemovedReplica) {
 	if _, isKnown := n.table.Get(gone.ID); !isKnown {
-		n.table.Remove(n.now(), gone.ID, gone.Revision)
+		n.table.Remove(n.now(), gone.ID, gone.Position)
 		return
 	}
 	if n.isStoreUnhealthy() {
 		n.table.MarkUnconfirmed(gone.ID)
-		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Revision.Revision(), Era: gone.Revision.Era(), Age: (n.now() - n.storeFailedAt).Milliseconds()})
+		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Position.Revision(), Era: gone.Position.Era(), AgeMS: (n.now() - n.storeFailedAt).Milliseconds()})
 		return
 	}
-	n.removeReplica(gone.ID, gone.Revision)
-	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Revision.Revision(), Era: gone.Revision.Era()})
+	n.removeReplica(gone.ID, gone.Position)
+	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Position.Revision(), Era: gone.Position.Era()})
 }
 
 // removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
@@ -142,7 +142,7 @@
 // time, as then only this node was partitioned from it. The caller holds the mutex.
 func (n *Node) isStoreUnhealthy() bool {
 	now := n.now()
-	if !n.storeDown && now-n.storeFailedAt >= entryRewriteTime {
+	if !n.isStoreDown && now-n.storeFailedAt >= entryRewriteTime {
 		return false
 	}
 	for _, member := range n.members.Live(now) {
@@ -164,7 +164,7 @@
 	if !n.isStoreUnhealthy() {
 		removed = n.table.RemoveUnconfirmed(n.now())
 	}
-	n.table.Forget(n.now())
+	n.table.SweepTombstones(n.now())
 	n.mutex.Unlock()
 	for _, id := range removed {
 		n.log.Write(eventlog.Event{Kind: "replica", Replica: id, Outcome: "gone", Reason: "doubt-expired"})
@@ -180,7 +180,7 @@
 	n.mutex.Lock()
 	all := n.table.All()
 	n.health.Forget(func(id string) bool { _, known := n.table.Get(id); return known })
-	n.pushback.Forget(n.now(), func(incarnation pushback.Incarnation) bool {
+	n.pushback.Sweep(n.now(), func(incarnation pushback.Incarnation) bool {
 		known, found := n.table.Get(incarnation.Replica)
 		return found && pushback.IncarnationOf(known) == incarnation
 	})
--- a/entry/updates_test.go
+++ b/entry/updates_test.go
@@ -16,7 +16,7 @@
 // watched it without failures for peerHealthyFor.
 func newPartitionedNode(peerHealthyFor time.Duration) *Node {
 	n := New(&Settings{Name: "n1", StoreRecoveryWindow: 4000}, Dependencies{Log: eventlog.New("n1", nil)})
-	n.applyReplica(replicas.Replica{ID: "r", Service: "s", Position: 5})
+	n.applyReplicaLocked(replicas.Replica{ID: "r", Service: "s", Position: 5})
 	n.members.Observe(n.now(), liveness.Heartbeat{Name: "n2", StoreHealthyMS: peerHealthyFor.Milliseconds()})
 	n.storeFailedAt = n.now()
 	return n
@@ -27,9 +27,9 @@
 func TestVanishedEntryIsUnconfirmedOnlyIfNoPeerWatchedStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newPartitionedNode(time.Second)
-	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
+	n.handleEntryRemovedLocked(outside.RemovedReplica{ID: "r", Position: 9})
 	g.Expect(n.table.All()).To(gomega.HaveLen(1), "the store may have been down")
 	n = newPartitionedNode(5 * time.Second)
-	n.handleEntryRemoved(outside.Gone{ID: "r", Revision: 9})
+	n.handleEntryRemovedLocked(outside.RemovedReplica{ID: "r", Position: 9})
 	g.Expect(n.table.All()).To(gomega.BeEmpty(), "only this node was partitioned")
 }
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -45,16 +45,16 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, zoneDialTimeout)
 	defer cancel()
-	conn, err := n.deps.Network.Dial(ctx, candidates[rand.IntN(len(candidates))].Address)
+	conn, err := n.dependencies.Network.Dial(ctx, candidates[rand.IntN(len(candidates))].Address)
 	if err == nil {
 		_ = conn.Close()
 	}
-	n.noteZone(zone, err == nil)
+	n.recordZoneContact(zone, err == nil)
 }
 
 // noteZone records whether a replica of the zone was reached, logs a change and selects the
 // scheduling node again after one.
-func (n *Node) noteZone(zone string, reached bool) {
+func (n *Node) recordZoneContact(zone string, reached bool) {
 	n.mutex.Lock()
 	now := n.now()
 	wasUnreachable := n.zones.IsUnreachable(zone)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -70,7 +70,7 @@
 // Now returns the time since the clock started, suspensions included.
 func (c *Clock) Now() time.Duration {
 	if moved := c.currentDrift() - c.lastDrift.Load(); moved > int64(maxWallDrift) || moved < -int64(maxWallDrift) {
-		c.Look()
+		c.CheckSuspension()
 	}
 	return c.monotonic() + time.Duration(c.suspended.Load())
 }
@@ -83,7 +83,7 @@
 // Look reads the boot-time clock. Now calls it when wall time drifted. Callers may call it at
 // regular intervals, which also detects a suspension during which the wall time was set back by the
 // same time.
-func (c *Clock) Look() {
+func (c *Clock) CheckSuspension() {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
 	c.lastDrift.Store(c.currentDrift())
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -79,7 +79,7 @@
 	m.suspend(2 * time.Second)
 	m.wall = m.wall.Add(-2 * time.Second)
 	g.Expect(c.Now()).To(gomega.BeZero())
-	c.Look()
+	c.CheckSuspension()
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
@@ -103,7 +103,7 @@
 	m := &machine{wall: time.Unix(1000, 0)}
 	c := m.newClock(g)
 	m.stalledReadsLeft, m.stallAfterBootRead = 2, time.Second
-	c.Look()
+	c.CheckSuspension()
 	g.Expect(c.Suspended()).To(gomega.BeZero())
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
@@ -119,7 +119,7 @@
 	start := c.Now()
 	afterFirst := time.Now()
 	time.Sleep(20 * time.Millisecond)
-	c.Look()
+	c.CheckSuspension()
 	beforeSecond := time.Now()
 	passed := c.Now() - start
 	g.Expect(passed).To(gomega.BeNumerically(">=", beforeSecond.Sub(afterFirst)-readTolerance))
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -25,12 +25,12 @@
 	Kind    string `json:"event"`
 	Request string `json:"request,omitempty"`
 	// Content is the fingerprint of the request, equal for all its attempts.
-	Content string `json:"content,omitempty"`
-	Route   string `json:"route,omitempty"`
-	Tenant  string `json:"tenant,omitempty"`
-	Service string `json:"service,omitempty"`
-	Replica string `json:"replica,omitempty"`
-	Peer    string `json:"peer,omitempty"`
+	Fingerprint string `json:"content,omitempty"`
+	Route       string `json:"route,omitempty"`
+	Tenant      string `json:"tenant,omitempty"`
+	Service     string `json:"service,omitempty"`
+	Replica     string `json:"replica,omitempty"`
+	Peer        string `json:"peer,omitempty"`
 	// Outcome is answered, not-run or unknown for requests, and the new state for other events.
 	Outcome string `json:"outcome,omitempty"`
 	Reason  string `json:"reason,omitempty"`
@@ -41,31 +41,31 @@
 	Era      int64 `json:"era,omitempty"`
 	// Waited is the time in the queue, Took the time since the request was received and Age that
 	// of the state on which the decision is based, all in milliseconds.
-	Waited int64 `json:"waited_ms,omitempty"`
-	Took   int64 `json:"took_ms,omitempty"`
-	Age    int64 `json:"age_ms,omitempty"`
+	WaitedMS int64 `json:"waited_ms,omitempty"`
+	TookMS   int64 `json:"took_ms,omitempty"`
+	AgeMS    int64 `json:"age_ms,omitempty"`
 	// First is the time from the last send to the first event of a stream, Pause the longest time
 	// between two events, both in milliseconds.
-	First int64 `json:"first_ms,omitempty"`
-	Pause int64 `json:"pause_ms,omitempty"`
+	FirstEventMS int64 `json:"first_ms,omitempty"`
+	MaxPauseMS   int64 `json:"pause_ms,omitempty"`
 	// Remaining is the time until the deadline of the caller or the route, Expected the predicted
 	// wait, both in milliseconds.
-	Remaining int64 `json:"left_ms,omitempty"`
-	Expected  int64 `json:"expected_ms,omitempty"`
+	RemainingMS    int64 `json:"left_ms,omitempty"`
+	ExpectedWaitMS int64 `json:"expected_ms,omitempty"`
 	// Priority is the rank that was used, Waiting the number of requests queued ahead, Free the
 	// number of free slots at the time of the decision.
-	Priority int `json:"priority,omitempty"`
-	Waiting  int `json:"waiting,omitempty"`
-	Free     int `json:"free,omitempty"`
+	Priority    int `json:"priority,omitempty"`
+	QueuedAhead int `json:"waiting,omitempty"`
+	FreeSlots   int `json:"free,omitempty"`
 	// Prompt is the number of prompt tokens, Answer the estimated number of output tokens.
 	Prompt int `json:"prompt,omitempty"`
 	Answer int `json:"answer,omitempty"`
 	Count  int `json:"count,omitempty"`
 	// Repeat is true for an assignment of a request that was sent to a replica before. Asked is the
 	// number of calls to scheduling nodes until a decision, if that was more than one.
-	Repeat bool   `json:"repeat,omitempty"`
-	Asked  int    `json:"asked,omitempty"`
-	Detail string `json:"detail,omitempty"`
+	IsRetry        bool   `json:"repeat,omitempty"`
+	SchedulerCalls int    `json:"asked,omitempty"`
+	Detail         string `json:"detail,omitempty"`
 }
 
 // Log is an asynchronous writer of events with a bounded queue. It is safe for concurrent use.
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -7,7 +7,7 @@
 )
 
 // For sleeps for the duration and returns true, or returns false as soon as the context ends.
-func For(ctx context.Context, duration time.Duration) bool {
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -53,8 +53,8 @@
 	Outcome structs.Outcome
 	Code    string
 	// Whole is true if the answer is complete and belongs to this request.
-	Whole  bool
-	SentAt time.Time
+	Complete bool
+	SentAt   time.Time
 	// EndedAt is when the caller received the outcome.
 	EndedAt  time.Time
 	Deadline time.Duration
@@ -66,7 +66,7 @@
 
 // InTime reports whether the caller received its complete answer within the deadline.
 func (o *Observation) InTime() bool {
-	return o.Outcome == structs.OutcomeAnswered && o.Whole && o.EndedAt.Sub(o.SentAt) <= o.Deadline
+	return o.Outcome == structs.OutcomeAnswered && o.Complete && o.EndedAt.Sub(o.SentAt) <= o.Deadline
 }
 
 // GenerationSample is the active generation of a node at a time.
@@ -195,7 +195,7 @@
 func (h *History) wholeAnswers() []Violation {
 	var violations []Violation
 	for i := range h.Observations {
-		if o := &h.Observations[i]; o.Outcome == structs.OutcomeAnswered && !o.Whole {
+		if o := &h.Observations[i]; o.Outcome == structs.OutcomeAnswered && !o.Complete {
 			violations = append(violations, Violation{RuleWholeAnswer, fmt.Sprintf("%s (%s) got a wrong or partial answer", o.Marker, o.RequestID)})
 		}
 	}
--- a/lab/checker/pushback.go
+++ b/lab/checker/pushback.go
@@ -27,7 +27,7 @@
 	platformsim.Arrival
 	Node string
 	// Asked is when the caller sent the request to the node.
-	Asked time.Time
+	SentAt time.Time
 }
 
 // Pushback checks that nodes follow the pushback in a replica's answers.
@@ -44,17 +44,17 @@
 // The highest limit sent applies.
 func (p Pushback) RateLimit(sent []Sent) string {
 	sorted := byArrival(sent)
-	notified, rate := firstNotified(sorted, func(request Sent) bool { return request.Said.Limit != "" }), 0.0
+	notified, rate := firstNotified(sorted, func(request Sent) bool { return request.Pushback.Limit != "" }), 0.0
 	var from, to time.Time
 	for _, request := range sorted {
-		if request.Said.Limit == "" {
+		if request.Pushback.Limit == "" {
 			continue
 		}
 		if from.IsZero() {
 			from = request.HeadAt.Add(p.Contact)
 		}
 		to = request.HeadAt
-		if limit, err := strconv.ParseFloat(request.Said.Limit, 64); err == nil {
+		if limit, err := strconv.ParseFloat(request.Pushback.Limit, 64); err == nil {
 			rate = max(rate, limit)
 		}
 	}
@@ -77,11 +77,11 @@
 // them that it leaves.
 func (p Pushback) Leaving(sent []Sent) []string {
 	sorted := byArrival(sent)
-	notified := firstNotified(sorted, func(request Sent) bool { return request.Said.Leaving != "" })
+	notified := firstNotified(sorted, func(request Sent) bool { return request.Pushback.Leaving != "" })
 	var violations []string
 	for _, request := range sorted {
 		notifiedAt, isNotified := notified[request.Node]
-		if isNotified && request.Asked.After(notifiedAt.Add(p.Drain)) && !p.Excused(request.Node, notifiedAt, request.At) {
+		if isNotified && request.SentAt.After(notifiedAt.Add(p.Drain)) && !p.Excused(request.Node, notifiedAt, request.At) {
 			violations = append(violations, fmt.Sprintf("%s came from %s %v after that was told", request.ID, request.Node, request.At.Sub(notifiedAt)))
 		}
 	}
@@ -94,8 +94,8 @@
 	sorted := byArrival(sent)
 	var violations []string
 	for _, rejected := range sorted {
-		seconds, err := strconv.ParseFloat(rejected.Said.RetryAfter, 64)
-		if !rejected.Refused || err != nil {
+		seconds, err := strconv.ParseFloat(rejected.Pushback.RetryAfter, 64)
+		if !rejected.Rejected || err != nil {
 			continue
 		}
 		start, end := rejected.HeadAt.Add(reactionTime), rejected.HeadAt.Add(time.Duration(seconds*float64(time.Second)))
--- a/lab/checker/pushback_test.go
+++ b/lab/checker/pushback_test.go
@@ -15,7 +15,7 @@
 // arrivedFrom returns a request of the node that is answered at once with the pushback.
 func arrivedFrom(node string, seconds float64, pushback platformsim.Pushback) Sent {
 	at := time.Unix(0, 0).Add(time.Duration(seconds * float64(time.Second)))
-	return Sent{Node: node, Asked: at, Arrival: platformsim.Arrival{ID: fmt.Sprint(node, seconds), At: at, HeadAt: at, Said: pushback, Refused: pushback.RetryAfter != ""}}
+	return Sent{Node: node, SentAt: at, Arrival: platformsim.Arrival{ID: fmt.Sprint(node, seconds), At: at, HeadAt: at, Pushback: pushback, Rejected: pushback.RetryAfter != ""}}
 }
 
 // Guards against a rate limit that is checked by node instead of for all nodes together, or before
--- a/lab/cluster/caller.go
+++ b/lab/cluster/caller.go
@@ -164,13 +164,13 @@
 	switch {
 	case s.Plain:
 		text, ended = readPlain(response)
-		o.Whole = ended && strings.Contains(text, s.Marker)
+		o.Complete = ended && strings.Contains(text, s.Marker)
 	case s.Stream:
 		text, ended = readStream(response, o)
-		o.Whole = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
+		o.Complete = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
 	default:
 		text, ended = readCompletion(response)
-		o.Whole = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
+		o.Complete = ended && isCompleteText(text, o.RequestID, s.OutputTokens)
 	}
 	if ended {
 		o.Outcome = structs.OutcomeAnswered
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -56,7 +56,7 @@
 	ReportLag    time.Duration
 	StoreLatency time.Duration
 	// FencelessZones makes all engines accept load orders with a stale fence.
-	FencelessZones bool
+	EnginesIgnoreFences bool
 	// Host returns the network as seen from the named host.
 	Host func(name string) network.Network
 	// ListenAddress is the address on which all servers listen, such as "127.0.0.1:0".
@@ -196,10 +196,10 @@
 	id := structs.ReplicaID(fmt.Sprintf("%s-e%d", zone, index))
 	engine := standin.NewEngine(id, spec, blocks, c.Options.Model)
 	engine.ReportLag = c.Options.ReportLag
-	engine.ChecksFence = !c.Options.FencelessZones
+	engine.ChecksFence = !c.Options.EnginesIgnoreFences
 	c.Engines = append(c.Engines, engine)
 	return c.addBackend(zone, engine.Handler(), structs.Replica{
-		ID: id, Service: c.Options.EngineService, Kind: structs.KindEngine, HardwareGeneration: spec.Generation, ChecksFence: !c.Options.FencelessZones,
+		ID: id, Service: c.Options.EngineService, Kind: structs.KindEngine, HardwareGeneration: spec.Generation, ChecksFence: !c.Options.EnginesIgnoreFences,
 	})
 }
 
@@ -227,7 +227,7 @@
 func (c *Cluster) KillBackend(id structs.ReplicaID) { _ = c.backends[id].server.Close() }
 
 // LeaveBackend marks a back end as leaving in the machine list.
-func (c *Cluster) LeaveBackend(id structs.ReplicaID) {
+func (c *Cluster) MarkBackendLeaving(id structs.ReplicaID) {
 	machine := c.backends[id].machine
 	machine.Leaving = true
 	c.Machines.Add(machine)
--- a/lab/emulator/oracle.go
+++ b/lab/emulator/oracle.go
@@ -35,8 +35,8 @@
 	return holders
 }
 
-func (oraclePrefixes) Sent(structs.ReplicaID, []uint64)            {}
-func (oraclePrefixes) Event(structs.ReplicaID, structs.CacheEvent) {}
+func (oraclePrefixes) RecordSent(structs.ReplicaID, []uint64)                {}
+func (oraclePrefixes) ApplyCacheEvent(structs.ReplicaID, structs.CacheEvent) {}
 
 // oracleLengths has the actual answer length of each request, by request id.
 type oracleLengths struct {
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -257,7 +257,7 @@
 		return
 	}
 	// As in the daemon, only the node that polls the replica gets its events.
-	poller := s.nodes[zone][rendezvous.Key(string(r.ID))%uint64(len(s.nodes[zone]))]
+	poller := s.nodes[zone][rendezvous.Hash(string(r.ID))%uint64(len(s.nodes[zone]))]
 	s.after(s.conditions.EventLag, func() { poller.cacheEvents(r.ID, events) })
 }
 
--- a/lab/emulator/thornwalk.go
+++ b/lab/emulator/thornwalk.go
@@ -82,7 +82,7 @@
 
 // schedule executes the decisions for queued requests.
 func (n *thornwalkNode) schedule() {
-	if n.seesCurrentLoad && n.scheduler.Waiting() > 0 {
+	if n.seesCurrentLoad && n.scheduler.QueuedCount() > 0 {
 		for _, r := range n.simulation.zones[n.zone] {
 			n.scheduler.View().Observe(n.simulation.now, n.simulation.reportOf(r))
 		}
@@ -117,7 +117,7 @@
 	n.simulation.after(announceDelay, func() {
 		for _, name := range n.members {
 			if name != n.name {
-				n.peers[name].scheduler.Prefixes().Sent(id, lastBlock)
+				n.peers[name].scheduler.Prefixes().RecordSent(id, lastBlock)
 			}
 		}
 	})
@@ -132,7 +132,7 @@
 
 func (n *thornwalkNode) cacheEvents(id structs.ReplicaID, events []structs.CacheEvent) {
 	for _, event := range events {
-		n.scheduler.Prefixes().Event(id, event)
+		n.scheduler.Prefixes().ApplyCacheEvent(id, event)
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 func (n *thornwalkNode) done(r *record) {
-	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Connected: true, Complete: true, OutputTokens: r.arrival.OutputTokens})
+	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Sent: true, Complete: true, OutputTokens: r.arrival.OutputTokens})
 	n.schedule()
 }
 
@@ -150,7 +150,7 @@
 		n.simulation.reject(r, structs.ReasonExpired)
 		return
 	}
-	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Connected: true})
+	n.scheduler.Finish(n.simulation.now, r.arrival.ID, reserve.Result{Sent: true})
 	n.schedule()
 }
 
@@ -172,7 +172,7 @@
 			continue
 		}
 		n.lastDemands[demand] = n.simulation.now
-		ownerNode := n.peers[rendezvous.Top(n.members, rendezvous.Key(demand.Service), 1)[0]]
+		ownerNode := n.peers[rendezvous.Top(n.members, rendezvous.Hash(demand.Service), 1)[0]]
 		message := shedding.Demand{Service: demand.Service, Rank: demand.Rank, From: n.name}
 		n.simulation.after(n.simulation.deployment.WithinZone, func() {
 			ownerNode.owner.Demand(n.simulation.now, message)
--- a/lab/enginesim/cache.go
+++ b/lab/enginesim/cache.go
@@ -90,7 +90,7 @@
 	if len(c.events) >= maxEvents {
 		c.events = c.events[maxEvents/2:]
 	}
-	c.events = append(c.events, structs.CacheEvent{Sequence: c.sequence, Block: block, Stored: stored})
+	c.events = append(c.events, structs.CacheEvent{Sequence: c.sequence, BlockHash: block, Stored: stored})
 }
 
 // takeEvents returns the unread events and clears them.
--- a/lab/entrylab/keeper.go
+++ b/lab/entrylab/keeper.go
@@ -17,7 +17,7 @@
 )
 
 // Keeper restarts a replica on its host each time it ends. Its methods are safe for concurrent use.
-type Keeper struct {
+type Restarter struct {
 	// ID, Service, Zone, Version, Slots, Events and Step are the replica's fields.
 	ID, Service, Zone string
 	Version           string
@@ -36,12 +36,12 @@
 }
 
 // Keep starts the keeper's replica on the host. It restarts until the deployment stops.
-func (d *Deployment) Keep(host string, keeper *Keeper) error {
+func (d *Deployment) Keep(host string, keeper *Restarter) error {
 	keeper.deployment, keeper.host = d, host
 	return keeper.start()
 }
 
-func (k *Keeper) start() error {
+func (k *Restarter) start() error {
 	k.mutex.Lock()
 	id := k.ID
 	if !k.SameID {
@@ -49,7 +49,7 @@
 	}
 	replica := &platformsim.Replica{
 		ID: id, Service: k.Service, Zone: k.Zone, Version: k.Version, Slots: k.Slots, Events: k.Events, Step: k.Step,
-		Born: time.Now().UnixMilli(),
+		StartedAt: time.Now().UnixMilli(),
 	}
 	replica.OnCrash = func() { k.handleEnd(replica) }
 	replica.SetBehavior(k.Behave)
@@ -60,7 +60,7 @@
 
 // handleEnd records the end and schedules the restart, and the removal of the store entry unless
 // later incarnations use the same id.
-func (k *Keeper) handleEnd(replica *platformsim.Replica) {
+func (k *Restarter) handleEnd(replica *platformsim.Replica) {
 	k.mutex.Lock()
 	k.ends = append(k.ends, time.Now())
 	k.mutex.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // End crashes the replica; it restarts after restartDelay.
-func (k *Keeper) End() {
+func (k *Restarter) End() {
 	k.mutex.Lock()
 	latest := k.incarnations[len(k.incarnations)-1]
 	k.mutex.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // Mend makes the current incarnation and all later ones answer every request.
-func (k *Keeper) Mend() {
+func (k *Restarter) StopCrashing() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.Behave = nil
@@ -96,14 +96,14 @@
 }
 
 // Ends returns the times at which the replica ended.
-func (k *Keeper) Ends() []time.Time {
+func (k *Restarter) Ends() []time.Time {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return append([]time.Time{}, k.ends...)
 }
 
 // Arrivals returns the number of requests that reached the replica in all incarnations, run or not.
-func (k *Keeper) Arrivals() int {
+func (k *Restarter) Arrivals() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	count := 0
@@ -114,7 +114,7 @@
 }
 
 // Runs returns the requests that the replica ran in all incarnations.
-func (k *Keeper) Runs() []platformsim.Run {
+func (k *Restarter) Runs() []platformsim.Run {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var runs []platformsim.Run
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -146,7 +146,7 @@
 	switch {
 	case o.InTime():
 		entry.inTime++
-	case o.Outcome == structs.OutcomeAnswered && !o.Whole:
+	case o.Outcome == structs.OutcomeAnswered && !o.Complete:
 		entry.row.WrongOrPartial++
 	case o.Outcome == structs.OutcomeAnswered:
 		entry.row.AnsweredLate++
--- a/lab/losses/lines.go
+++ b/lab/losses/lines.go
@@ -86,7 +86,7 @@
 	if event.Kind == "request.received" {
 		request := &Request{
 			ID: event.Request, Node: event.Node, Route: event.Route, At: at,
-			Left: event.Remaining, Prompt: event.Prompt, Answer: event.Answer,
+			Left: event.RemainingMS, Prompt: event.Prompt, Answer: event.Answer,
 		}
 		byID[event.Request] = request
 		l.Requests = append(l.Requests, request)
@@ -98,7 +98,7 @@
 	}
 	switch event.Kind {
 	case "request.placed":
-		request.Placed = event.Took
+		request.Placed = event.TookMS
 	case "request.ended":
 		request.End = event
 	}
--- a/lab/losses/table.go
+++ b/lab/losses/table.go
@@ -142,11 +142,11 @@
 		return end.Reason
 	case end.Status >= http.StatusInternalServerError:
 		return reasonReplicaFailed
-	case k.MaxPauseMS > 0 && request.Placed+end.First > k.TargetMS:
+	case k.MaxPauseMS > 0 && request.Placed+end.FirstEventMS > k.TargetMS:
 		return reasonLateFirstEvent
-	case k.MaxPauseMS > 0 && end.Pause > k.MaxPauseMS:
+	case k.MaxPauseMS > 0 && end.MaxPauseMS > k.MaxPauseMS:
 		return reasonPause
-	case k.MaxPauseMS == 0 && end.Took > k.TargetMS:
+	case k.MaxPauseMS == 0 && end.TookMS > k.TargetMS:
 		return reasonLate
 	}
 	return reasonInTime
--- a/lab/memnet/bandwidth_test.go
+++ b/lab/memnet/bandwidth_test.go
@@ -47,8 +47,8 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(received).To(gomega.HaveLen(1_250_000))
 		g.Expect(time.Since(start)).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
-		g.Expect(fabric.Sent("a")).To(gomega.Equal(int64(1_250_000)))
-		g.Expect(fabric.Sent("b")).To(gomega.BeZero())
+		g.Expect(fabric.SentBytes("a")).To(gomega.Equal(int64(1_250_000)))
+		g.Expect(fabric.SentBytes("b")).To(gomega.BeZero())
 	})
 }
 
@@ -61,7 +61,7 @@
 		_, err := io.ReadAll(remote)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(time.Since(start)).To(gomega.BeZero())
-		g.Expect(fabric.Sent("a")).To(gomega.Equal(int64(1_250_000)))
+		g.Expect(fabric.SentBytes("a")).To(gomega.Equal(int64(1_250_000)))
 	})
 }
 
@@ -133,7 +133,7 @@
 		count, err := local.Write(make([]byte, 125_000))
 		g.Expect(err).To(gomega.MatchError(os.ErrDeadlineExceeded))
 		g.Expect(count).To(gomega.BeZero())
-		g.Expect(fabric.Sent("a")).To(gomega.Equal(int64(chunkBytes)))
+		g.Expect(fabric.SentBytes("a")).To(gomega.Equal(int64(chunkBytes)))
 		_, _ = local.Close(), remote.Close()
 	})
 }
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -55,18 +55,18 @@
 
 // Cut drops all traffic from one host to the other until Heal. Dialing between the two
 // hosts blocks in either direction.
-func (f *Fabric) Cut(from, to string) {
+func (f *Fabric) BlockLink(from, to string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.cuts[hostPair{from, to}] = true
 }
 
 // CutGroups cuts the traffic between the two groups of hosts in both directions.
-func (f *Fabric) CutGroups(left, right []string) {
+func (f *Fabric) Partition(left, right []string) {
 	for _, a := range left {
 		for _, b := range right {
-			f.Cut(a, b)
-			f.Cut(b, a)
+			f.BlockLink(a, b)
+			f.BlockLink(b, a)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 
 // Silence makes every open connection lose all data written from now on, without an error
 // at either endpoint. New connections are not affected.
-func (f *Fabric) Silence() {
+func (f *Fabric) DropOnOpenConnections() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for c := range f.connections {
--- a/lab/platformsim/copy.go
+++ b/lab/platformsim/copy.go
@@ -12,7 +12,7 @@
 const eraHeader = "Store-Era"
 
 // StoreCopy is a copy of the store's state, for Store.Restore.
-type StoreCopy struct {
+type StoreBackup struct {
 	items             map[string]Item
 	history           []Item
 	compactedRevision int64
@@ -20,15 +20,15 @@
 }
 
 // Copy returns a copy of the items, the history and the revision.
-func (s *Store) Copy() *StoreCopy {
+func (s *Store) Backup() *StoreBackup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return &StoreCopy{items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision, revision: s.revision}
+	return &StoreBackup{items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision, revision: s.revision}
 }
 
 // Restore resets the store to the copy and increments the era. Later changes and all leases with their
 // keys are lost, revisions since the copy are assigned again, and pending watches are aborted.
-func (s *Store) Restore(from *StoreCopy) {
+func (s *Store) Restore(from *StoreBackup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.items, s.history, s.compactedRevision, s.revision = maps.Clone(from.items), slices.Clone(from.history), from.compactedRevision, from.revision
--- a/lab/platformsim/replica.go
+++ b/lab/platformsim/replica.go
@@ -93,9 +93,9 @@
 	At time.Time
 	// Said is the pushback of the answer, whose head was written at HeadAt; both are zero without an
 	// answer. Refused is true if the answer states that the request was not run.
-	Said    Pushback
-	HeadAt  time.Time
-	Refused bool
+	Pushback Pushback
+	HeadAt   time.Time
+	Rejected bool
 }
 
 // Replica is a server of one service. Its methods are safe for concurrent use.
@@ -104,7 +104,7 @@
 	// Version is the version in its entry; empty means v1.
 	Version string
 	// Born is the time of its start in Unix milliseconds; zero leaves it out of the entry.
-	Born int64
+	StartedAt int64
 	// Warmup is the remaining warm-up time that Register writes.
 	Warmup time.Duration
 	// OnCrash, if not nil, is called after the replica crashed by behavior End.
@@ -136,7 +136,7 @@
 }
 
 // Say sets the pushback of all further answers.
-func (r *Replica) Say(pushback Pushback) {
+func (r *Replica) SetPushback(pushback Pushback) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.pushback = pushback
@@ -164,7 +164,7 @@
 }
 
 // MostAtOnce returns the highest number of requests that ran at the same time.
-func (r *Replica) MostAtOnce() int { r.mutex.Lock(); defer r.mutex.Unlock(); return r.maxRunning }
+func (r *Replica) MaxConcurrent() int { r.mutex.Lock(); defer r.mutex.Unlock(); return r.maxRunning }
 
 // Entry is the replica's value in the store.
 type Entry struct {
@@ -184,7 +184,7 @@
 
 // Register writes the replica's entry with the state and returns its revision.
 func (r *Replica) Register(store *Store, state string) int64 {
-	return store.PutJSON("servers/"+r.ID, Entry{Service: r.Service, Address: r.Address, Zone: r.Zone, Version: cmp.Or(r.Version, defaultVersion), Slots: r.Slots, State: state, StartedAt: r.Born, WarmupLeft: r.Warmup.Milliseconds()})
+	return store.PutJSON("servers/"+r.ID, Entry{Service: r.Service, Address: r.Address, Zone: r.Zone, Version: cmp.Or(r.Version, defaultVersion), Slots: r.Slots, State: state, StartedAt: r.StartedAt, WarmupLeft: r.Warmup.Milliseconds()})
 }
 
 // Serve accepts connections until the listener is closed.
@@ -289,7 +289,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	recorded := &r.arrivals[arrival]
-	recorded.Said, recorded.HeadAt, recorded.Refused = r.pushback, time.Now(), rejects
+	recorded.Pushback, recorded.HeadAt, recorded.Rejected = r.pushback, time.Now(), rejects
 	return r.pushback.headerLines(rejects)
 }
 
--- a/lab/platformsim/store.go
+++ b/lab/platformsim/store.go
@@ -119,10 +119,10 @@
 func (s *Store) SetDelay(delay time.Duration) { s.update(func() { s.delay = delay }) }
 
 // SetLost makes transactions take effect but closes their connections without an answer.
-func (s *Store) SetLost(lost bool) { s.update(func() { s.dropsReplies = lost }) }
+func (s *Store) SetLoseAnswers(lost bool) { s.update(func() { s.dropsReplies = lost }) }
 
 // Refuse makes the store answer calls from the host with 503.
-func (s *Store) Refuse(host string, rejected bool) {
+func (s *Store) SetRejected(host string, rejected bool) {
 	s.update(func() { s.rejectedHosts[host] = rejected })
 }
 
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -129,7 +129,7 @@
 			}
 			name := fmt.Sprintf("node %d start %d", sender.node, sender.start)
 			nodes[name] = sender.node
-			sent = append(sent, checker.Sent{Arrival: arrival, Node: name, Asked: sender.sentAt})
+			sent = append(sent, checker.Sent{Arrival: arrival, Node: name, SentAt: sender.sentAt})
 		}
 		if excess := rule.RateLimit(sent); excess != "" {
 			violate("%s got %s", replica.ID, excess)
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -113,8 +113,8 @@
 		d.store.SetDown(true)
 		return func() { d.store.SetDown(false) }
 	case kindStoreLost:
-		d.store.SetLost(true)
-		return func() { d.store.SetLost(false) }
+		d.store.SetLoseAnswers(true)
+		return func() { d.store.SetLoseAnswers(false) }
 	case kindCompact:
 		d.store.Compact()
 	case kindChange:
@@ -124,9 +124,9 @@
 	case kindDrain:
 		i.drainReplica()
 	case kindReplicaLeaves:
-		d.replicas[f.target].Say(platformsim.Pushback{Leaving: "1"})
+		d.replicas[f.target].SetPushback(platformsim.Pushback{Leaving: "1"})
 	case kindReplicaLimits:
-		d.replicas[f.target].Say(platformsim.Pushback{Limit: strconv.Itoa(f.ratePerSecond)})
+		d.replicas[f.target].SetPushback(platformsim.Pushback{Limit: strconv.Itoa(f.ratePerSecond)})
 	case kindReplicaPauses:
 		return pauseReplica(d.replicas[f.target])
 	default:
@@ -163,11 +163,11 @@
 
 // pauseReplica makes the replica reject all requests and ask for a pause.
 func pauseReplica(replica *platformsim.Replica) (heal func()) {
-	replica.Say(platformsim.Pushback{RetryAfter: pauseSeconds})
+	replica.SetPushback(platformsim.Pushback{RetryAfter: pauseSeconds})
 	replica.SetBehavior(func(*http.Request) platformsim.Behavior { return platformsim.Shed })
 	return func() {
 		replica.SetBehavior(nil)
-		replica.Say(platformsim.Pushback{})
+		replica.SetPushback(platformsim.Pushback{})
 	}
 }
 
@@ -178,7 +178,7 @@
 // entries are written again.
 func (i *injector) restoreStore() (heal func()) {
 	store := i.deployment.store
-	copied := store.Copy()
+	copied := store.Backup()
 	time.Sleep(time.Second) // acknowledge changes that the copy lacks
 	store.SetDown(true)
 	return func() {
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -13,18 +13,18 @@
 )
 
 // Misbehavior is a fault of an engine or service in the handling of a request.
-type Misbehavior int
+type Fault int
 
 // Faults of engines and services.
 const (
-	NoMisbehavior Misbehavior = iota
+	NoMisbehavior Fault = iota
 	// DiesBeforeAnswer closes the connection after the request was read. The request
 	// continues to run.
 	DiesBeforeAnswer
 	// ForgetsRequest closes the connection after the request was read. The engine does
 	// not run the request and does not know its id afterwards. Services handle it as
 	// DiesBeforeAnswer.
-	ForgetsRequest
+	DropsRequest
 	// DiesMidAnswer closes the connection after a part of the answer.
 	DiesMidAnswer
 	// AnswersTwice sends each event twice. Engines only.
@@ -87,7 +87,7 @@
 	leaving      bool
 	fence        int64
 	orders       []OrderRecord
-	misbehave    func(requestID string) Misbehavior
+	misbehave    func(requestID string) Fault
 	reports      []timedReport
 	events       []structs.CacheEvent
 	eventBatches int
@@ -130,7 +130,7 @@
 
 // SetMisbehavior sets the function that selects the fault of each request. Nil means no
 // faults.
-func (e *Engine) SetMisbehavior(misbehave func(requestID string) Misbehavior) {
+func (e *Engine) SetMisbehavior(misbehave func(requestID string) Fault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.misbehave = misbehave
--- a/lab/standin/enginehttp.go
+++ b/lab/standin/enginehttp.go
@@ -46,7 +46,7 @@
 	}
 	id := request.Header.Get(backendhttp.HeaderRequestID)
 	misbehavior := e.misbehavior(id)
-	if misbehavior == ForgetsRequest {
+	if misbehavior == DropsRequest {
 		e.mutex.Lock()
 		e.recordSubmission(id, string(content))
 		e.mutex.Unlock()
@@ -73,7 +73,7 @@
 	e.streamEvents(writer, request, job, 0, misbehavior)
 }
 
-func (e *Engine) misbehavior(id string) Misbehavior {
+func (e *Engine) misbehavior(id string) Fault {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.misbehave == nil {
@@ -98,7 +98,7 @@
 const eventsBeforeDisconnect = 3
 
 // streamEvents writes the events of the job after the given number until the last one.
-func (e *Engine) streamEvents(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, misbehavior Misbehavior) {
+func (e *Engine) streamEvents(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, misbehavior Fault) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	sent := after
@@ -137,7 +137,7 @@
 type eventWriter struct {
 	writer      io.Writer
 	job         *engineJob
-	misbehavior Misbehavior
+	misbehavior Fault
 	delayed     []byte
 }
 
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -28,7 +28,7 @@
 	waiting    int
 	leaving    bool
 	sequence   uint64
-	misbehave  func(requestID string) Misbehavior
+	misbehave  func(requestID string) Fault
 	slots      chan struct{}
 }
 
@@ -39,7 +39,7 @@
 
 // SetMisbehavior sets the function that selects the fault of each call. Nil means no
 // faults.
-func (s *Service) SetMisbehavior(misbehave func(requestID string) Misbehavior) {
+func (s *Service) SetMisbehavior(misbehave func(requestID string) Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.misbehave = misbehave
@@ -108,7 +108,7 @@
 	count := execution.Count
 	s.mutex.Unlock()
 	switch misbehavior {
-	case DiesBeforeAnswer, ForgetsRequest:
+	case DiesBeforeAnswer, DropsRequest:
 		panic(http.ErrAbortHandler)
 	case AnswersLate:
 		time.Sleep(LateAnswerDelay)
@@ -121,7 +121,7 @@
 	encode(writer, ServiceAnswer{RequestID: id, Replica: string(s.ID), Method: request.Method, Path: request.URL.RequestURI(), Body: string(content), Execution: count})
 }
 
-func (s *Service) recordCall(id, key, body string) (*Execution, Misbehavior) {
+func (s *Service) recordCall(id, key, body string) (*Execution, Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	execution, found := s.executions[id]
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -17,7 +17,7 @@
 
 // Faults of the store.
 const (
-	StoreWorks StoreFault = iota
+	NoStoreFault StoreFault = iota
 	// StoreRefuses returns status 503 without executing the call.
 	StoreRefuses
 	// StoreLosesAnswer executes the call and closes the connection without a response.
@@ -131,7 +131,7 @@
 func (s *Store) serveWithFault(path string, writer http.ResponseWriter, request *http.Request, serve func(http.ResponseWriter, *http.Request)) {
 	s.mutex.Lock()
 	s.calls[path]++
-	fault := StoreWorks
+	fault := NoStoreFault
 	if s.fault != nil {
 		fault = s.fault(path)
 	}
--- a/node/backend.go
+++ b/node/backend.go
@@ -110,7 +110,7 @@
 		if fatal := engineError(err); fatal != nil {
 			return structs.OutcomeUnknown, fatal
 		}
-		if time.Since(lastProgress) > resumeWindow || !wait.For(ctx, resumeInterval) {
+		if time.Since(lastProgress) > resumeWindow || !wait.Sleep(ctx, resumeInterval) {
 			return structs.OutcomeUnknown, errkind.New(errkind.OutcomeUnknown, "read answer of the engine: stream broke and was not resumed: %v", err)
 		}
 		r.node.count("answer.resumed")
--- a/node/claiming.go
+++ b/node/claiming.go
@@ -71,7 +71,7 @@
 func (n *Node) commitClaim(ctx context.Context, message *claimRequest) (claims.Result, error) {
 	page := claims.PageOf(message.Tenant, message.Key, n.settings.Compiled().Node.ClaimShards)
 	n.mutex.Lock()
-	name := rendezvous.Top(n.table.LiveNames(), rendezvous.Key(page.Key()), 1)[0]
+	name := rendezvous.Top(n.table.LiveNames(), rendezvous.Hash(page.Key()), 1)[0]
 	writer, known := n.table.Get(name)
 	n.mutex.Unlock()
 	if known && name != n.config.Name {
--- a/node/execute.go
+++ b/node/execute.go
@@ -201,7 +201,7 @@
 		if err != nil {
 			return structs.OutcomeNotRun, err
 		}
-		if plan.Verdict == structs.VerdictRefuse {
+		if plan.Verdict == structs.VerdictReject {
 			return structs.OutcomeNotRun, rejectionError(plan)
 		}
 		outcome, err := n.dispatch(exec, plan)
@@ -231,7 +231,7 @@
 	if !wasQueued {
 		select {
 		case plan := <-exec.plans:
-			n.releaseReservation(exec, reserve.Result{Connected: plan.Verdict == structs.VerdictDispatch})
+			n.releaseReservation(exec, reserve.Result{Sent: plan.Verdict == structs.VerdictDispatch})
 		default:
 		}
 	}
@@ -275,11 +275,11 @@
 func (n *Node) dispatch(exec *execution, plan structs.Plan) (structs.Outcome, error) {
 	sealed, err := n.sealReceipt(exec, plan.Replica)
 	if err != nil {
-		n.releaseReservation(exec, reserve.Result{Connected: true})
+		n.releaseReservation(exec, reserve.Result{Sent: true})
 		return structs.OutcomeNotRun, err
 	}
 	if err := n.permitDispatch(exec, plan.Replica, sealed); err != nil {
-		n.releaseReservation(exec, reserve.Result{Connected: true})
+		n.releaseReservation(exec, reserve.Result{Sent: true})
 		return n.endNotPermitted(exec, err)
 	}
 	beforeFirstByte := func() error {
@@ -302,13 +302,13 @@
 	if errors.Is(err, oneshot.ErrNotSent) {
 		exec.sent = false
 		if exec.ctx.Err() != nil {
-			n.releaseReservation(exec, reserve.Result{Connected: true})
+			n.releaseReservation(exec, reserve.Result{Sent: true})
 			return structs.OutcomeNotRun, errkind.New(errkind.Stopping, "request not sent: the caller disconnected or the node stopped")
 		}
 		n.count("connect.failed")
 		return structs.OutcomePending, err
 	}
-	n.releaseReservation(exec, reserve.Result{Connected: true, Complete: outcome == structs.OutcomeAnswered, OutputTokens: exec.tokens})
+	n.releaseReservation(exec, reserve.Result{Sent: true, Complete: outcome == structs.OutcomeAnswered, OutputTokens: exec.tokens})
 	return outcome, err
 }
 
--- a/node/generation_status.go
+++ b/node/generation_status.go
@@ -21,14 +21,14 @@
 type ZoneSpread struct {
 	Zone string `json:"zone"`
 	// InForce lists the nodes that have activated the generation or a higher one.
-	InForce []string `json:"in_force"`
+	Active []string `json:"in_force"`
 	// Behind lists the nodes that recently had a lower generation.
 	Behind []string `json:"behind"`
 	// Unheard lists the nodes of the machine list without a recent heartbeat; they
 	// may have ended, or this node has not exchanged heartbeats with them yet.
-	Unheard []string `json:"unheard"`
+	Unreported []string `json:"unheard"`
 	// CutOff reports whether no recent heartbeat came from the zone.
-	CutOff bool `json:"cut_off"`
+	Unreachable bool `json:"cut_off"`
 }
 
 // serveSpread responds with the ZoneSpreads of the generation of the query.
@@ -48,7 +48,7 @@
 	zones := map[string]*ZoneSpread{}
 	zone := func(name string) *ZoneSpread {
 		if zones[name] == nil {
-			zones[name] = &ZoneSpread{Zone: name, InForce: []string{}, Behind: []string{}, Unheard: []string{}}
+			zones[name] = &ZoneSpread{Zone: name, Active: []string{}, Behind: []string{}, Unreported: []string{}}
 		}
 		return zones[name]
 	}
@@ -60,7 +60,7 @@
 		spread := zone(machine.Zone)
 		if machine.Zone != n.config.Zone {
 			lastSeen, known := n.zoneLastSeen[machine.Zone]
-			spread.CutOff = !known || n.now()-lastSeen > zoneFreshness
+			spread.Unreachable = !known || n.now()-lastSeen > zoneFreshness
 		}
 		if rumor, known := n.table.Get(machine.Name); known && rumor.Status == membership.Dead {
 			continue
@@ -69,7 +69,7 @@
 		if isObserved && (observed.generation >= generation || n.now()-observed.at < generationFreshness) {
 			n.addNode(spread, machine.Name, observed.generation, generation)
 		} else {
-			spread.Unheard = append(spread.Unheard, machine.Name)
+			spread.Unreported = append(spread.Unreported, machine.Name)
 		}
 	}
 	sorted := make([]ZoneSpread, 0, len(zones))
@@ -84,7 +84,7 @@
 // those behind.
 func (n *Node) addNode(spread *ZoneSpread, name string, observed, wanted uint64) {
 	if observed >= wanted {
-		spread.InForce = append(spread.InForce, name)
+		spread.Active = append(spread.Active, name)
 		return
 	}
 	spread.Behind = append(spread.Behind, name)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -205,7 +205,7 @@
 func (n *Node) applyHeartbeat(message *heartbeat) {
 	now := n.now()
 	n.mutex.Lock()
-	n.table.Heard(now, message.From)
+	n.table.RecordMessage(now, message.From)
 	n.table.Merge(now, message.Rumors)
 	n.peerGenerations[message.From.Name] = observedGeneration{generation: message.Generation, at: now}
 	if message.From.Zone != n.config.Zone {
@@ -229,7 +229,7 @@
 	if n.scheduler.Prefixes().CachedTokens(sent.Replica, chain) > 0 {
 		return
 	}
-	n.scheduler.Prefixes().Sent(sent.Replica, chain)
+	n.scheduler.Prefixes().RecordSent(sent.Replica, chain)
 	n.sentPrefixQueue.Put(sent.Block, sent)
 }
 
@@ -279,7 +279,7 @@
 	now := n.now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.table.Heard(now, message.From)
+	n.table.RecordMessage(now, message.From)
 	reply := &joinReply{Members: n.table.All(), Floors: n.floorMember.Snapshot(now)}
 	for _, replica := range n.scheduler.View().Replicas() {
 		if state, found := n.scheduler.View().Get(replica.ID); found && state.HasReport {
@@ -335,7 +335,7 @@
 // isDelegate reports whether this node is a delegate of its zone. The caller holds
 // the mutex.
 func (n *Node) isDelegate() bool {
-	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Key("delegate/"+n.config.Zone), delegatesPerZone) {
+	for _, name := range rendezvous.Top(n.table.LiveNames(), rendezvous.Hash("delegate/"+n.config.Zone), delegatesPerZone) {
 		if name == n.config.Name {
 			return true
 		}
--- a/node/identity.go
+++ b/node/identity.go
@@ -73,7 +73,7 @@
 func (n *Node) registryNodes(key registry.Key) []membership.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	names := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
+	names := rendezvous.Top(n.table.LiveNames(), rendezvous.Hash("registry/"+key.Tenant+"\x00"+key.Key), registryCopies)
 	members := make([]membership.Member, 0, len(names))
 	for _, name := range names {
 		if known, found := n.table.Get(name); found {
--- a/node/node.go
+++ b/node/node.go
@@ -281,14 +281,14 @@
 	n.table.SetLeaving()
 	n.mutex.Unlock()
 	deadline := time.Now().Add(n.settings.Compiled().Node.DrainTimeout)
-	wait.For(ctx, n.config.DrainGrace)
+	wait.Sleep(ctx, n.config.DrainGrace)
 	n.rejecting.Store(true)
 	clean := false
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		if clean = n.isIdle(); clean {
 			break
 		}
-		wait.For(ctx, drainPollInterval)
+		wait.Sleep(ctx, drainPollInterval)
 	}
 	n.Kill()
 	return clean
--- a/node/operators.go
+++ b/node/operators.go
@@ -38,19 +38,19 @@
 
 // Status is a summary of a node's state.
 type Status struct {
-	Node       string                     `json:"node"`
-	Zone       string                     `json:"zone"`
-	Process    int64                      `json:"process"`
-	Ready      bool                       `json:"ready"`
-	Draining   bool                       `json:"draining"`
-	Generation uint64                     `json:"generation"`
-	StoreUp    bool                       `json:"store_up"`
-	LiveNodes  int                        `json:"live_nodes"`
-	InFlight   int                        `json:"in_flight"`
-	Waiting    int                        `json:"waiting"`
-	Keys       int                        `json:"registry_keys"`
-	Floors     map[string]scheduler.Floor `json:"floors"`
-	HeapBytes  uint64                     `json:"heap_bytes"`
+	Node         string                     `json:"node"`
+	Zone         string                     `json:"zone"`
+	Process      int64                      `json:"process"`
+	Ready        bool                       `json:"ready"`
+	Draining     bool                       `json:"draining"`
+	Generation   uint64                     `json:"generation"`
+	StoreHealthy bool                       `json:"store_up"`
+	LiveNodes    int                        `json:"live_nodes"`
+	InFlight     int                        `json:"in_flight"`
+	Queued       int                        `json:"waiting"`
+	Keys         int                        `json:"registry_keys"`
+	Floors       map[string]scheduler.Floor `json:"floors"`
+	HeapBytes    uint64                     `json:"heap_bytes"`
 }
 
 // Peer is another node as this one sees it.
@@ -122,8 +122,8 @@
 	defer n.mutex.Unlock()
 	status := Status{
 		Node: n.config.Name, Zone: n.config.Zone, Process: n.startMilliseconds(), Ready: n.Ready(), Draining: n.draining.Load(),
-		Generation: compiled.Generation, StoreUp: n.storeHealthy.Load(), LiveNodes: len(n.table.Live()),
-		InFlight: n.scheduler.InFlight(), Waiting: n.scheduler.Waiting(), Keys: n.registry.Len(),
+		Generation: compiled.Generation, StoreHealthy: n.storeHealthy.Load(), LiveNodes: len(n.table.Live()),
+		InFlight: n.scheduler.InFlight(), Queued: n.scheduler.QueuedCount(), Keys: n.registry.Len(),
 		Floors: map[string]scheduler.Floor{}, HeapBytes: memory.HeapAlloc,
 	}
 	for _, service := range compiled.Services() {
--- a/node/polling.go
+++ b/node/polling.go
@@ -49,7 +49,7 @@
 		for _, replica := range assigned {
 			n.group.Go(func() { n.poll(replica) })
 		}
-		if !wait.For(n.ctx, n.settings.Compiled().Node.PollInterval) {
+		if !wait.Sleep(n.ctx, n.settings.Compiled().Node.PollInterval) {
 			return
 		}
 	}
@@ -64,7 +64,7 @@
 		if replica.Zone != n.config.Zone || n.polling[replica.ID] {
 			continue
 		}
-		pollers := rendezvous.Top(live, rendezvous.Key("poll/"+string(replica.ID)), pollersPerReplica)
+		pollers := rendezvous.Top(live, rendezvous.Hash("poll/"+string(replica.ID)), pollersPerReplica)
 		index := slices.Index(pollers, n.config.Name)
 		if index == 0 || (index > 0 && n.isReportOverdue(replica.ID)) {
 			n.polling[replica.ID] = true
@@ -107,7 +107,7 @@
 	n.applyPolledReport(report)
 	for _, event := range events {
 		n.cacheEventCursors[replica.ID] = max(n.cacheEventCursors[replica.ID], event.Sequence)
-		n.scheduler.Prefixes().Event(replica.ID, event)
+		n.scheduler.Prefixes().ApplyCacheEvent(replica.ID, event)
 	}
 	n.loadKnown.Store(true)
 	n.schedulePending()
@@ -124,7 +124,7 @@
 		} else {
 			n.applyMachines(machines)
 		}
-		if !wait.For(n.ctx, machineListInterval) {
+		if !wait.Sleep(n.ctx, machineListInterval) {
 			return
 		}
 	}
@@ -242,7 +242,7 @@
 // zoneLoop exchanges heartbeats with the other zones while this node is a delegate:
 // the active generation and, for overflow, the load of the replicas.
 func (n *Node) zoneLoop() {
-	for wait.For(n.ctx, zoneHeartbeatInterval) {
+	for wait.Sleep(n.ctx, zoneHeartbeatInterval) {
 		n.mutex.Lock()
 		var targets []outside.Machine
 		if n.isDelegate() {
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -101,7 +101,7 @@
 
 // tickLoop advances the state that depends on time.
 func (n *Node) tickLoop() {
-	for wait.For(n.ctx, tickInterval) {
+	for wait.Sleep(n.ctx, tickInterval) {
 		n.tick()
 	}
 }
@@ -161,7 +161,7 @@
 // floorOwnerOf returns the member that owns the shed floor of the service. The
 // caller holds the mutex.
 func (n *Node) floorOwnerOf(service string) string {
-	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("floor/"+service), 1)[0]
+	return rendezvous.Top(n.table.LiveNames(), rendezvous.Hash("floor/"+service), 1)[0]
 }
 
 // sendDemands sends the scheduler's floor demands to the owners of the floors. The
@@ -259,7 +259,7 @@
 // limitLoop reports the tenants' usage to the owners of their limits and applies
 // the shares that they grant.
 func (n *Node) limitLoop() {
-	for wait.For(n.ctx, limits.ReportInterval) {
+	for wait.Sleep(n.ctx, limits.ReportInterval) {
 		n.mutex.Lock()
 		reports := n.limitMember.Reports(n.now(), n.config.Name, n.limitOwnerOf)
 		for owner, report := range reports {
@@ -281,7 +281,7 @@
 // limitOwnerOf returns the member that owns the tenant's limits. The caller holds
 // the mutex.
 func (n *Node) limitOwnerOf(tenant string) string {
-	return rendezvous.Top(n.table.LiveNames(), rendezvous.Key("limit/"+tenant), 1)[0]
+	return rendezvous.Top(n.table.LiveNames(), rendezvous.Hash("limit/"+tenant), 1)[0]
 }
 
 // allocateLimits returns the shares that this owner grants for a report. The caller
--- a/node/settings.go
+++ b/node/settings.go
@@ -54,10 +54,10 @@
 		case watching:
 			revision, err = n.watchSettings(revision)
 		default:
-			wait.For(n.ctx, delegateCheckInterval)
+			wait.Sleep(n.ctx, delegateCheckInterval)
 		}
 		n.storeHealthy.Store(err == nil)
-		if err != nil && !wait.For(n.ctx, storeRetryInterval) {
+		if err != nil && !wait.Sleep(n.ctx, storeRetryInterval) {
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 // cancelWatchUnlessDelegate cancels a watch once the node is no longer a delegate. A
 // starting node knows no other members and counts itself as one.
 func (n *Node) cancelWatchUnlessDelegate(ctx context.Context, cancel context.CancelFunc) {
-	for wait.For(ctx, delegateCheckInterval) {
+	for wait.Sleep(ctx, delegateCheckInterval) {
 		n.mutex.Lock()
 		watching := n.isDelegate()
 		n.mutex.Unlock()
@@ -177,7 +177,7 @@
 // is the first candidate.
 func (n *Node) placementLoop() {
 	coordinators := map[string]*placement.Coordinator{}
-	for wait.For(n.ctx, placement.RenewInterval) {
+	for wait.Sleep(n.ctx, placement.RenewInterval) {
 		for _, service := range n.settings.Compiled().Services() {
 			if len(n.settings.Compiled().Models(service)) == 0 {
 				continue
@@ -188,7 +188,7 @@
 				coordinators[service] = coordinator
 			}
 			n.mutex.Lock()
-			candidate := rendezvous.Top(n.table.LiveNames(), rendezvous.Key("placement/"+service), 1)[0] == n.config.Name
+			candidate := rendezvous.Top(n.table.LiveNames(), rendezvous.Hash("placement/"+service), 1)[0] == n.config.Name
 			n.mutex.Unlock()
 			if candidate {
 				coordinator.Step(n.ctx)
--- a/operator/client.go
+++ b/operator/client.go
@@ -46,7 +46,7 @@
 }
 
 // Lift unblocks a poison request at an entry daemon, by its fingerprint.
-func (c *Client) Lift(ctx context.Context, fingerprint string) error {
+func (c *Client) Unblock(ctx context.Context, fingerprint string) error {
 	return c.do(ctx, http.MethodPost, entry.PathUnblock+url.PathEscape(fingerprint), nil, nil)
 }
 
--- a/operator/story/story.go
+++ b/operator/story/story.go
@@ -47,7 +47,7 @@
 	fingerprints := map[string]bool{}
 	for _, event := range all {
 		if event.Request == id {
-			fingerprints[event.Content] = true
+			fingerprints[event.Fingerprint] = true
 			story.Request = append(story.Request, event)
 			participants[event.Replica], participants[event.Peer], participants[event.Node] = true, true, true
 		}
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("no line names the request %q: give the logs of every node, and the id of the try", id)
 	}
 	for _, event := range all {
-		if event.Kind == "content" && fingerprints[event.Content] {
+		if event.Kind == "content" && fingerprints[event.Fingerprint] {
 			story.Related = append(story.Related, event) // from every node
 		}
 		if relatedKinds[event.Kind] && participants[event.Node] && (participants[event.Replica] || participants[event.Peer] || event.Replica == "" && event.Peer == "") {
@@ -122,10 +122,10 @@
 	for _, part := range []struct {
 		name  string
 		value int64
-	}{{"status", int64(event.Status)}, {"waited_ms", event.Waited}, {"took_ms", event.Took}, {"age_ms", event.Age}, {"revision", event.Revision}, {"version", event.Version},
-		{"left_ms", event.Remaining}, {"priority", int64(event.Priority)}, {"prompt", int64(event.Prompt)}, {"answer", int64(event.Answer)},
-		{"waiting", int64(event.Waiting)}, {"free", int64(event.Free)}, {"expected_ms", event.Expected},
-		{"first_ms", event.First}, {"pause_ms", event.Pause},
+	}{{"status", int64(event.Status)}, {"waited_ms", event.WaitedMS}, {"took_ms", event.TookMS}, {"age_ms", event.AgeMS}, {"revision", event.Revision}, {"version", event.Version},
+		{"left_ms", event.RemainingMS}, {"priority", int64(event.Priority)}, {"prompt", int64(event.Prompt)}, {"answer", int64(event.Answer)},
+		{"waiting", int64(event.QueuedAhead)}, {"free", int64(event.FreeSlots)}, {"expected_ms", event.ExpectedWaitMS},
+		{"first_ms", event.FirstEventMS}, {"pause_ms", event.MaxPauseMS},
 	} {
 		if part.value != 0 {
 			text += fmt.Sprintf(" %s=%d", part.name, part.value)
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -13,15 +13,15 @@
 )
 
 // Gone reports that the entry of a replica was removed, at the store position Revision.
-type Gone struct {
+type RemovedReplica struct {
 	ID       string
-	Revision structs.StorePosition
+	Position structs.StorePosition
 }
 
 // Update is a snapshot or a set of changes of the directory.
 type Update struct {
 	// Revision is the store position up to which the update covers the directory's history.
-	Revision structs.StorePosition
+	Position structs.StorePosition
 	// Complete is true if Replicas lists all replicas. FullSnapshot is true if Orders, Records and
 	// Evacuations are complete as well.
 	Complete, FullSnapshot bool
@@ -29,19 +29,19 @@
 	Calls int
 	// Catalog is the configuration at CatalogRevision; nil if it did not change.
 	Catalog         *catalog.Document
-	CatalogRevision structs.StorePosition
+	CatalogPosition structs.StorePosition
 	Replicas        []replicas.Replica
-	Gone            []Gone
+	Removed         []RemovedReplica
 	// Evacuations are orders to evacuate a zone, or to lift that. A full snapshot lists every
 	// evacuated zone.
 	Evacuations []evacuations.Order
 	// Orders are the operators' roll-out orders, Records the stored progress of roll-outs.
-	Orders  []rollouts.Order
-	Records []rollouts.Record
+	RolloutOrders  []rollouts.Order
+	RolloutRecords []rollouts.Record
 	// Contents are the poison records as stored at ContentsRevision. If that is zero, the update
 	// says nothing about them.
-	Contents         []poisonrecords.Record
-	ContentsRevision structs.StorePosition
+	PoisonRecords         []poisonrecords.Record
+	PoisonRecordsPosition structs.StorePosition
 	// Problems has an error for each entry, or field of an entry, that was invalid and ignored.
 	Problems []error
 }
@@ -100,13 +100,13 @@
 
 // Contents stores the poison records: the requests that are blocked because replicas crashed under
 // them.
-type Contents interface {
+type PoisonRecordStore interface {
 	// WriteContents replaces the stored records if they are at the given position, where zero means
 	// that there are none, and returns the new position. Errors are those of Rollouts.WriteRollout.
-	WriteContents(ctx context.Context, records []poisonrecords.Record, revision structs.StorePosition) (structs.StorePosition, error)
+	WritePoisonRecords(ctx context.Context, records []poisonrecords.Record, revision structs.StorePosition) (structs.StorePosition, error)
 	// ReadContents returns the records and their position, which is zero if there are none. The
 	// error is of kind StoreUnavailable.
-	ReadContents(ctx context.Context) ([]poisonrecords.Record, structs.StorePosition, error)
+	ReadPoisonRecords(ctx context.Context) ([]poisonrecords.Record, structs.StorePosition, error)
 }
 
 // HeaderNames has the names of the headers that the daemon reads from requests and answers, or sets
--- a/protocol/peerwire/peerwire.go
+++ b/protocol/peerwire/peerwire.go
@@ -33,12 +33,12 @@
 	KindRegistryLookup
 	KindJoin
 	KindClaim
-	KindPlace
+	KindAssign
 	KindFinish
-	KindNews
-	KindBegun
+	KindUpdates
+	KindFirstEvent
 	KindConfigurationParts
-	KindContents
+	KindPoisonRecords
 	kindEnd
 )
 
@@ -46,8 +46,8 @@
 	KindHeartbeat: "heartbeat", KindProbe: "probe", KindSettingsPull: "settings-pull",
 	KindFloorDemand: "floor-demand", KindFloorSet: "floor-set", KindLimitDemand: "limit-demand",
 	KindRegister: "register", KindRegistryUpdate: "registry-update", KindRegistryLookup: "registry-lookup",
-	KindJoin: "join", KindClaim: "claim", KindPlace: "place", KindFinish: "finish", KindNews: "news", KindBegun: "begun",
-	KindConfigurationParts: "configuration-parts", KindContents: "contents",
+	KindJoin: "join", KindClaim: "claim", KindAssign: "place", KindFinish: "finish", KindUpdates: "news", KindFirstEvent: "begun",
+	KindConfigurationParts: "configuration-parts", KindPoisonRecords: "contents",
 }
 
 // String returns the name of the kind for metrics and logs.
--- a/state/backend/table.go
+++ b/state/backend/table.go
@@ -113,7 +113,7 @@
 	}
 	state = &ReplicaState{
 		Replica:  replica,
-		IDHash:   rendezvous.Key(string(replica.ID)),
+		IDHash:   rendezvous.Hash(string(replica.ID)),
 		Slowdown: 1,
 		inFlight: map[string]*ownRequest{},
 	}
@@ -221,7 +221,7 @@
 
 // FirstToken records that the prefill of the request has ended. Later calls for
 // the same request have no effect.
-func (s *ReplicaState) FirstToken(now structs.Instant, id string) {
+func (s *ReplicaState) RecordFirstToken(now structs.Instant, id string) {
 	request, found := s.inFlight[id]
 	if !found || request.firstTokenAt != 0 {
 		return
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -42,7 +42,7 @@
 	Trials int `msgpack:"t" json:"trials,omitempty"`
 	// Persistent is true if the request was blocked in this generation or an earlier one. Nodes and
 	// the store keep such a record, also after it was cleared.
-	Persistent bool `msgpack:"k" json:"kept,omitempty"`
+	IsPersistent bool `msgpack:"k" json:"kept,omitempty"`
 	// Age is the time since the last change in milliseconds, as of when the record was sent.
 	Age int64 `msgpack:"a" json:"-"`
 }
@@ -54,12 +54,12 @@
 		return false
 	case other.Generation > r.Generation:
 		r.Generation, r.Trials, r.Incarnations = other.Generation, other.Trials, slices.Clone(other.Incarnations)
-		r.Persistent = r.Persistent || other.Persistent
+		r.IsPersistent = r.IsPersistent || other.IsPersistent
 		r.Service, r.Route = cmp.Or(r.Service, other.Service), cmp.Or(r.Route, other.Route)
 		return true
 	}
-	changed := other.Trials > r.Trials || other.Persistent && !r.Persistent
-	r.Trials, r.Persistent = max(r.Trials, other.Trials), r.Persistent || other.Persistent
+	changed := other.Trials > r.Trials || other.IsPersistent && !r.IsPersistent
+	r.Trials, r.IsPersistent = max(r.Trials, other.Trials), r.IsPersistent || other.IsPersistent
 	for _, incarnation := range other.Incarnations {
 		changed = r.Add(incarnation) || changed
 	}
@@ -88,7 +88,7 @@
 // record; Digest differs then.
 func (r *Record) ChangeCount() int64 {
 	count := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
-	if r.Persistent {
+	if r.IsPersistent {
 		count++
 	}
 	return count
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -25,9 +25,9 @@
 	// Holders returns replicas that probably hold the longest indexed prefix.
 	Holders(chain []uint64) []structs.ReplicaID
 	// Sent records that a prompt with the chain was sent to the replica.
-	Sent(replica structs.ReplicaID, chain []uint64)
+	RecordSent(replica structs.ReplicaID, chain []uint64)
 	// Event applies a cache event of the replica.
-	Event(replica structs.ReplicaID, event structs.CacheEvent)
+	ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent)
 }
 
 // LRUIndex is an Index that evicts the least recently used blocks. It is not safe for
@@ -49,19 +49,19 @@
 func (l *LRUIndex) Len() int { return l.blocks.Len() }
 
 // Sent records that a prompt with the chain was sent to the replica.
-func (l *LRUIndex) Sent(replica structs.ReplicaID, chain []uint64) {
+func (l *LRUIndex) RecordSent(replica structs.ReplicaID, chain []uint64) {
 	for _, block := range chain {
 		l.add(replica, block)
 	}
 }
 
 // Event applies a cache event of the replica.
-func (l *LRUIndex) Event(replica structs.ReplicaID, event structs.CacheEvent) {
+func (l *LRUIndex) ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent) {
 	if event.Stored {
-		l.add(replica, event.Block)
+		l.add(replica, event.BlockHash)
 		return
 	}
-	l.remove(replica, event.Block)
+	l.remove(replica, event.BlockHash)
 }
 
 // RemoveReplica removes the replica from all blocks, for instance after a restart.
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -257,7 +257,7 @@
 
 // Forget removes the incarnations for which isKnown is false, once their last update is older than the
 // retention.
-func (t *Tracker) Forget(now structs.Instant, isKnown func(incarnation Incarnation) bool) {
+func (t *Tracker) Sweep(now structs.Instant, isKnown func(incarnation Incarnation) bool) {
 	for incarnation, state := range t.states {
 		if now-state.updatedAt > retention && !isKnown(incarnation) {
 			delete(t.states, incarnation)
--- a/state/pushback/pushback_test.go
+++ b/state/pushback/pushback_test.go
@@ -46,9 +46,9 @@
 	tracker.Observe(time.Second, 0, testIncarnation, Signals{Leaving: true})
 	tracker.Observe(time.Second, 0, Incarnation{Replica: "known"}, Signals{Leaving: true})
 	isKnown := func(incarnation Incarnation) bool { return incarnation.Replica == "known" }
-	tracker.Forget(retention, isKnown)
+	tracker.Sweep(retention, isKnown)
 	g.Expect(tracker.states).To(gomega.HaveLen(2))
-	tracker.Forget(retention+2*time.Second, isKnown)
+	tracker.Sweep(retention+2*time.Second, isKnown)
 	g.Expect(tracker.states).To(gomega.HaveLen(1))
 }
 
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -92,7 +92,7 @@
 
 // Order returns up to maxItems items in the order in which they should be dispatched,
 // without removing them.
-func (q *Queue) Order(now structs.Instant, agingLimit time.Duration, maxItems int) []*Item {
+func (q *Queue) NextItems(now structs.Instant, agingLimit time.Duration, maxItems int) []*Item {
 	var items []*Item
 	for _, t := range q.tiers {
 		items = t.appendOrdered(now, agingLimit, maxItems, items)
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -19,7 +19,7 @@
 
 // WeightHashed returns the weight of a member that is given by its Key. Its weights
 // differ from those of Weight.
-func WeightHashed(member, key uint64) uint64 { return mix(member ^ mix(key)) }
+func WeightOfHash(member, key uint64) uint64 { return mix(member ^ mix(key)) }
 
 // mix is the 64-bit finalizer of MurmurHash3.
 func mix(value uint64) uint64 {
@@ -31,7 +31,7 @@
 }
 
 // Key returns the hash of text for use as a key or hashed member.
-func Key(text string) uint64 { return xxhash.Sum64String(text) }
+func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
 // Top returns up to count members with the highest weights for the key, in descending
 // order.
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -189,7 +189,7 @@
 
 // RemovedSince returns the positions of removals by replica ID: those after the given position, and
 // those applied within tombstoneReportPeriod, which may have a lower one.
-func (t *Table) RemovedSince(now structs.Instant, position structs.StorePosition) map[string]structs.StorePosition {
+func (t *Table) RemovalsSince(now structs.Instant, position structs.StorePosition) map[string]structs.StorePosition {
 	removed := map[string]structs.StorePosition{}
 	for id, removal := range t.tombstones {
 		if removal.position > position || now-removal.removedAt < tombstoneReportPeriod {
@@ -200,7 +200,7 @@
 }
 
 // Forget drops tombstones older than tombstoneRetention.
-func (t *Table) Forget(now structs.Instant) {
+func (t *Table) SweepTombstones(now structs.Instant) {
 	for id, removal := range t.tombstones {
 		if now-removal.removedAt > tombstoneRetention {
 			delete(t.tombstones, id)
--- a/state/replicas/replicas_test.go
+++ b/state/replicas/replicas_test.go
@@ -148,7 +148,7 @@
 		for _, replica := range from.Since(to.LatestPosition()) {
 			to.Put(replica)
 		}
-		for id, position := range from.RemovedSince(0, to.LatestPosition()) {
+		for id, position := range from.RemovalsSince(0, to.LatestPosition()) {
 			to.Remove(0, id, position)
 		}
 	}
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -35,12 +35,12 @@
 }
 
 // Active reports whether the policy restricts any version.
-func (p *VersionPolicy) Active() bool { return p.Service != "" }
+func (p *VersionPolicy) IsActive() bool { return p.Service != "" }
 
 // AccessFor returns the access for replicas of the version.
 func (p *VersionPolicy) AccessFor(version string) Access {
 	switch {
-	case !p.Active():
+	case !p.IsActive():
 		return AccessUnrestricted
 	case p.Phase != 0 && version == p.Target:
 		return p.targetAccess()
--- a/structs/plan.go
+++ b/structs/plan.go
@@ -9,7 +9,7 @@
 	// VerdictDispatch sends the request to Plan.Replica.
 	VerdictDispatch Verdict = "dispatch"
 	// VerdictRefuse rejects the request; it ends with OutcomeNotRun.
-	VerdictRefuse Verdict = "refuse"
+	VerdictReject Verdict = "refuse"
 )
 
 // Reason is the cause of a rejection. Logs, metrics and error responses contain it as it stands.
--- a/structs/replica.go
+++ b/structs/replica.go
@@ -77,7 +77,7 @@
 	// Sequence rises with each event of one process of the engine.
 	Sequence uint64 `msgpack:"q" json:"sequence"`
 	// Block is the hash of the block, an element of a Request.Prefix.
-	Block uint64 `msgpack:"b" json:"block"`
+	BlockHash uint64 `msgpack:"b" json:"block"`
 	// Stored is true if the block was stored, false if it was evicted.
 	Stored bool `msgpack:"s" json:"stored"`
 }
--- a/test/caller/overflow_test.go
+++ b/test/caller/overflow_test.go
@@ -12,7 +12,7 @@
 // Guards against requests that fail although overflow to another zone is enabled.
 func TestOverflowIsSentToConfiguredZone(t *testing.T) {
 	runWithDeployment(t, func(d *deployment) {
-		d.cluster.LeaveBackend("trakiya-e0")
+		d.cluster.MarkBackendLeaving("trakiya-e0")
 		time.Sleep(4 * time.Second)
 		got := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest)
 		d.Expect(got.status).To(gomega.Equal(200))
@@ -25,7 +25,7 @@
 // Guards against requests that leave their zone although overflow is not enabled.
 func TestNoOverflowByDefault(t *testing.T) {
 	runWithDeployment(t, func(d *deployment) {
-		d.cluster.LeaveBackend("trakiya-e0")
+		d.cluster.MarkBackendLeaving("trakiya-e0")
 		time.Sleep(4 * time.Second)
 		got := d.send("POST", callerURL(d.first, "/v1/chat/completions"), "couriers-key", chatRequest)
 		d.Expect(got.header.Get(node.HeaderErrorCode)).To(gomega.Equal("no-replica"))
--- a/test/entry/answers_test.go
+++ b/test/entry/answers_test.go
@@ -232,7 +232,7 @@
 		s.Expect(urgent).To(gomega.Equal(4))
 		s.Expect(lessUrgent).To(gomega.BeNumerically(">", 2))
 		for _, engine := range s.engines {
-			s.Expect(engine.MostAtOnce()).To(gomega.BeNumerically("<=", 2))
+			s.Expect(engine.MaxConcurrent()).To(gomega.BeNumerically("<=", 2))
 		}
 	})
 }
--- a/test/entry/dissemination_test.go
+++ b/test/entry/dissemination_test.go
@@ -297,9 +297,9 @@
 // sentBytes returns the bytes that all nodes and the store have sent.
 func (s *disseminationScenario) sentBytes() (nodes, store int64) {
 	for _, host := range s.nodes {
-		nodes += s.fabric.Sent(host)
+		nodes += s.fabric.SentBytes(host)
 	}
-	return nodes, s.fabric.Sent("store")
+	return nodes, s.fabric.SentBytes("store")
 }
 
 // sentBytesWithinLimit returns the bytes that all nodes and the store send within updateLimit.
--- a/test/entry/evacuation_test.go
+++ b/test/entry/evacuation_test.go
@@ -36,7 +36,7 @@
 	mutex           sync.Mutex
 	repliesByStatus map[int]int
 	// backup is a backup of the store without the order.
-	backup *platformsim.StoreCopy
+	backup *platformsim.StoreBackup
 }
 
 func runEvacuation(t *testing.T, test func(s *evacuationScenario)) {
@@ -134,8 +134,8 @@
 			s.Expect(s.deployment.StartNode("n5", "east")).To(gomega.Succeed())
 		},
 		"the store refuses two nodes": func(s *evacuationScenario) {
-			s.deployment.Store.Refuse("n1", true)
-			s.deployment.Store.Refuse("n2", true)
+			s.deployment.Store.SetRejected("n1", true)
+			s.deployment.Store.SetRejected("n2", true)
 		},
 		"all nodes restart": func(s *evacuationScenario) {
 			for i, node := range s.nodes {
@@ -152,7 +152,7 @@
 			runEvacuation(t, func(s *evacuationScenario) {
 				s.load(time.Second, 50)
 				s.Expect(arrivalsAfter(s.east, time.Time{})).To(gomega.BeNumerically(">", 0))
-				s.backup = s.deployment.Store.Copy()
+				s.backup = s.deployment.Store.Backup()
 				s.deployment.Store.PutJSON(evacuateEastKey, struct{}{})
 				ordered := time.Now()
 				time.Sleep(300 * time.Millisecond)
@@ -192,7 +192,7 @@
 			}
 		},
 		"the zones are partitioned": func(s *evacuationScenario) {
-			s.fabric.CutGroups([]string{"n1", "n3", "n5"}, []string{"n2", "n4"})
+			s.fabric.Partition([]string{"n1", "n3", "n5"}, []string{"n2", "n4"})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/test/entry/failover_test.go
+++ b/test/entry/failover_test.go
@@ -260,7 +260,7 @@
 	},
 	"one zone after the other partitioned for 2 s": func(s *failoverScenario) {
 		s.repeatEvery(2*time.Second, func(round int) {
-			s.fabric.CutGroups(s.splitByZone(threeZones[round%len(threeZones)]))
+			s.fabric.Partition(s.splitByZone(threeZones[round%len(threeZones)]))
 			time.Sleep(2 * time.Second)
 			s.fabric.Heal()
 		})
@@ -268,7 +268,7 @@
 	"each node partitioned from all others for 6 s": func(s *failoverScenario) {
 		s.repeatEvery(4*time.Second, func(int) {
 			for i, host := range s.hosts {
-				s.fabric.CutGroups([]string{host}, s.hosts[i+1:])
+				s.fabric.Partition([]string{host}, s.hosts[i+1:])
 			}
 			time.Sleep(6 * time.Second)
 			s.fabric.Heal()
@@ -281,7 +281,7 @@
 	"the network partitioned into zones and healed repeatedly": func(s *failoverScenario) {
 		s.repeatEvery(700*time.Millisecond, func(int) {
 			for _, zone := range threeZones {
-				s.fabric.CutGroups(s.splitByZone(zone))
+				s.fabric.Partition(s.splitByZone(zone))
 			}
 			time.Sleep(900 * time.Millisecond)
 			s.fabric.Heal()
@@ -292,7 +292,7 @@
 			s.fabric.Heal()
 			half := append([]string{}, s.hosts[round%len(s.hosts):]...)
 			half = append(half, s.hosts[:round%len(s.hosts)]...)
-			s.fabric.CutGroups(half[:len(half)/2], half[len(half)/2:])
+			s.fabric.Partition(half[:len(half)/2], half[len(half)/2:])
 		})
 	},
 }
--- a/test/entry/faults_test.go
+++ b/test/entry/faults_test.go
@@ -22,7 +22,7 @@
 				case "killed":
 					s.deployment.Node(scheduler).Kill()
 				case "partitioned":
-					s.fabric.CutGroups([]string{scheduler}, others)
+					s.fabric.Partition([]string{scheduler}, others)
 				case "paused":
 					s.fabric.Pause(scheduler)
 				}
@@ -43,7 +43,7 @@
 // Guards against nodes that don't serve during a partition or stay apart after it.
 func TestPartitionedNodesServe(t *testing.T) {
 	runScenario(t, func(s *scenario) {
-		s.fabric.CutGroups([]string{"n1"}, []string{"n2", "n3"})
+		s.fabric.Partition([]string{"n1"}, []string{"n2", "n3"})
 		time.Sleep(time.Second)
 		for range 3 {
 			for _, node := range hosts {
@@ -98,7 +98,7 @@
 			s.Expect(s.deployment.AddReplica(host, replica)).To(gomega.Succeed())
 		}
 		time.Sleep(time.Second)
-		s.fabric.CutGroups([]string{"n2", "w1", "w2", "w3", "w4"}, []string{"n1", "n3", "p1", "p2"})
+		s.fabric.Partition([]string{"n2", "w1", "w2", "w3", "w4"}, []string{"n1", "n3", "p1", "p2"})
 		time.Sleep(700 * time.Millisecond)
 		var slow atomic.Int64
 		for range 5 {
--- a/test/entry/large_fleet_test.go
+++ b/test/entry/large_fleet_test.go
@@ -60,7 +60,7 @@
 		runLargeFleet(t, nodes, func(s *relayScenario) {
 			sent := 0.0
 			for _, node := range s.nodes {
-				sent += float64(s.fabric.Sent(node))
+				sent += float64(s.fabric.SentBytes(node))
 			}
 			costs = append(costs, sent/float64(nodes))
 			s.Expect(s.schedulers(s.nodes)).To(gomega.HaveLen(1))
@@ -135,7 +135,7 @@
 				outside = append(outside, node)
 			}
 		}
-		s.fabric.CutGroups(inside, append(slices.Clone(outside), "store"))
+		s.fabric.Partition(inside, append(slices.Clone(outside), "store"))
 		time.Sleep(6 * time.Second)
 		s.Expect(s.schedulers(inside)).To(gomega.HaveLen(1))
 		s.Expect(s.schedulers(outside)).To(gomega.HaveLen(1))
--- a/test/entry/memory_test.go
+++ b/test/entry/memory_test.go
@@ -50,7 +50,7 @@
 type fixedDirectory struct{ document *catalog.Document }
 
 func (d fixedDirectory) Read(context.Context, outside.Scope, structs.StorePosition, int64) (*outside.Update, error) {
-	return &outside.Update{Complete: true, Revision: structs.StorePosition(d.document.Version), Catalog: d.document}, nil
+	return &outside.Update{Complete: true, Position: structs.StorePosition(d.document.Version), Catalog: d.document}, nil
 }
 
 func (d fixedDirectory) Watch(ctx context.Context, after structs.StorePosition, wait time.Duration) (*outside.Update, error) {
@@ -58,7 +58,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(wait):
-		return &outside.Update{Revision: after}, nil
+		return &outside.Update{Position: after}, nil
 	}
 }
 
@@ -112,7 +112,7 @@
 	s.sender = s.start("sender", s.fabric.Host("sender"), documents.Large(2, largeRouteCount))
 	for i := range count {
 		host := fmt.Sprintf("puller-%02d", i)
-		s.fabric.Cut("sender", host)
+		s.fabric.BlockLink("sender", host)
 		s.pullers = append(s.pullers, s.start(host, slowNetwork{s.fabric.Host(host), &s.received[i]}, documents.Large(1, 1)))
 	}
 	time.Sleep(discoveryTime)
--- a/test/entry/narrow_links_test.go
+++ b/test/entry/narrow_links_test.go
@@ -42,7 +42,7 @@
 		time.Sleep(updateWatchTime)
 		s.Expect(s.delaysUntilActive(s.version)).To(gomega.HaveLen(disseminationNodes))
 		partitioned := s.nodesInZone("west")
-		s.fabric.CutGroups(partitioned, slices.Concat(s.nodesInZone("east"), s.nodesInZone("middle")))
+		s.fabric.Partition(partitioned, slices.Concat(s.nodesInZone("east"), s.nodesInZone("middle")))
 		time.Sleep(8 * time.Second) // lets the zone elect its own scheduling node and store watchers
 		s.addedRoutes[routesPerVersion/2].Timeout++
 		s.writeConfiguration()
--- a/test/entry/poison_test.go
+++ b/test/entry/poison_test.go
@@ -35,7 +35,7 @@
 // crashScenario is a scenario whose replicas crash under requests of one path and restart.
 type crashScenario struct {
 	*scenario
-	keepers []*entrylab.Keeper
+	keepers []*entrylab.Restarter
 	group   sync.WaitGroup
 	mutex   sync.Mutex
 	// poisonReplies and otherReplies count the replies to the poison request and to all other
@@ -65,7 +65,7 @@
 			service, events = "registry", 0
 		}
 		for i := range 8 {
-			keeper := &entrylab.Keeper{
+			keeper := &entrylab.Restarter{
 				ID: fmt.Sprint("i-k", i), Service: service, Zone: []string{"east", "west"}[i%2], Slots: 4, Events: events, Step: 30 * time.Millisecond,
 				SameID: testCase.sameID, Behave: crashOnPoison,
 			}
@@ -185,7 +185,7 @@
 }
 
 func partitionNodes(s *crashScenario) {
-	s.fabric.CutGroups([]string{"n1"}, []string{"n2", "n3"})
+	s.fabric.Partition([]string{"n1"}, []string{"n2", "n3"})
 	time.Sleep(2 * time.Second)
 	s.fabric.Heal()
 }
@@ -343,7 +343,7 @@
 			s.Expect(s.deployment.Node(host).Status().Blocked).To(gomega.BeEmpty(), host)
 		}
 		for _, keeper := range s.keepers {
-			keeper.Mend()
+			keeper.StopCrashing()
 		}
 		time.Sleep(3 * time.Second)
 		s.Expect(s.sendContent("n3", "stream", poisonPath).status).To(gomega.Equal(http.StatusOK))
@@ -378,7 +378,7 @@
 	runCrashes(t, crashCase{route: "safe"}, func(s *crashScenario) {
 		s.deployment.Store.Order(platformsim.RolloutOrder{Service: "registry", Target: "v2", Duration: rolloutDuration.Seconds()})
 		for i := range len(s.keepers) {
-			keeper := &entrylab.Keeper{
+			keeper := &entrylab.Restarter{
 				ID: fmt.Sprint("i-new", i), Service: "registry", Zone: "east", Version: "v2", Slots: 4, Step: 30 * time.Millisecond, Behave: crashOnPoison,
 			}
 			s.Expect(s.deployment.Keep(fmt.Sprint("new", i), keeper)).To(gomega.Succeed())
--- a/test/entry/pushback_test.go
+++ b/test/entry/pushback_test.go
@@ -68,7 +68,7 @@
 		}
 		s.awaitReady()
 		s.load(time.Second)
-		s.replicas[0].Say(pushback)
+		s.replicas[0].SetPushback(pushback)
 		if pushback.RetryAfter != "" {
 			s.replicas[0].SetBehavior(always(platformsim.Shed))
 		}
@@ -107,7 +107,7 @@
 	defer s.mutex.Unlock()
 	var sent []checker.Sent
 	for _, arrival := range replica.Arrived() {
-		sent = append(sent, checker.Sent{Arrival: arrival, Node: s.nodeOf[arrival.ID], Asked: s.sentAt[arrival.ID]})
+		sent = append(sent, checker.Sent{Arrival: arrival, Node: s.nodeOf[arrival.ID], SentAt: s.sentAt[arrival.ID]})
 	}
 	return sent
 }
@@ -139,7 +139,7 @@
 	"no fault":          func(*pushbackScenario) {},
 	"the store is down": func(s *pushbackScenario) { s.deployment.Store.SetDown(true) },
 	"the store is restored": func(s *pushbackScenario) {
-		backup := s.deployment.Store.Copy()
+		backup := s.deployment.Store.Backup()
 		time.Sleep(time.Second)
 		s.deployment.Store.Restore(backup)
 	},
@@ -173,7 +173,7 @@
 	"the network is partitioned repeatedly": func(s *pushbackScenario) {
 		for round := range 4 {
 			time.Sleep(2 * time.Second)
-			s.fabric.CutGroups(s.nodes[:3+round%2], s.nodes[3+round%2:])
+			s.fabric.Partition(s.nodes[:3+round%2], s.nodes[3+round%2:])
 			time.Sleep(2 * time.Second)
 			s.fabric.Heal()
 		}
@@ -183,7 +183,7 @@
 		scheduler := s.majorityScheduler()
 		for _, node := range s.nodes {
 			if node != scheduler {
-				s.fabric.CutGroups([]string{scheduler}, []string{node})
+				s.fabric.Partition([]string{scheduler}, []string{node})
 				time.Sleep(2 * time.Second)
 				s.fabric.Heal()
 			}
@@ -277,7 +277,7 @@
 				runPushback(t, 1, platformsim.Pushback{Limit: before}, func(s *pushbackScenario) {
 					time.Sleep(4 * time.Second)
 					changed = time.Now()
-					s.replicas[0].Say(after)
+					s.replicas[0].SetPushback(after)
 				}, func(s *pushbackScenario) {
 					// At a limit of zero one request in ten seconds is sent, whose answer has the new limit.
 					s.Expect(arrivalsAfter(s.replicas, changed.Add(11*time.Second))).To(gomega.BeNumerically(">", 80))
@@ -291,13 +291,13 @@
 func TestLoweredAndInvalidRateLimits(t *testing.T) {
 	runPushback(t, 3, platformsim.Pushback{Limit: "10"}, func(s *pushbackScenario) {
 		time.Sleep(6 * time.Second)
-		s.replicas[0].Say(platformsim.Pushback{Limit: "1"})
-		s.replicas[1].Say(platformsim.Pushback{Limit: "-3"})
-		s.replicas[2].Say(platformsim.Pushback{Limit: "NaN"})
+		s.replicas[0].SetPushback(platformsim.Pushback{Limit: "1"})
+		s.replicas[1].SetPushback(platformsim.Pushback{Limit: "-3"})
+		s.replicas[2].SetPushback(platformsim.Pushback{Limit: "NaN"})
 	}, func(s *pushbackScenario) {
 		var after []checker.Sent
 		for _, request := range s.requestsTo(s.replicas[0]) {
-			if request.Said.Limit == "1" {
+			if request.Pushback.Limit == "1" {
 				after = append(after, request)
 			}
 		}
@@ -329,10 +329,10 @@
 	var silentSince, restartedAt time.Time
 	runPushback(t, 2, platformsim.Pushback{Leaving: "1"}, func(s *pushbackScenario) {
 		time.Sleep(3 * time.Second)
-		s.replicas[0].Say(platformsim.Pushback{})
+		s.replicas[0].SetPushback(platformsim.Pushback{})
 		silentSince = time.Now()
 		time.Sleep(4 * time.Second)
-		s.replicas[0].Born = time.Now().UnixMilli()
+		s.replicas[0].StartedAt = time.Now().UnixMilli()
 		restartedAt = time.Now()
 		time.Sleep(time.Millisecond)
 		s.replicas[0].Register(s.deployment.Store, "ready")
@@ -365,7 +365,7 @@
 	}, func(s *pushbackScenario) {
 		arrived := s.replicas[0].Arrived()
 		for i, arrival := range arrived {
-			if !arrival.Refused {
+			if !arrival.Rejected {
 				continue
 			}
 			count := 0
--- a/test/entry/relay_test.go
+++ b/test/entry/relay_test.go
@@ -78,9 +78,9 @@
 
 // bytesBetweenZones returns the bytes sent between nodes of different zones while the function ran.
 func (s *relayScenario) bytesBetweenZones(run func()) float64 {
-	before := s.fabric.SentWhere(crossesZones)
+	before := s.fabric.SentBytesWhere(crossesZones)
 	run()
-	return float64(s.fabric.SentWhere(crossesZones) - before)
+	return float64(s.fabric.SentBytesWhere(crossesZones) - before)
 }
 
 // Guards against heartbeats sent directly to every node of other zones; traffic between zones is
@@ -116,11 +116,11 @@
 	toNode := func(_, to string) bool { return to == node }
 	s.deployment.Node(node).Kill()
 	time.Sleep(settleTime)
-	before := s.fabric.SentWhere(toNode)
+	before := s.fabric.SentBytesWhere(toNode)
 	s.Expect(s.deployment.StartNode(node, zoneOf(node))).To(gomega.Succeed())
 	time.Sleep(startWatchTime)
 	s.Expect(s.deployment.Node(node).Status().Live).To(gomega.HaveLen(len(s.nodes) - 1))
-	return float64(s.fabric.SentWhere(toNode) - before)
+	return float64(s.fabric.SentBytesWhere(toNode) - before)
 }
 
 // Guards against a starting node that receives the complete peer list from every node.
@@ -198,7 +198,7 @@
 			}
 		}
 		s.Expect(s.do(isolated, http.MethodGet, "/safe/", nil).status).To(gomega.Equal(http.StatusOK))
-		s.fabric.CutGroups([]string{isolated}, others)
+		s.fabric.Partition([]string{isolated}, others)
 		time.Sleep(settleTime)
 		slow := 0
 		for range 20 {
--- a/test/entry/silent_connections_test.go
+++ b/test/entry/silent_connections_test.go
@@ -38,7 +38,7 @@
 			return late
 		}
 		s.Expect(countLate("/once/")).To(gomega.BeZero(), "late requests before connections fell silent")
-		s.fabric.Silence()
+		s.fabric.DropOnOpenConnections()
 		var first sync.WaitGroup
 		for _, node := range hosts {
 			first.Go(func() { _ = s.do(node, http.MethodPost, "/once/", nil) })
@@ -54,7 +54,7 @@
 func TestConfigurationReachesNodesWithSilentStoreConnections(t *testing.T) {
 	const limit = 3 * time.Second
 	runScenario(t, func(s *scenario) {
-		s.fabric.Silence()
+		s.fabric.DropOnOpenConnections()
 		time.Sleep(100 * time.Millisecond)
 		s.configure(nil)
 		time.Sleep(limit)
--- a/test/entry/stale_configuration_outage_test.go
+++ b/test/entry/stale_configuration_outage_test.go
@@ -18,9 +18,9 @@
 		reader := s.scheduler() // which also reads the store for the others
 		time.Sleep(time.Second)
 		for _, other := range s.followers() {
-			s.fabric.Cut(other, reader) // its heartbeats arrive, and pulls from it fail
-			s.fabric.Cut("store", other)
-			s.fabric.Cut(other, "store")
+			s.fabric.BlockLink(other, reader) // its heartbeats arrive, and pulls from it fail
+			s.fabric.BlockLink("store", other)
+			s.fabric.BlockLink(other, "store")
 		}
 		s.configure(nil)
 		time.Sleep(100 * time.Millisecond)
--- a/test/entry/stale_configuration_test.go
+++ b/test/entry/stale_configuration_test.go
@@ -17,7 +17,7 @@
 		behind := s.scheduler() // which assigns requests without other nodes
 		other := s.followers()[0]
 		for _, unreachable := range append(s.followers(), "store") {
-			s.fabric.Cut(behind, unreachable) // it receives heartbeats and can't call their senders
+			s.fabric.BlockLink(behind, unreachable) // it receives heartbeats and can't call their senders
 		}
 		s.configure(nil) // arrives by the watch that is open
 		time.Sleep(50 * time.Millisecond)
--- a/test/entry/store_restore_cost_test.go
+++ b/test/entry/store_restore_cost_test.go
@@ -52,12 +52,12 @@
 				g.Expect(deployment.AwaitReady(ctx)).To(gomega.BeTrue())
 				time.Sleep(10 * time.Second)
 				measure := func() (calls int, kilobytes int64) {
-					calls, bytes := deployment.Store.Calls(), fabric.SentWhere(func(from, to string) bool { return from[0] == 'n' && to[0] == 'n' })
+					calls, bytes := deployment.Store.Calls(), fabric.SentBytesWhere(func(from, to string) bool { return from[0] == 'n' && to[0] == 'n' })
 					time.Sleep(costWindow)
-					return deployment.Store.Calls() - calls, (fabric.SentWhere(func(from, to string) bool { return from[0] == 'n' && to[0] == 'n' }) - bytes) >> 10
+					return deployment.Store.Calls() - calls, (fabric.SentBytesWhere(func(from, to string) bool { return from[0] == 'n' && to[0] == 'n' }) - bytes) >> 10
 				}
 				baselineCalls, baselineKilobytes := measure()
-				backup := deployment.Store.Copy()
+				backup := deployment.Store.Backup()
 				deployment.Store.Put("other/key", []byte("x"))
 				deployment.Store.Restore(backup)
 				calls, kilobytes := measure()
--- a/test/entry/store_restore_test.go
+++ b/test/entry/store_restore_test.go
@@ -28,7 +28,7 @@
 // restoreScenario is a scenario whose store is restored from a backup.
 type restoreScenario struct {
 	*scenario
-	backup *platformsim.StoreCopy
+	backup *platformsim.StoreBackup
 	// writes are the writes, by key, that their writers repeat after a restore.
 	writes map[string]func()
 }
@@ -42,7 +42,7 @@
 			base.addReplica(fmt.Sprint("filler", i), "fillers", 0, time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		s.backup = s.deployment.Store.Copy()
+		s.backup = s.deployment.Store.Backup()
 		s.registerRepeatedly()
 		time.Sleep(time.Second)
 		test(s)
@@ -158,7 +158,7 @@
 		t.Run(outage.String(), func(t *testing.T) {
 			runRestore(t, func(s *restoreScenario) {
 				left, drained := s.plainReplicas[0], s.addReplica("drains", "registry", 0, 20*time.Millisecond)
-				s.backup = s.deployment.Store.Copy()
+				s.backup = s.deployment.Store.Backup()
 				s.registerRepeatedly()
 				s.removeReplica(left)
 				s.write("servers/"+drained.ID, func() { drained.Register(s.deployment.Store, "draining") })
@@ -223,7 +223,7 @@
 		older := s.backup
 		first := s.startReplica("first")
 		time.Sleep(time.Second)
-		s.backup = s.deployment.Store.Copy()
+		s.backup = s.deployment.Store.Backup()
 		second, left := s.startReplica("second"), s.plainReplicas[0]
 		s.removeReplica(left)
 		time.Sleep(time.Second)
@@ -247,7 +247,7 @@
 		s.registerRepeatedly()
 		s.orderRollout("v2", nil)
 		time.Sleep(500 * time.Millisecond)
-		backup := s.deployment.Store.Copy() // contains the order and its first record
+		backup := s.deployment.Store.Backup() // contains the order and its first record
 		s.Expect(s.awaitRolloutState("completed", rolloutDuration)).To(gomega.BeTrue(), s.rolloutState())
 		for _, replica := range s.plainReplicas {
 			replica.Crash()
@@ -286,7 +286,7 @@
 // Guards against a roll-out that is forgotten when a restore loses its order and record.
 func TestRolloutMissingFromTheBackupIsWrittenAgain(t *testing.T) {
 	runRollout(t, func(s *rolloutScenario) {
-		backup := s.deployment.Store.Copy()
+		backup := s.deployment.Store.Backup()
 		s.registerRepeatedly()
 		s.orderRollout("v2", s.failOneIn(2))
 		s.Expect(s.awaitRolloutState("rolled_back", rolloutDuration)).To(gomega.BeTrue(), s.rolloutState())
@@ -306,7 +306,7 @@
 // Guards against a blocked poison request that is forgotten when a restore loses its record.
 func TestPoisonRecordMissingFromTheBackupIsWrittenAgain(t *testing.T) {
 	runCrashes(t, crashCase{route: "stream", interval: 300 * time.Millisecond}, func(s *crashScenario) {
-		backup := s.deployment.Store.Copy()
+		backup := s.deployment.Store.Backup()
 		for i := 0; len(s.crashTimes()) < crashesToBlock; i++ {
 			s.sendInBackground(hosts[i%len(hosts)], "stream", poisonPath)
 			time.Sleep(500 * time.Millisecond)
--- a/test/entry/store_test.go
+++ b/test/entry/store_test.go
@@ -27,8 +27,8 @@
 // some of their peers are behind as well.
 func TestNodesRefusedByTheStoreReceiveADrainFromPeers(t *testing.T) {
 	runScenario(t, func(s *scenario) {
-		s.deployment.Store.Refuse("n1", true)
-		s.deployment.Store.Refuse("n2", true)
+		s.deployment.Store.SetRejected("n1", true)
+		s.deployment.Store.SetRejected("n2", true)
 		s.breakWatches()
 		time.Sleep(time.Second)
 		s.plainReplicas[0].Register(s.deployment.Store, "draining")
@@ -45,7 +45,7 @@
 func TestOtherNodesWatchTheStoreWhenItIsUnreachableForTheWatchers(t *testing.T) {
 	runScenario(t, func(s *scenario) {
 		for _, node := range s.followers() {
-			s.fabric.CutGroups([]string{"store"}, []string{node})
+			s.fabric.Partition([]string{"store"}, []string{node})
 		}
 		time.Sleep(100 * time.Millisecond)
 		s.plainReplicas[0].Register(s.deployment.Store, "draining")
@@ -62,7 +62,7 @@
 func TestNodeSendsNothingToAReplicaThatItKnowsIsDraining(t *testing.T) {
 	runScenario(t, func(s *scenario) {
 		scheduler := s.scheduler()
-		s.deployment.Store.Refuse(scheduler, true)
+		s.deployment.Store.SetRejected(scheduler, true)
 		s.breakWatches()
 		time.Sleep(time.Second)
 		s.plainReplicas[0].Register(s.deployment.Store, "draining")
@@ -95,7 +95,7 @@
 // Guards against a hanging watch that delays the retry of reads that timed out.
 func TestNodeReadsTheStoreWhileItsWatchHangs(t *testing.T) {
 	runScenario(t, func(s *scenario) {
-		s.fabric.CutGroups([]string{"n1"}, []string{"n2", "n3"})
+		s.fabric.Partition([]string{"n1"}, []string{"n2", "n3"})
 		s.deployment.Store.SetSilent(true)
 		s.deployment.Store.SetDelay(20 * time.Second)
 		time.Sleep(3 * time.Second)
--- a/test/entry/storecalls_test.go
+++ b/test/entry/storecalls_test.go
@@ -71,7 +71,7 @@
 func TestPartitionedNodeReadsTheStore(t *testing.T) {
 	runRelays(t, func(s *relayScenario) {
 		isolated := s.nodes[relayNodes-1]
-		s.fabric.CutGroups([]string{isolated}, s.nodes[:relayNodes-1])
+		s.fabric.Partition([]string{isolated}, s.nodes[:relayNodes-1])
 		time.Sleep(time.Second)
 		s.configure(nil)
 		time.Sleep(updateLimit)
--- a/test/entry/suspended_test.go
+++ b/test/entry/suspended_test.go
@@ -84,7 +84,7 @@
 		suspensions := s.loggedEvents("process.paused")
 		s.Expect(suspensions).To(gomega.HaveLen(1), "detected once")
 		s.Expect(suspensions[0].Node).To(gomega.Equal(scheduler))
-		s.Expect(suspensions[0].Age).To(gomega.BeNumerically(">=", suspensionTime.Milliseconds()))
+		s.Expect(suspensions[0].AgeMS).To(gomega.BeNumerically(">=", suspensionTime.Milliseconds()))
 		for i := range 6 {
 			s.Expect(s.do(hosts[i%3], http.MethodGet, "/safe/", nil).status).To(gomega.Equal(200))
 		}
@@ -126,7 +126,7 @@
 				others = append(others, host)
 			}
 		}
-		s.fabric.CutGroups([]string{node}, append(others, "store"))
+		s.fabric.Partition([]string{node}, append(others, "store"))
 		s.configure(func(configuration *entrylab.Configuration) { configuration.Routes = configuration.Routes[:2] })
 		s.deployment.Store.Delete("servers/" + s.plainReplicas[0].ID)
 		c.suspend(node)
--- a/test/faultmatrix/faults_test.go
+++ b/test/faultmatrix/faults_test.go
@@ -76,18 +76,18 @@
 			if len(paths) == 0 {
 				return kind
 			}
-			return standin.StoreWorks
+			return standin.NoStoreFault
 		})
 	}
 }
 
 // misbehave returns a fault that makes all engines and services misbehave.
-func misbehave(kind standin.Misbehavior) func(*cellRun) {
+func misbehave(kind standin.Fault) func(*cellRun) {
 	return func(run *cellRun) {
 		run.mutex.Lock()
 		run.backendsMisbehave = true
 		run.mutex.Unlock()
-		always := func(string) standin.Misbehavior { return kind }
+		always := func(string) standin.Fault { return kind }
 		for _, engine := range run.cluster.Engines {
 			engine.SetMisbehavior(always)
 		}
@@ -126,7 +126,7 @@
 	run.mutex.Lock()
 	run.history.Departures = append(run.history.Departures, checker.Departure{Replica: engine.ID, At: time.Now()})
 	run.mutex.Unlock()
-	run.cluster.LeaveBackend(engine.ID)
+	run.cluster.MarkBackendLeaving(engine.ID)
 }
 
 // sendBurst sends 80 requests at once to the victim's neighbour.
@@ -157,19 +157,19 @@
 var faults = []fault{
 	{"process killed", killVictim},
 	{"process paused past its leases", pauseVictim},
-	{"peer links cut", func(run *cellRun) { run.fabric.CutGroups([]string{run.victim}, peersOf(run.victim)) }},
+	{"peer links cut", func(run *cellRun) { run.fabric.Partition([]string{run.victim}, peersOf(run.victim)) }},
 	{"peer links cut, victim to peers only", func(run *cellRun) {
 		for _, other := range peersOf(run.victim) {
-			run.fabric.Cut(run.victim, other)
+			run.fabric.BlockLink(run.victim, other)
 		}
 	}},
 	{"peer links cut, peers to victim only", func(run *cellRun) {
 		for _, other := range peersOf(run.victim) {
-			run.fabric.Cut(other, run.victim)
+			run.fabric.BlockLink(other, run.victim)
 		}
 	}},
-	{"zone cut from zone", func(run *cellRun) { run.fabric.CutGroups(zoneNodes(victimZone), zoneNodes(otherZone)) }},
-	{"zone cut from platform", func(run *cellRun) { run.fabric.CutGroups(zoneNodes(victimZone), platformHosts) }},
+	{"zone cut from zone", func(run *cellRun) { run.fabric.Partition(zoneNodes(victimZone), zoneNodes(otherZone)) }},
+	{"zone cut from platform", func(run *cellRun) { run.fabric.Partition(zoneNodes(victimZone), platformHosts) }},
 	{"store down", storeFault(standin.StoreRefuses)},
 	{"store hangs", storeFault(standin.StoreHangs)},
 	{"store loses answers", storeFault(standin.StoreLosesAnswer)},
@@ -179,7 +179,7 @@
 	{"engine slow", func(run *cellRun) { run.cluster.Engines[0].SetSlowdown(10) }},
 	{"engine killed", func(run *cellRun) { run.cluster.KillBackend(run.cluster.Engines[0].ID) }},
 	{"back ends die before the first byte of the answer", misbehave(standin.DiesBeforeAnswer)},
-	{"back ends forget requests", misbehave(standin.ForgetsRequest)},
+	{"back ends forget requests", misbehave(standin.DropsRequest)},
 	{"back ends die mid-answer", misbehave(standin.DiesMidAnswer)},
 	{"back ends answer late", misbehave(standin.AnswersLate)},
 	{"engines answer out of order", misbehave(standin.AnswersOutOfOrder)},
--- a/test/faultmatrix/harness_test.go
+++ b/test/faultmatrix/harness_test.go
@@ -159,7 +159,7 @@
 	if c.path != pathOrder {
 		return victimZone + "-n0"
 	}
-	return rendezvous.Top(zoneNodes(victimZone), rendezvous.Key("placement/ezik-servers"), 1)[0]
+	return rendezvous.Top(zoneNodes(victimZone), rendezvous.Hash("placement/ezik-servers"), 1)[0]
 }
 
 func (run *cellRun) startCluster(change adjustOptions) error {
