--- a/test/faultmatrix/variants_test.go
+++ b/test/faultmatrix/variants_test.go
@@ -103,7 +103,7 @@
 	for _, f := range faultsNamed(changeFaults...) {
 		c := cell{path: pathOrder, point: faultpoint.OrderSend, faults: []fault{f}, faultDuration: 15 * time.Second, finalWait: 20 * time.Second}
 		ginkgo.It(c.name(), func() {
-			gomega.Expect(runCell(suite, c, func(o *cluster.Options) { o.FencelessZones = true })).To(gomega.BeEmpty())
+			gomega.Expect(runCell(suite, c, func(o *cluster.Options) { o.EnginesIgnoreFences = true })).To(gomega.BeEmpty())
 		})
 	}
 })
--- a/transport/peer/interrupted_write_test.go
+++ b/transport/peer/interrupted_write_test.go
@@ -31,8 +31,8 @@
 			_, _, err := peerwire.ReadFrame(far)
 			received <- err
 		}()
-		g.Expect(writer.write(ctx, &peerwire.Envelope{Call: 1, Kind: peerwire.KindPlace})).NotTo(gomega.Succeed())
-		_ = writer.write(context.Background(), &peerwire.Envelope{Call: 2, Kind: peerwire.KindPlace})
+		g.Expect(writer.write(ctx, &peerwire.Envelope{Call: 1, Kind: peerwire.KindAssign})).NotTo(gomega.Succeed())
+		_ = writer.write(context.Background(), &peerwire.Envelope{Call: 2, Kind: peerwire.KindAssign})
 		err := <-received
 		g.Expect(errors.Is(err, errkind.BadFrame)).To(gomega.BeFalse(), "%v", err)
 		g.Expect(err).To(gomega.MatchError(io.EOF))
@@ -47,13 +47,13 @@
 		writer := newConnectionWriter(near, nil)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		g.Expect(writer.write(ctx, &peerwire.Envelope{Call: 1, Kind: peerwire.KindPlace})).NotTo(gomega.Succeed())
+		g.Expect(writer.write(ctx, &peerwire.Envelope{Call: 1, Kind: peerwire.KindAssign})).NotTo(gomega.Succeed())
 		received := make(chan *peerwire.Envelope, 1)
 		go func() {
 			envelope, _, _ := peerwire.ReadFrame(far)
 			received <- envelope
 		}()
-		g.Expect(writer.write(context.Background(), &peerwire.Envelope{Call: 2, Kind: peerwire.KindPlace})).To(gomega.Succeed())
+		g.Expect(writer.write(context.Background(), &peerwire.Envelope{Call: 2, Kind: peerwire.KindAssign})).To(gomega.Succeed())
 		g.Expect((<-received).Call).To(gomega.Equal(uint64(2)))
 	})
 }
