--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -219,7 +219,7 @@
 func (s *Scheduler) Submit(now structs.Instant, request Request) {
 	pool := s.pool(request.Service)
 	queued := &queuedRequest{Request: request, submittedAt: now, lengths: pool.lengthsOf(request.Route)}
-	queued.band = queued.lengths.record(request.Answer)
+	queued.band = queued.lengths.record(request.AnswerTokens)
 	queued.suspects = s.shareSuspects(&queued.Request)
 	s.queued[request.ID] = queued
 	pool.queue = append(pool.queue, queued)
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -24,7 +24,7 @@
 }
 
 func newRequest(id string, priority int) Request {
-	return Request{ID: id, Node: "n", Service: "s", Priority: priority, Target: time.Second, Patience: 2 * time.Second, Deadline: 5 * time.Second, Returned: true}
+	return Request{ID: id, Node: "n", Service: "s", Priority: priority, Target: time.Second, Patience: 2 * time.Second, Deadline: 5 * time.Second, WasRejected: true}
 }
 
 // assignedIDs returns the IDs of the requests that the decisions assign.
@@ -46,7 +46,7 @@
 	s.Submit(0, newRequest("running", 0))
 	g.Expect(assignedIDs(s.Decide(0))).To(gomega.Equal([]string{"running"}))
 	long, short := newRequest("long", 1), newRequest("short", 1)
-	long.Answer, short.Answer = 100, 10
+	long.AnswerTokens, short.AnswerTokens = 100, 10
 	s.Submit(1*ms, newRequest("low", 2))
 	s.Submit(2*ms, long)
 	s.Submit(3*ms, short)
@@ -101,7 +101,7 @@
 		s.Submit(0, newRequest(fmt.Sprint("ahead", i), 0))
 	}
 	fresh := newRequest("fresh", 1)
-	fresh.Returned = false
+	fresh.WasRejected = false
 	s.Submit(0, fresh)
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
 	rejectAfter := time.Duration(float64(fresh.Target) * backlogRejectShare)
@@ -130,7 +130,7 @@
 	setStepTime("r0", 20*ms)
 	setStepTime("r1", 4*ms)
 	long := newRequest("long", 0)
-	long.Answer = 1000
+	long.AnswerTokens = 1000
 	s.Submit(0, long)
 	decisions := s.Decide(0)
 	g.Expect(decisions).To(gomega.HaveLen(1))
@@ -138,7 +138,7 @@
 	long.ID = "second"
 	s.Submit(0, long)
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
-	long.ID, long.Answer = "too-long", 5000
+	long.ID, long.AnswerTokens = "too-long", 5000
 	s.Submit(0, long)
 	g.Expect(s.Decide(0)[0].Reason).To(gomega.Equal(ReasonDeadline))
 }
@@ -196,7 +196,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0, 1:
 				submitted := newRequest(fmt.Sprint(step), rapid.IntRange(0, 2).Draw(t, "priority"))
-				submitted.Returned = rapid.Bool().Draw(t, "returned")
+				submitted.WasRejected = rapid.Bool().Draw(t, "returned")
 				s.Submit(now, submitted)
 				queuedPriority[submitted.ID] = submitted.Priority
 			case 2:
@@ -259,7 +259,7 @@
 	s.Submit(firstEventTimeout+ms, newRequest("next", 0))
 	g.Expect(s.Decide(firstEventTimeout + ms)[0].Replica.ID).NotTo(gomega.Equal("r0"))
 	for i := range 4 {
-		s.Finish(firstEventTimeout+2*ms, fmt.Sprint("silent", i), Observation{Left: true})
+		s.Finish(firstEventTimeout+2*ms, fmt.Sprint("silent", i), Observation{CallerLeft: true})
 	}
 	g.Expect(s.replicaState("r0").health.requestsSinceQuarantine).To(gomega.BeNumerically("<", minProbes))
 }
--- a/coordination/admission/assignments.go
+++ b/coordination/admission/assignments.go
@@ -44,10 +44,10 @@
 	}
 	ended := Completion{Fingerprint: assignment.fingerprint, Service: assignment.service, Route: assignment.route, Replica: assignment.replicaID, Version: assignment.version, Prompt: assignment.promptTokens, AssignedAt: assignment.assignedAt}
 	s.removeAssignment(id)
-	if !seen.Left && !assignment.late {
+	if !seen.CallerLeft && !assignment.late {
 		s.recordOutcome(now, assignment.service, assignment.replicaID, seen.Failed)
 	}
-	if seen.Failed || seen.Left || seen.Duration <= 0 {
+	if seen.Failed || seen.CallerLeft || seen.Duration <= 0 {
 		return ended, true
 	}
 	pool := s.pool(assignment.service)
@@ -59,7 +59,7 @@
 // Observe learns the replica's speed from a request that another scheduler assigned, so that this one
 // knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
 func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, seen Observation) {
-	if seen.Failed || seen.Left || seen.Duration <= 0 {
+	if seen.Failed || seen.CallerLeft || seen.Duration <= 0 {
 		return
 	}
 	pool := s.pool(service)
@@ -76,7 +76,7 @@
 	step := seen.Duration
 	switch {
 	case seen.Events > 1:
-		step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1) / time.Duration(max(seen.Stride, 1))
+		step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1) / time.Duration(max(seen.TokensPerEvent, 1))
 	case seen.Events == 1:
 		return
 	}
--- a/coordination/admission/canary.go
+++ b/coordination/admission/canary.go
@@ -86,7 +86,7 @@
 		if pauses.isPaused(now, canary.state.entry.ID) {
 			continue
 		}
-		if canary.inFlight < canary.maxInFlight && !canary.isUnhealthy && !slices.Contains(request.Doubted, canary.state.entry.ID) && canary.canFinish(request.Answer, remaining) {
+		if canary.inFlight < canary.maxInFlight && !canary.isUnhealthy && !slices.Contains(request.Doubted, canary.state.entry.ID) && canary.canFinish(request.AnswerTokens, remaining) {
 			pool.canaryBudget.Consume(request.Route)
 			return canary
 		}
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -124,7 +124,7 @@
 		return decision, decision.Waited >= request.Patience
 	}
 	remaining := request.Deadline - decision.Waited
-	if request.Answer > 0 && !snapshot.canAnyFinish(request.Answer, remaining) {
+	if request.AnswerTokens > 0 && !snapshot.canAnyFinish(request.AnswerTokens, remaining) {
 		decision.Reason, decision.RetryAfter = ReasonDeadline, maxRetryAfter
 		return decision, true
 	}
@@ -140,7 +140,7 @@
 		return decision, true
 	}
 	late := decision.Waited+expectedWait > time.Duration(float64(request.Target)*maxStartShare)
-	if !request.Returned && late && decision.Waited >= time.Duration(float64(request.Target)*backlogRejectShare) || queuedAhead > maxQueueLength {
+	if !request.WasRejected && late && decision.Waited >= time.Duration(float64(request.Target)*backlogRejectShare) || queuedAhead > maxQueueLength {
 		decision.Reason = ReasonBacklog
 		return decision, true
 	}
@@ -157,14 +157,14 @@
 // reports whether this is the trial of a blocked request.
 func (s *Scheduler) recordAssignment(now structs.Instant, request *queuedRequest, replica *replicaSnapshot) bool {
 	replica.inFlight++
-	replica.unreadTokens += request.Prompt
-	state, _ := s.poisonTracker.State(now, request.Content)
+	replica.unreadTokens += request.PromptTokens
+	state, _ := s.poisonTracker.State(now, request.Fingerprint)
 	if state == poison.OnTrial {
-		s.poisonTracker.RecordTrial(now, request.Content)
+		s.poisonTracker.RecordTrial(now, request.Fingerprint)
 	}
 	s.addAssignment(request.ID, &assignment{
-		fingerprint: request.Content, node: request.Node, service: request.Service, route: request.Route, replicaID: replica.state.entry.ID, startedAt: replica.state.entry.StartedAt, version: replica.state.entry.Version,
-		promptTokens: request.Prompt, assignedAt: now, isCold: replica.isCold,
+		fingerprint: request.Fingerprint, node: request.Node, service: request.Service, route: request.Route, replicaID: replica.state.entry.ID, startedAt: replica.state.entry.StartedAt, version: replica.state.entry.Version,
+		promptTokens: request.PromptTokens, assignedAt: now, isCold: replica.isCold,
 	})
 	if replica.isCold {
 		replica.state.warmUp.bucket.consume()
@@ -193,7 +193,7 @@
 	if view.freeSlots <= 0 && view.preferredReplicas > 0 && len(request.Tried) == 0 {
 		return nil
 	}
-	if request.Yields && float64(snapshot.freeSlots) <= reservedSlotShare*float64(snapshot.totalSlots) && request.Prompt > 0 {
+	if request.Yields && float64(snapshot.freeSlots) <= reservedSlotShare*float64(snapshot.totalSlots) && request.PromptTokens > 0 {
 		return nil
 	}
 	waited := now - request.submittedAt
@@ -205,13 +205,13 @@
 	var best *replicaSnapshot
 	var bestCost float64
 	for _, replica := range eligible {
-		if replica.inFlight >= replica.maxInFlight || anyPreferred && !snapshot.isPreferred(view, replica) || !replica.canFinish(request.Answer, remaining) {
+		if replica.inFlight >= replica.maxInFlight || anyPreferred && !snapshot.isPreferred(view, replica) || !replica.canFinish(request.AnswerTokens, remaining) {
 			continue
 		}
 		if canMeetTarget && replica.wouldMissTarget(&request.Request, waited, replica.unreadTokens) {
 			continue
 		}
-		cost := replica.cost(request.Prompt)
+		cost := replica.cost(request.PromptTokens)
 		cost *= s.localityFactor(request.Zone, replica.state.entry.Zone)
 		if replica.wouldDelayStreams(&request.Request) {
 			if protectStreams {
--- a/coordination/admission/decide_bench_test.go
+++ b/coordination/admission/decide_bench_test.go
@@ -30,7 +30,7 @@
 			prompt := 500 * (event%4 + 1)
 			s.ObserveExternal(0, "s", replica.ID, prompt, Observation{
 				FirstEvent: 60*time.Millisecond + time.Duration(prompt)*30*time.Microsecond,
-				Duration:   time.Second, Events: 20, Stride: 6,
+				Duration:   time.Second, Events: 20, TokensPerEvent: 6,
 			})
 		}
 		occupied := slots - s.replicaState(replica.ID).external
@@ -47,8 +47,8 @@
 
 func benchmarkRequest(id, priority int) Request {
 	return Request{
-		ID: fmt.Sprint("w", id), Node: "n", Service: "s", Zone: "c", Priority: priority, Prompt: 1000 + id%7*300, Answer: 100, Stride: 6,
-		Pause: 600 * time.Millisecond, Target: time.Second, Patience: 2 * time.Second, Deadline: 6 * time.Second, Returned: true,
+		ID: fmt.Sprint("w", id), Node: "n", Service: "s", Zone: "c", Priority: priority, PromptTokens: 1000 + id%7*300, AnswerTokens: 100, TokensPerEvent: 6,
+		MaxEventGap: 600 * time.Millisecond, Target: time.Second, Patience: 2 * time.Second, Deadline: 6 * time.Second, WasRejected: true,
 	}
 }
 
@@ -69,7 +69,7 @@
 				request := benchmarkRequest(i, 0)
 				s.Submit(now, request)
 				s.Decide(now)
-				s.Finish(now, request.ID, Observation{Left: true})
+				s.Finish(now, request.ID, Observation{CallerLeft: true})
 				s.Cancel(request.ID)
 			}
 		})
--- a/coordination/admission/messages.go
+++ b/coordination/admission/messages.go
@@ -21,14 +21,14 @@
 	Zone string
 	// Priority orders requests; lower values go first.
 	Priority int
-	// Prompt is the number of prompt tokens and Answer the expected number of answer tokens. Both are
-	// zero for plain services.
-	Prompt int
-	Answer int
-	// Stride is the number of tokens in one event of the answer, and Pause the longest time between two
-	// events at which the answer is still in time; zero means no limit.
-	Stride int
-	Pause  time.Duration
+	// PromptTokens is the number of prompt tokens and AnswerTokens the expected number of answer tokens.
+	// Both are zero for plain services.
+	PromptTokens int `msgpack:"Prompt"`
+	AnswerTokens int `msgpack:"Answer"`
+	// TokensPerEvent is the number of tokens in one event of the answer, and MaxEventGap the longest time
+	// between two events at which the answer is still in time; zero means no limit.
+	TokensPerEvent int           `msgpack:"Stride"`
+	MaxEventGap    time.Duration `msgpack:"Pause"`
 	// Yields is true if the request leaves some slots free for more urgent ones.
 	Yields bool
 	// Deadline is the time left until the answer is of no use.
@@ -37,10 +37,10 @@
 	Target time.Duration
 	// Patience is the longest time to wait for a replica.
 	Patience time.Duration
-	// Returned is true if the request was rejected before and sent again.
-	Returned bool
-	// Content is the fingerprint, which is equal for requests with the same content.
-	Content fingerprint.Fingerprint
+	// WasRejected is true if the request was rejected before and sent again.
+	WasRejected bool `msgpack:"Returned"`
+	// Fingerprint is equal for requests with the same content.
+	Fingerprint fingerprint.Fingerprint `msgpack:"Content"`
 	// Tried holds the replicas that were tried before. They are not chosen again.
 	Tried []string
 	// Doubted holds the replicas that the node suspects. They are chosen only if there are no others.
@@ -96,8 +96,8 @@
 	RetryAfter time.Duration
 	// Waited is the time in the queue.
 	Waited time.Duration
-	// QueuedAhead is the number of requests before it, Free the number of free slots of healthy replicas
-	// and Expected the expected wait, all at the time of the decision.
+	// QueuedAhead is the number of requests before it, FreeSlots the number of free slots of healthy
+	// replicas and ExpectedWait the expected wait, all at the time of the decision.
 	QueuedAhead, FreeSlots int
 	ExpectedWait           time.Duration
 }
@@ -108,11 +108,11 @@
 	// end; zero if there was none.
 	FirstEvent time.Duration
 	Duration   time.Duration
-	// Events is the number of events of a stream, and Stride the number of tokens in one.
-	Events int
-	Stride int
-	// Left is true if the caller gave up, which doesn't count for or against the replica.
-	Left bool
+	// Events is the number of events of a stream, and TokensPerEvent the number of tokens in one.
+	Events         int
+	TokensPerEvent int `msgpack:"Stride"`
+	// CallerLeft is true if the caller gave up, which doesn't count for or against the replica.
+	CallerLeft bool `msgpack:"Left"`
 	// Failed is true if the replica failed, broke off the answer or did not answer.
 	Failed bool
 	// Whole is true if the replica sent a complete answer, even one that reports a failure.
--- a/coordination/admission/pauses.go
+++ b/coordination/admission/pauses.go
@@ -21,7 +21,7 @@
 	delete(s.pauses, key)
 	for _, report := range reports {
 		if report.Pause > 0 {
-			s.setPause(key, report.Life.Replica, now+report.Pause)
+			s.setPause(key, report.Incarnation.Replica, now+report.Pause)
 		}
 	}
 }
--- a/coordination/admission/pauses_test.go
+++ b/coordination/admission/pauses_test.go
@@ -12,7 +12,7 @@
 
 // pauseReport returns a report of a replica that asked a node to pause.
 func pauseReport(replicaID string, remaining time.Duration) []pushback.Report {
-	return []pushback.Report{{Life: pushback.Incarnation{Replica: replicaID}, Pause: remaining}}
+	return []pushback.Report{{Incarnation: pushback.Incarnation{Replica: replicaID}, Pause: remaining}}
 }
 
 // requestFrom returns a request of the node.
@@ -61,9 +61,9 @@
 	s.Submit(0, requestFrom("a", "queued"))
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty())
 	s.ApplyPushback(0, "first", pushback.Signals{Pause: 3 * time.Second})
-	s.Finish(0, "first", Observation{Left: true})
+	s.Finish(0, "first", Observation{CallerLeft: true})
 	g.Expect(s.Decide(0)).To(gomega.BeEmpty(), "the free replica has asked its node to pause")
-	s.Finish(0, "second", Observation{Left: true})
+	s.Finish(0, "second", Observation{CallerLeft: true})
 	g.Expect(replicaByRequest(s.Decide(0))).To(gomega.HaveKeyWithValue("queued", assigned["second"]))
 }
 
--- a/coordination/admission/poison.go
+++ b/coordination/admission/poison.go
@@ -15,12 +15,12 @@
 // it returns false, a reason in the decision means that the request stays queued until the same
 // request that is running has ended, and no reason means that it may be assigned.
 func (s *Scheduler) decidePoison(now structs.Instant, request *queuedRequest) (Decision, bool) {
-	state, retryAfter := s.poisonTracker.State(now, request.Content)
+	state, retryAfter := s.poisonTracker.State(now, request.Fingerprint)
 	if state == poison.Clear {
 		return Decision{}, false
 	}
 	decision := Decision{ID: request.ID, Waited: now - request.submittedAt, RetryAfter: max(retryAfter, minRetryAfter)}
-	isRunning := s.assignmentCounts[request.Content] > 0
+	isRunning := s.assignmentCounts[request.Fingerprint] > 0
 	switch {
 	case state == poison.Blocked, state == poison.OnTrial && isRunning:
 		decision.Reason = ReasonBlocked
--- a/coordination/admission/prefill.go
+++ b/coordination/admission/prefill.go
@@ -61,10 +61,10 @@
 // expected too late if the replica has that many unread tokens before it. It returns false if the
 // prefill time is unknown.
 func (r *replicaSnapshot) wouldMissTarget(request *Request, waited time.Duration, unreadTokens int) bool {
-	if request.Prompt == 0 || r.prefillTimePerToken == 0 {
+	if request.PromptTokens == 0 || r.prefillTimePerToken == 0 {
 		return false
 	}
-	firstEvent := r.prefillFixedTime + time.Duration(unreadTokens+request.Prompt)*r.prefillTimePerToken
+	firstEvent := r.prefillFixedTime + time.Duration(unreadTokens+request.PromptTokens)*r.prefillTimePerToken
 	return waited+firstEvent > time.Duration(float64(request.Target)*maxFirstEventShare)
 }
 
@@ -78,8 +78,8 @@
 // wouldDelayStreams reports whether the request's prompt is expected to delay the streams at the
 // replica too long, judged by the request's own stride and longest allowed pause.
 func (r *replicaSnapshot) wouldDelayStreams(request *Request) bool {
-	if request.Pause <= 0 || r.inFlight == 0 {
+	if request.MaxEventGap <= 0 || r.inFlight == 0 {
 		return false
 	}
-	return r.streamPause(request.Prompt, max(request.Stride, 1)) > time.Duration(float64(request.Pause)*maxPauseShare)
+	return r.streamPause(request.PromptTokens, max(request.TokensPerEvent, 1)) > time.Duration(float64(request.MaxEventGap)*maxPauseShare)
 }
--- a/coordination/admission/prefill_test.go
+++ b/coordination/admission/prefill_test.go
@@ -20,7 +20,7 @@
 // promptRequest returns a streaming request with a prompt.
 func promptRequest(id string, promptTokens int) Request {
 	request := newRequest(id, 0)
-	request.Prompt, request.Answer, request.Stride, request.Pause = promptTokens, 50, 3, 300*ms
+	request.PromptTokens, request.AnswerTokens, request.TokensPerEvent, request.MaxEventGap = promptTokens, 50, 3, 300*ms
 	return request
 }
 
@@ -82,13 +82,13 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, replicasWithSlots(4, 4))
-	s.ObserveExternal(0, "s", "r0", 100, Observation{FirstEvent: 100 * ms, Duration: 1100 * ms, Events: 11, Stride: 1})
-	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r0", 100, Observation{FirstEvent: 100 * ms, Duration: 1100 * ms, Events: 11, TokensPerEvent: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, TokensPerEvent: 1})
 	s.Submit(0, promptRequest("a", 1000))
 	decisions := s.Decide(0)
 	g.Expect(decisions).To(gomega.HaveLen(1))
 	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r1"))
-	s.ObserveExternal(0, "s", "r1", 100, Observation{Failed: true, Duration: time.Second, Events: 2, Stride: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{Failed: true, Duration: time.Second, Events: 2, TokensPerEvent: 1})
 	g.Expect(s.replicaState("r1").speed.stepTime).To(gomega.Equal(20*ms), "a failed request does not change the speed")
 }
 
@@ -99,8 +99,8 @@
 	s.SetReplicas(0, replicasWithSlots(2, 4, 2))
 	s.Submit(0, promptRequest("first", 100))
 	g.Expect(s.Decide(0)[0].Replica.ID).To(gomega.Equal("r0"))
-	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, Stride: 1})
-	s.ObserveExternal(0, "s", "r2", 100, Observation{FirstEvent: 90 * ms, Duration: 990 * ms, Events: 11, Stride: 1})
+	s.ObserveExternal(0, "s", "r1", 100, Observation{FirstEvent: 20 * ms, Duration: 220 * ms, Events: 11, TokensPerEvent: 1})
+	s.ObserveExternal(0, "s", "r2", 100, Observation{FirstEvent: 90 * ms, Duration: 990 * ms, Events: 11, TokensPerEvent: 1})
 	var order []string
 	for i := range 6 {
 		s.Submit(ms, promptRequest(fmt.Sprint(i), 100))
@@ -128,7 +128,7 @@
 	decisions := s.Decide(0)
 	g.Expect(assignedIDs(decisions)).To(gomega.Equal([]string{"short"}), "a short prompt is assigned to the slow replica at once")
 	g.Expect(assignedIDs(s.Decide(300 * ms))).To(gomega.BeEmpty())
-	s.Finish(400*ms, "running", Observation{Duration: 400 * ms, Events: 2, Stride: 1, FirstEvent: 10 * ms})
+	s.Finish(400*ms, "running", Observation{Duration: 400 * ms, Events: 2, TokensPerEvent: 1, FirstEvent: 10 * ms})
 	decisions = s.Decide(400 * ms)
 	g.Expect(assignedIDs(decisions)).To(gomega.Equal([]string{"long"}))
 	g.Expect(decisions[0].Replica.ID).To(gomega.Equal("r0"))
--- a/coordination/admission/rate_limit.go
+++ b/coordination/admission/rate_limit.go
@@ -58,8 +58,8 @@
 // ApplyPushbackReport applies the pushback that a node reports of a replica. It ignores reports of
 // incarnations that are not listed; nodes repeat their reports.
 func (s *Scheduler) ApplyPushbackReport(now structs.Instant, report pushback.Report) {
-	state, found := s.replicaStates[report.Life.Replica]
-	if !found || !state.listed || pushback.IncarnationOf(state.entry) != report.Life {
+	state, found := s.replicaStates[report.Incarnation.Replica]
+	if !found || !state.listed || pushback.IncarnationOf(state.entry) != report.Incarnation {
 		return
 	}
 	state.leaving = state.leaving || report.Leaving
--- a/coordination/admission/rate_limit_test.go
+++ b/coordination/admission/rate_limit_test.go
@@ -21,7 +21,7 @@
 	s := New()
 	s.SetReplicas(now, coldPool(1, 0))
 	s.SetFollowerShare(now, 1)
-	s.ApplyPushbackReport(now, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(perSecond)})
+	s.ApplyPushbackReport(now, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(perSecond)})
 	return s
 }
 
@@ -74,7 +74,7 @@
 // firstRequest returns a request that was not rejected before.
 func firstRequest(id string, priority int) Request {
 	r := newRequest(id, priority)
-	r.Returned = false
+	r.WasRejected = false
 	return r
 }
 
@@ -86,12 +86,12 @@
 	s.SetFollowerShare(0, 1)
 	s.Submit(time.Second, newRequest("before", 0))
 	g.Expect(assignedIDs(s.Decide(time.Second))).To(gomega.ConsistOf("before"))
-	s.ApplyPushbackReport(2*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(1), Age: 100 * ms})
+	s.ApplyPushbackReport(2*time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(1), Age: 100 * ms})
 	s.ApplyPushback(3*time.Second, "before", pushback.Signals{Limit: pushback.Limit{State: pushback.LimitNone}})
 	g.Expect(submitAndAssign(s, 3*time.Second, 5)).To(gomega.BeZero(), "the limit is still set")
-	s.ApplyPushbackReport(5*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: pushback.Limit{State: pushback.LimitNone}, Age: time.Second})
+	s.ApplyPushbackReport(5*time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Limit: pushback.Limit{State: pushback.LimitNone}, Age: time.Second})
 	g.Expect(s.replicaStates["r0"].limit.known.IsSet()).To(gomega.BeFalse())
-	s.ApplyPushbackReport(6*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(1), Age: 4 * time.Second})
+	s.ApplyPushbackReport(6*time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Limit: newLimit(1), Age: 4 * time.Second})
 	g.Expect(s.replicaStates["r0"].limit.known.IsSet()).To(gomega.BeFalse(), "the report is older than the end of the limit")
 }
 
@@ -103,7 +103,7 @@
 	restarted[0].StartedAt, restarted[0].Position = 7, 9
 	s.SetReplicas(time.Second, restarted)
 	g.Expect(s.replicaStates["r0"].limit.known.IsSet()).To(gomega.BeFalse())
-	s.ApplyPushbackReport(time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "elsewhere"}, Limit: newLimit(1)})
+	s.ApplyPushbackReport(time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "elsewhere"}, Limit: newLimit(1)})
 	g.Expect(s.replicaStates).NotTo(gomega.HaveKey("elsewhere"))
 }
 
@@ -274,14 +274,14 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.SetReplicas(0, coldPool(2, 0))
-	s.ApplyPushbackReport(0, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Leaving: true})
-	s.ApplyPushbackReport(time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}})
+	s.ApplyPushbackReport(0, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Leaving: true})
+	s.ApplyPushbackReport(time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}})
 	g.Expect(submitAndAssign(s, time.Second, 20)).To(gomega.Equal(20))
 	g.Expect(s.replicaStates["r0"].assigned).To(gomega.BeZero())
 	restarted := coldPool(2, 0)
 	restarted[0].StartedAt, restarted[0].Position = 7, 9
 	s.SetReplicas(2*time.Second, restarted)
-	s.ApplyPushbackReport(2*time.Second, pushback.Report{Life: pushback.Incarnation{Replica: "r0"}, Leaving: true}) // of the previous incarnation
+	s.ApplyPushbackReport(2*time.Second, pushback.Report{Incarnation: pushback.Incarnation{Replica: "r0"}, Leaving: true}) // of the previous incarnation
 	submitAndAssign(s, 2*time.Second, 20)
 	g.Expect(s.replicaStates["r0"].assigned).NotTo(gomega.BeZero())
 }
--- a/coordination/admission/response_lengths.go
+++ b/coordination/admission/response_lengths.go
@@ -103,5 +103,5 @@
 	if r.lengths.isUnderserved(r.band) {
 		return 0
 	}
-	return r.Answer
+	return r.AnswerTokens
 }
--- a/coordination/admission/response_lengths_test.go
+++ b/coordination/admission/response_lengths_test.go
@@ -39,12 +39,12 @@
 	for now := structs.Instant(0); now < span; now += 2 * ms {
 		for ; next <= now; next += gap {
 			request := newRequest(fmt.Sprint("q", next), 2)
-			request.Answer, request.Returned, request.Deadline = shortAnswer, false, 15*time.Second
+			request.AnswerTokens, request.WasRejected, request.Deadline = shortAnswer, false, 15*time.Second
 			if random.IntN(10) == 0 {
-				request.Answer = longAnswer
+				request.AnswerTokens = longAnswer
 			}
-			answers[request.ID] = request.Answer
-			submitted[request.Answer]++
+			answers[request.ID] = request.AnswerTokens
+			submitted[request.AnswerTokens]++
 			s.Submit(now, request)
 		}
 		var unfinished []runningRequest
@@ -53,7 +53,7 @@
 				unfinished = append(unfinished, running)
 				continue
 			}
-			s.Finish(now, running.id, Observation{Duration: time.Duration(running.answer) * step, Events: running.answer, Stride: 1, FirstEvent: step})
+			s.Finish(now, running.id, Observation{Duration: time.Duration(running.answer) * step, Events: running.answer, TokensPerEvent: 1, FirstEvent: step})
 		}
 		inFlight = unfinished
 		for _, id := range assignedIDs(s.Decide(now)) {
--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -192,7 +192,7 @@
 // reportFirstEvent reports the start of a response to the scheduling node, in the background. It is
 // not sent again if it is lost.
 func (n *Node) reportFirstEvent(granted *grant, load int, signals *pushback.Signals) {
-	message := &firstEventRequest{ID: granted.id, Load: load, Said: signals}
+	message := &firstEventRequest{ID: granted.id, Load: load, Pushback: signals}
 	if granted.address == "" {
 		n.scheduling.recordFirstEvent(message)
 		return
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -72,18 +72,18 @@
 			node.recordZoneContact(granted.Replica.Zone, false)
 			c.recordConnectFailure(granted.Replica, err)
 		}
-		return resultNotSent, admission.Observation{Left: true}
+		return resultNotSent, admission.Observation{CallerLeft: true}
 	}
 	if !node.beginSend(granted) {
 		_ = conn.Close()
-		return resultNotSent, admission.Observation{Left: true}
+		return resultNotSent, admission.Observation{CallerLeft: true}
 	}
 	sentTime, sentAt := time.Now(), node.now()
 	sendContext, cancelSend := c.sendContext()
 	defer cancelSend()
 	answer, err := node.pool.Exchange(sendContext, conn, c.replicaRequest(granted.Replica))
 	if err != nil {
-		return c.recordIncomplete(granted.Replica.ID, err), admission.Observation{Failed: true, Left: c.ctx.Err() != nil}
+		return c.recordIncomplete(granted.Replica.ID, err), admission.Observation{Failed: true, CallerLeft: c.ctx.Err() != nil}
 	}
 	node.recordZoneContact(granted.Replica.Zone, true)
 	node.reportFirstEvent(granted, c.reportedLoad(answer), node.applyPushback(answer, granted.Replica, sentAt))
@@ -97,8 +97,8 @@
 	if observed.FirstEvent > 0 {
 		node.recordDuration("first_event_ms", observed.FirstEvent)
 	}
-	observed.Duration, observed.Stride = time.Since(sentTime), c.tokensPerEvent()
-	observed.Left = outcome == resultCallerLeft || c.ctx.Err() != nil
+	observed.Duration, observed.TokensPerEvent = time.Since(sentTime), c.tokensPerEvent()
+	observed.CallerLeft = outcome == resultCallerLeft || c.ctx.Err() != nil
 	observed.Failed = observed.Failed || outcome != resultAnswered
 	return outcome, observed
 }
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -48,7 +48,7 @@
 		if !kept.replica.IsSameIncarnation(replica) || now-kept.at > disconnectRetention {
 			return false
 		}
-		go n.reportCrash(&finishRequest{Content: kept.fingerprint, Ended: kept.crash})
+		go n.reportCrash(&finishRequest{Fingerprint: kept.fingerprint, Ended: kept.crash})
 		return true
 	})
 }
--- a/entry/disconnects_test.go
+++ b/entry/disconnects_test.go
@@ -47,7 +47,7 @@
 				n.applyReplicaLocked(replica)
 				n.applyReplicaLocked(replicas.Replica{ID: "other", Service: "s", Position: 2})
 				content := fingerprint.Of("office", "POST", "a.example", "/x", nil)
-				n.deferDisconnect(unresolvedDisconnect{replica: replica, fingerprint: content, crash: &crashedIncarnation{Life: poisonrecords.IncarnationOf("r", 1)}})
+				n.deferDisconnect(unresolvedDisconnect{replica: replica, fingerprint: content, crash: &crashedIncarnation{Incarnation: poisonrecords.IncarnationOf("r", 1)}})
 				n.mutex.Lock()
 				test.event(n, replica)
 				n.mutex.Unlock()
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -23,8 +23,8 @@
 	// First is true for the first assignment of a request, and Repeat if an earlier attempt reached
 	// a replica. Neither is true after a failed connect.
 	First, Repeat bool
-	// Heard are the pushback reports on the service's replicas that the asking node knows.
-	Heard []pushback.Report `msgpack:",omitempty"`
+	// PushbackReports are the pushback reports on the service's replicas that the asking node knows.
+	PushbackReports []pushback.Report `msgpack:"Heard,omitempty"`
 	// Known is the asking node's recent poison record of the request, nil if there is none.
 	Known *poisonrecords.Record
 }
@@ -59,20 +59,19 @@
 // finishRequest reports that an assigned request ended, or that a queued one was given up.
 type finishRequest struct {
 	ID string
-	// Seen is what the sending node observed of the response.
-	Seen admission.Observation
+	// Observation is what the sending node observed of the response.
+	Observation admission.Observation `msgpack:"Seen"`
 	// NotRun is true if the replica certainly did not run the request; its cost is refunded to the
 	// tenant.
-	NotRun bool
-	// Content is the request's fingerprint.
-	Content fingerprint.Fingerprint
+	NotRun      bool
+	Fingerprint fingerprint.Fingerprint `msgpack:"Content"`
 	// Ended is the incarnation that crashed under the request, nil if none did.
 	Ended *crashedIncarnation
 }
 
 // crashedIncarnation is an incarnation of a replica that crashed under a request.
 type crashedIncarnation struct {
-	Life           poisonrecords.Incarnation
+	Incarnation    poisonrecords.Incarnation `msgpack:"Life"`
 	Service, Route string
 }
 
@@ -83,8 +82,8 @@
 	ID string
 	// Load is the number of requests that the replica reported, or -1.
 	Load int
-	// Said are the pushback signals of the response, nil if they change nothing.
-	Said *pushback.Signals `msgpack:",omitempty"`
+	// Pushback holds the signals of the response, nil if they change nothing.
+	Pushback *pushback.Signals `msgpack:"Said,omitempty"`
 }
 
 type firstEventReply struct{}
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -89,7 +89,7 @@
 func (n *Node) pushbackStatus(now structs.Instant) []PushbackStatus {
 	var statuses []PushbackStatus
 	for _, report := range n.pushback.Reports(now, func(pushback.Incarnation) bool { return true }) {
-		status := PushbackStatus{Replica: report.Life.Replica, Leaving: report.Leaving, Pause: report.Pause.Milliseconds()}
+		status := PushbackStatus{Replica: report.Incarnation.Replica, Leaving: report.Leaving, Pause: report.Pause.Milliseconds()}
 		if report.Limit.State == pushback.LimitSet {
 			status.Limit = &report.Limit.PerSecond
 		}
--- a/entry/scheduling_poison.go
+++ b/entry/scheduling_poison.go
@@ -37,8 +37,8 @@
 		if completion.Fingerprint.IsZero() {
 			assignedAt = -1 // unknown, so that an incarnation counts once
 		}
-		record := poisonrecords.Record{Fingerprint: finished.Content, Service: finished.Ended.Service, Route: finished.Ended.Route}
-		state, changed := s.poisonTracker.RecordCrash(now, record, finished.Ended.Life, assignedAt)
+		record := poisonrecords.Record{Fingerprint: finished.Fingerprint, Service: finished.Ended.Service, Route: finished.Ended.Route}
+		state, changed := s.poisonTracker.RecordCrash(now, record, finished.Ended.Incarnation, assignedAt)
 		if !changed {
 			return
 		}
@@ -46,12 +46,12 @@
 		if state == poison.Blocked {
 			outcome = poisonBlocked
 		}
-		s.reportPoisonTransition(outcome, finished.Content)
+		s.reportPoisonTransition(outcome, finished.Fingerprint)
 	case finished.NotRun:
 		s.poisonTracker.CancelTrial(completion.Fingerprint)
-	case finished.Seen.Whole:
-		if s.poisonTracker.RecordSuccess(now, finished.Content) {
-			s.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Content, Service: completion.Service, Route: completion.Route})
+	case finished.Observation.Whole:
+		if s.poisonTracker.RecordSuccess(now, finished.Fingerprint) {
+			s.onPoisonTransition(poisonCleared, poisonrecords.Record{Fingerprint: finished.Fingerprint, Service: completion.Service, Route: completion.Route})
 		}
 	}
 }
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -256,10 +256,10 @@
 	if request.Known != nil {
 		s.mergePoisonLocked(now, []poisonrecords.Record{*request.Known})
 	}
-	for _, report := range request.Heard {
+	for _, report := range request.PushbackReports {
 		s.scheduler.ApplyPushbackReport(now, report)
 	}
-	s.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.Heard)
+	s.scheduler.SetPauses(now, request.Request.Node, request.Request.Service, request.PushbackReports)
 	if request.First {
 		s.retryBudget.RecordRequest(now, request.Request.Service)
 	}
@@ -279,8 +279,8 @@
 	id := request.Request.ID
 	decided := make(chan admission.Decision, 1)
 	s.pending[id] = decided
-	s.charges[id] = requestCharge{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Content, retryPermit: permit}
-	request.Request.Returned = s.recentRejections.Has(now, request.Request.Content)
+	s.charges[id] = requestCharge{tenant: request.Tenant, cost: request.Cost, fingerprint: request.Request.Fingerprint, retryPermit: permit}
+	request.Request.WasRejected = s.recentRejections.Has(now, request.Request.Fingerprint)
 	s.scheduler.Submit(now, request.Request)
 	s.decide()
 	return decided, nil
@@ -290,7 +290,7 @@
 func (s *schedulingService) observe(service string, prompt int, finished *finishRequest, replica string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.scheduler.ObserveExternal(s.clock(), service, replica, prompt, finished.Seen)
+	s.scheduler.ObserveExternal(s.clock(), service, replica, prompt, finished.Observation)
 	s.recordPoisonResult(admission.Completion{}, finished)
 }
 
@@ -301,8 +301,8 @@
 	defer s.mutex.Unlock()
 	now := s.clock()
 	s.scheduler.RecordFirstEvent(now, request.ID, request.Load)
-	if request.Said != nil {
-		s.scheduler.ApplyPushback(now, request.ID, *request.Said)
+	if request.Pushback != nil {
+		s.scheduler.ApplyPushback(now, request.ID, *request.Pushback)
 	}
 	s.decide()
 }
@@ -311,9 +311,9 @@
 func (s *schedulingService) finish(request *finishRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	ended, found := s.scheduler.Finish(s.clock(), request.ID, request.Seen)
+	ended, found := s.scheduler.Finish(s.clock(), request.ID, request.Observation)
 	if found {
-		s.recordRolloutResult(ended, request.Seen, request.NotRun)
+		s.recordRolloutResult(ended, request.Observation, request.NotRun)
 	}
 	s.recordPoisonResult(ended, request)
 	s.scheduler.Cancel(request.ID)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -27,7 +27,7 @@
 			return
 		}
 		if !c.node.maySend(granted) {
-			c.node.reportFinish(granted, &finishRequest{Seen: admission.Observation{Left: true}, NotRun: true})
+			c.node.reportFinish(granted, &finishRequest{Observation: admission.Observation{CallerLeft: true}, NotRun: true})
 			tried = append(tried, granted.Replica.ID)
 			if len(tried) >= maxSends {
 				c.endUnanswered(resultNotSent, executions)
@@ -63,8 +63,8 @@
 // finish reports the end of the send to the scheduling node, and lets this node's own scheduling
 // service observe it if the scheduling node is another one.
 func (c *call) finish(granted *grant, outcome result, observed admission.Observation) {
-	message := &finishRequest{ID: granted.id, Seen: observed, NotRun: outcome == resultNotSent || outcome == resultRejected, Content: c.fingerprint}
-	message.Seen.Whole = outcome == resultAnswered || outcome == resultServerError
+	message := &finishRequest{ID: granted.id, Observation: observed, NotRun: outcome == resultNotSent || outcome == resultRejected, Fingerprint: c.fingerprint}
+	message.Observation.Whole = outcome == resultAnswered || outcome == resultServerError
 	if outcome == resultIncomplete {
 		c.checkReplicaCrash(granted, message)
 	}
@@ -77,7 +77,7 @@
 // checkReplicaCrash determines whether the replica that failed the request has crashed. It enters
 // the crash into the message, or defers the request if the replica's state is unknown.
 func (c *call) checkReplicaCrash(granted *grant, message *finishRequest) {
-	crashed := &crashedIncarnation{Life: poisonrecords.IncarnationOf(granted.Replica.ID, granted.Replica.StartedAt), Service: c.service, Route: c.route.Name}
+	crashed := &crashedIncarnation{Incarnation: poisonrecords.IncarnationOf(granted.Replica.ID, granted.Replica.StartedAt), Service: c.service, Route: c.route.Name}
 	state := incarnationUnknown // also after a timeout
 	switch c.lastFailure {
 	case causeClosed:
@@ -136,12 +136,12 @@
 		Request: admission.Request{
 			ID:   node.process() + "." + strconv.FormatUint(node.sequence.Add(1), 36),
 			Node: node.process(), Zone: node.settings.Load().Zone, Service: c.service, Route: c.route.Name, Priority: c.priority(),
-			Content: c.fingerprint, Prompt: c.promptTokens, Answer: c.expectedOutputTokens(), Tried: tried, Doubted: suspected,
-			Stride: c.tokensPerEvent(), Pause: c.route.TargetEventGap, Yields: c.route.Priority >= minYieldPriority,
+			Fingerprint: c.fingerprint, PromptTokens: c.promptTokens, AnswerTokens: c.expectedOutputTokens(), Tried: tried, Doubted: suspected,
+			TokensPerEvent: c.tokensPerEvent(), MaxEventGap: c.route.TargetEventGap, Yields: c.route.Priority >= minYieldPriority,
 			Deadline: c.remaining(),
 			Target:   max(c.route.TargetLatency-c.age(), 0), Patience: c.maxQueueWait(),
 		},
-		First: len(tried) == 0, Repeat: isRetry, Heard: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
+		First: len(tried) == 0, Repeat: isRetry, PushbackReports: node.pushbackReports(c.service), Known: node.scheduling.poisonRecordOf(c.fingerprint),
 	}
 	if c.tenant != nil {
 		request.Tenant = c.tenant.Name
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -70,13 +70,13 @@
 
 	// Replica is the replica's ID.
 	Replica string
-	// Born is when the replica started, in Unix milliseconds by its own clock; zero if it reports none.
-	Born int64
+	// StartedAt is when the replica started, in Unix milliseconds by its own clock; zero if it reports none.
+	StartedAt int64
 }
 
 // IncarnationOf returns the incarnation of the replica.
 func IncarnationOf(replica replicas.Replica) Incarnation {
-	return Incarnation{Replica: replica.ID, Born: replica.StartedAt}
+	return Incarnation{Replica: replica.ID, StartedAt: replica.StartedAt}
 }
 
 // Report is a replica's pushback as one node reports it to another.
@@ -84,7 +84,7 @@
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Life Incarnation
+	Incarnation Incarnation
 	// Limit applies since Age before the report was sent.
 	Limit Limit
 	Age   time.Duration
@@ -96,7 +96,7 @@
 
 // ReportOf returns a report of the limit alone.
 func (l *TimedLimit) ReportOf(now structs.Instant, incarnation Incarnation) Report {
-	return Report{Life: incarnation, Limit: l.Limit, Age: now - l.AsOf}
+	return Report{Incarnation: incarnation, Limit: l.Limit, Age: now - l.AsOf}
 }
 
 // replicaState is the pushback of one incarnation.
@@ -196,13 +196,13 @@
 
 // MergeLimit merges the limit of another node's report; it ignores Leaving and Pause.
 func (t *Tracker) MergeLimit(now structs.Instant, report Report) {
-	state := t.states[report.Life]
+	state := t.states[report.Incarnation]
 	if state == nil {
 		if report.Limit.State != LimitSet {
 			return
 		}
 		state = &replicaState{}
-		t.states[report.Life] = state
+		t.states[report.Incarnation] = state
 	}
 	state.updatedAt = now
 	state.limit.Update(report.Limit, now-report.Age)
--- a/state/pushback/pushback_test.go
+++ b/state/pushback/pushback_test.go
@@ -8,7 +8,7 @@
 )
 
 var (
-	testIncarnation = Incarnation{Replica: "r", Born: 1}
+	testIncarnation = Incarnation{Replica: "r", StartedAt: 1}
 	noLimit         = Signals{Limit: Limit{State: LimitNone}}
 	onePerSecond    = Signals{Limit: Limit{State: LimitSet, PerSecond: 1}}
 )
@@ -36,7 +36,7 @@
 	g.Expect(tracker.Observe(2*time.Second, 0, testIncarnation, leaving).StartedLeaving).To(gomega.BeFalse())
 	g.Expect(tracker.Observe(3*time.Second, 2*time.Second, testIncarnation, noLimit).StartedLeaving).To(gomega.BeFalse())
 	g.Expect(tracker.IsLeaving(testIncarnation)).To(gomega.BeTrue())
-	g.Expect(tracker.IsLeaving(Incarnation{Replica: testIncarnation.Replica, Born: 2})).To(gomega.BeFalse())
+	g.Expect(tracker.IsLeaving(Incarnation{Replica: testIncarnation.Replica, StartedAt: 2})).To(gomega.BeFalse())
 }
 
 // Guards against signals that are lost while a replica's entry is missing because of a store outage.
