--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -134,8 +134,8 @@
 //
 // Errors: InvalidSettings if the result does not compile; Conflict if other
 // changes, which the message lists, were committed since the base;
-// StoreUnavailable if nothing was written; StoreUnknown if the context ended
-// before the outcome was known.
+// StoreUnavailable if the last attempt wrote nothing; StoreUnknown if the context
+// ended before the outcome was known.
 func (c *Committer) Commit(ctx context.Context, change Change) (ChangeRecord, *Document, error) {
 	written := false
 	for {
@@ -147,7 +147,7 @@
 			if written {
 				return ChangeRecord{}, nil, errkind.New(errkind.StoreUnknown, "committing settings change %s: outcome unknown: %v", change.ID, err)
 			}
-			return ChangeRecord{}, nil, errkind.New(errkind.StoreUnavailable, "committing settings change %s: nothing was written: %v", change.ID, err)
+			return ChangeRecord{}, nil, errkind.New(errkind.StoreUnavailable, "committing settings change %s: the store is unavailable: %v", change.ID, err)
 		}
 	}
 }
