--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -253,7 +253,7 @@
 	return pool
 }
 
-// Count is the state of one service as operators see it.
+// ServiceStatus is the state of one service as operators see it.
 type ServiceStatus struct {
 	Queued int `json:"waiting"`
 	// InFlight counts the reported requests by replica.
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -120,7 +120,7 @@
 	t.refute(t.self.Incarnation)
 }
 
-// Heard records a message that came directly from the member.
+// RecordMessage records a message that came directly from the member.
 func (t *Table) RecordMessage(now structs.Instant, member Member) {
 	t.merge(now, Rumor{Member: member, Status: Alive})
 	if entry, found := t.members[member.Name]; found && entry.Status != Dead {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -190,7 +190,7 @@
 	return levels
 }
 
-// SetAuthoritativeAfter sets the time until which other nodes may report usage from before the
+// SetAuthoritativeAt sets the time until which other nodes may report usage from before the
 // buckets were created. It is for a process that starts or resumes after a suspension.
 func (b *Buckets) SetAuthoritativeAt(at structs.Instant) { b.authoritativeAt = at }
 
@@ -229,7 +229,7 @@
 	}
 }
 
-// Taken returns the usage of the buckets that are not nearly full since they were created, by
+// Usage returns the usage of the buckets that are not nearly full since they were created, by
 // tenant, for at most maxCount of them.
 func (b *Buckets) Usage(now structs.Instant, maxCount int) map[string]float64 {
 	usage := map[string]float64{}
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -64,7 +64,7 @@
 	return b.remaining
 }
 
-// Open reports whether the next request may go to the target. A burst begins once the budget suffices
+// InBurst reports whether the next request may go to the target. A burst begins once the budget suffices
 // for burstSize requests and ends when it is used up.
 func (b *CanaryBudget) InBurst(now structs.Instant) bool {
 	if b == nil {
@@ -78,29 +78,29 @@
 	return b.inBurst
 }
 
-// Spent reports whether the budget is used up, regardless of its expiry.
+// IsExhausted reports whether the budget is used up, regardless of its expiry.
 func (b *CanaryBudget) IsExhausted() bool { return b == nil || b.remaining <= 0 }
 
-// Ask counts a request of the route that could go to the target.
+// RecordEligible counts a request of the route that could go to the target.
 func (b *CanaryBudget) RecordEligible(route string) {
 	if b != nil {
 		b.eligible.add(route)
 	}
 }
 
-// Fair reports whether the route has not used more than its share of the budget. Otherwise the most
+// AllowsRoute reports whether the route has not used more than its share of the budget. Otherwise the most
 // urgent route could use all of it under load, and faults on other routes would stay undetected.
 func (b *CanaryBudget) AllowsRoute(route string) bool {
 	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
 
-// Spend counts a request of the route that is sent to the target.
+// Consume counts a request of the route that is sent to the target.
 func (b *CanaryBudget) Consume(route string) {
 	b.remaining--
 	b.consumed.add(route)
 }
 
-// Turn returns the number of bursts so far. Callers use it to start each burst at another replica.
+// BurstCount returns the number of bursts so far. Callers use it to start each burst at another replica.
 func (b *CanaryBudget) BurstCount() int {
 	if b == nil {
 		return 0
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -204,7 +204,7 @@
 // InFlight returns the number of dispatched requests that have not ended.
 func (s *Scheduler) InFlight() int { return s.reservations.Len() }
 
-// Waiting returns the number of queued requests.
+// QueuedCount returns the number of queued requests.
 func (s *Scheduler) QueuedCount() int { return len(s.poolByRequest) }
 
 // QueuedByRank returns the number of queued requests of the service and rank.
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -13,7 +13,7 @@
 	s.decide()
 }
 
-// setWarmings sets the limits of cold replicas by service.
+// setSlowStarts sets the limits of cold replicas by service.
 func (s *schedulingService) setSlowStarts(slowStarts map[string]admission.SlowStart) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -85,7 +85,7 @@
 	return !known
 }
 
-// applyReplica applies an update of a replica and logs a change. The caller holds the mutex.
+// applyReplicaLocked applies an update of a replica and logs a change. The caller holds the mutex.
 func (n *Node) applyReplicaLocked(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
@@ -111,7 +111,7 @@
 // it again, about two of its heartbeats. Entries still missing then are removed.
 const entryRewriteTime = 2300 * time.Millisecond
 
-// handleEntryRemoved handles a removed entry. While the store is unhealthy, replicas can't renew
+// handleEntryRemovedLocked handles a removed entry. While the store is unhealthy, replicas can't renew
 // their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
 func (n *Node) handleEntryRemovedLocked(gone outside.RemovedReplica) {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -24,7 +24,7 @@
 	// Kind names the decision; docs/OPERATIONS.md lists them.
 	Kind    string `json:"event"`
 	Request string `json:"request,omitempty"`
-	// Content is the fingerprint of the request, equal for all its attempts.
+	// Fingerprint is the fingerprint of the request, equal for all its attempts.
 	Fingerprint string `json:"content,omitempty"`
 	Route       string `json:"route,omitempty"`
 	Tenant      string `json:"tenant,omitempty"`
@@ -39,16 +39,16 @@
 	Version  int64 `json:"version,omitempty"`
 	Revision int64 `json:"revision,omitempty"`
 	Era      int64 `json:"era,omitempty"`
-	// Waited is the time in the queue, Took the time since the request was received and Age that
+	// WaitedMS is the time in the queue, Took the time since the request was received and Age that
 	// of the state on which the decision is based, all in milliseconds.
 	WaitedMS int64 `json:"waited_ms,omitempty"`
 	TookMS   int64 `json:"took_ms,omitempty"`
 	AgeMS    int64 `json:"age_ms,omitempty"`
-	// First is the time from the last send to the first event of a stream, Pause the longest time
+	// FirstEventMS is the time from the last send to the first event of a stream, Pause the longest time
 	// between two events, both in milliseconds.
 	FirstEventMS int64 `json:"first_ms,omitempty"`
 	MaxPauseMS   int64 `json:"pause_ms,omitempty"`
-	// Remaining is the time until the deadline of the caller or the route, Expected the predicted
+	// RemainingMS is the time until the deadline of the caller or the route, Expected the predicted
 	// wait, both in milliseconds.
 	RemainingMS    int64 `json:"left_ms,omitempty"`
 	ExpectedWaitMS int64 `json:"expected_ms,omitempty"`
@@ -61,7 +61,7 @@
 	Prompt int `json:"prompt,omitempty"`
 	Answer int `json:"answer,omitempty"`
 	Count  int `json:"count,omitempty"`
-	// Repeat is true for an assignment of a request that was sent to a replica before. Asked is the
+	// IsRetry is true for an assignment of a request that was sent to a replica before. Asked is the
 	// number of calls to scheduling nodes until a decision, if that was more than one.
 	IsRetry        bool   `json:"repeat,omitempty"`
 	SchedulerCalls int    `json:"asked,omitempty"`
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For sleeps for the duration and returns true, or returns false as soon as the context ends.
+// Sleep sleeps for the duration and returns true, or returns false as soon as the context ends.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -52,7 +52,7 @@
 	// Outcome is the outcome that the caller received, or OutcomePending if none.
 	Outcome structs.Outcome
 	Code    string
-	// Whole is true if the answer is complete and belongs to this request.
+	// Complete is true if the answer is complete and belongs to this request.
 	Complete bool
 	SentAt   time.Time
 	// EndedAt is when the caller received the outcome.
--- a/lab/checker/pushback.go
+++ b/lab/checker/pushback.go
@@ -26,7 +26,7 @@
 type Sent struct {
 	platformsim.Arrival
 	Node string
-	// Asked is when the caller sent the request to the node.
+	// SentAt is when the caller sent the request to the node.
 	SentAt time.Time
 }
 
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -55,7 +55,7 @@
 	MachineLag   time.Duration
 	ReportLag    time.Duration
 	StoreLatency time.Duration
-	// FencelessZones makes all engines accept load orders with a stale fence.
+	// EnginesIgnoreFences makes all engines accept load orders with a stale fence.
 	EnginesIgnoreFences bool
 	// Host returns the network as seen from the named host.
 	Host func(name string) network.Network
@@ -226,7 +226,7 @@
 // KillBackend closes the port and all connections of a back end.
 func (c *Cluster) KillBackend(id structs.ReplicaID) { _ = c.backends[id].server.Close() }
 
-// LeaveBackend marks a back end as leaving in the machine list.
+// MarkBackendLeaving marks a back end as leaving in the machine list.
 func (c *Cluster) MarkBackendLeaving(id structs.ReplicaID) {
 	machine := c.backends[id].machine
 	machine.Leaving = true
--- a/lab/entrylab/keeper.go
+++ b/lab/entrylab/keeper.go
@@ -16,7 +16,7 @@
 	entryLifetime = 3600 * time.Millisecond
 )
 
-// Keeper restarts a replica on its host each time it ends. Its methods are safe for concurrent use.
+// Restarter restarts a replica on its host each time it ends. Its methods are safe for concurrent use.
 type Restarter struct {
 	// ID, Service, Zone, Version, Slots, Events and Step are the replica's fields.
 	ID, Service, Zone string
@@ -87,7 +87,7 @@
 	}
 }
 
-// Mend makes the current incarnation and all later ones answer every request.
+// StopCrashing makes the current incarnation and all later ones answer every request.
 func (k *Restarter) StopCrashing() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/lab/memnet/bandwidth.go
+++ b/lab/memnet/bandwidth.go
@@ -69,13 +69,13 @@
 	}
 }
 
-// Sent returns the number of payload bytes that the host sent to other hosts in streams
+// SentBytes returns the number of payload bytes that the host sent to other hosts in streams
 // and datagrams.
 func (f *Fabric) SentBytes(host string) int64 {
 	return f.SentBytesWhere(func(from, _ string) bool { return from == host })
 }
 
-// SentWhere returns the number of payload bytes sent between all pairs of distinct hosts
+// SentBytesWhere returns the number of payload bytes sent between all pairs of distinct hosts
 // for which matches returns true.
 func (f *Fabric) SentBytesWhere(matches func(from, to string) bool) int64 {
 	f.mutex.Lock()
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -53,7 +53,7 @@
 // Host returns the network as seen from the named host.
 func (f *Fabric) Host(name string) network.Network { return host{fabric: f, name: name} }
 
-// Cut drops all traffic from one host to the other until Heal. Dialing between the two
+// BlockLink drops all traffic from one host to the other until Heal. Dialing between the two
 // hosts blocks in either direction.
 func (f *Fabric) BlockLink(from, to string) {
 	f.mutex.Lock()
@@ -61,7 +61,7 @@
 	f.cuts[hostPair{from, to}] = true
 }
 
-// CutGroups cuts the traffic between the two groups of hosts in both directions.
+// Partition cuts the traffic between the two groups of hosts in both directions.
 func (f *Fabric) Partition(left, right []string) {
 	for _, a := range left {
 		for _, b := range right {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Silence makes every open connection lose all data written from now on, without an error
+// DropOnOpenConnections makes every open connection lose all data written from now on, without an error
 // at either endpoint. New connections are not affected.
 func (f *Fabric) DropOnOpenConnections() {
 	f.mutex.Lock()
--- a/lab/platformsim/copy.go
+++ b/lab/platformsim/copy.go
@@ -11,7 +11,7 @@
 // eraHeader is the header of every answer that carries the era.
 const eraHeader = "Store-Era"
 
-// StoreCopy is a copy of the store's state, for Store.Restore.
+// StoreBackup is a copy of the store's state, for Store.Restore.
 type StoreBackup struct {
 	items             map[string]Item
 	history           []Item
@@ -19,7 +19,7 @@
 	revision          int64
 }
 
-// Copy returns a copy of the items, the history and the revision.
+// Backup returns a copy of the items, the history and the revision.
 func (s *Store) Backup() *StoreBackup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/platformsim/replica.go
+++ b/lab/platformsim/replica.go
@@ -91,7 +91,7 @@
 type Arrival struct {
 	ID string
 	At time.Time
-	// Said is the pushback of the answer, whose head was written at HeadAt; both are zero without an
+	// Pushback is the pushback of the answer, whose head was written at HeadAt; both are zero without an
 	// answer. Refused is true if the answer states that the request was not run.
 	Pushback Pushback
 	HeadAt   time.Time
@@ -103,7 +103,7 @@
 	ID, Service, Address, Zone string
 	// Version is the version in its entry; empty means v1.
 	Version string
-	// Born is the time of its start in Unix milliseconds; zero leaves it out of the entry.
+	// StartedAt is the time of its start in Unix milliseconds; zero leaves it out of the entry.
 	StartedAt int64
 	// Warmup is the remaining warm-up time that Register writes.
 	Warmup time.Duration
@@ -135,7 +135,7 @@
 	r.behaviorOf = behaviorOf
 }
 
-// Say sets the pushback of all further answers.
+// SetPushback sets the pushback of all further answers.
 func (r *Replica) SetPushback(pushback Pushback) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,7 +163,7 @@
 	return append([]Arrival{}, r.arrivals...)
 }
 
-// MostAtOnce returns the highest number of requests that ran at the same time.
+// MaxConcurrent returns the highest number of requests that ran at the same time.
 func (r *Replica) MaxConcurrent() int { r.mutex.Lock(); defer r.mutex.Unlock(); return r.maxRunning }
 
 // Entry is the replica's value in the store.
--- a/lab/platformsim/store.go
+++ b/lab/platformsim/store.go
@@ -118,10 +118,10 @@
 // SetDelay delays every answer.
 func (s *Store) SetDelay(delay time.Duration) { s.update(func() { s.delay = delay }) }
 
-// SetLost makes transactions take effect but closes their connections without an answer.
+// SetLoseAnswers makes transactions take effect but closes their connections without an answer.
 func (s *Store) SetLoseAnswers(lost bool) { s.update(func() { s.dropsReplies = lost }) }
 
-// Refuse makes the store answer calls from the host with 503.
+// SetRejected makes the store answer calls from the host with 503.
 func (s *Store) SetRejected(host string, rejected bool) {
 	s.update(func() { s.rejectedHosts[host] = rejected })
 }
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -12,7 +12,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Misbehavior is a fault of an engine or service in the handling of a request.
+// Fault is a fault of an engine or service in the handling of a request.
 type Fault int
 
 // Faults of engines and services.
@@ -21,7 +21,7 @@
 	// DiesBeforeAnswer closes the connection after the request was read. The request
 	// continues to run.
 	DiesBeforeAnswer
-	// ForgetsRequest closes the connection after the request was read. The engine does
+	// DropsRequest closes the connection after the request was read. The engine does
 	// not run the request and does not know its id afterwards. Services handle it as
 	// DiesBeforeAnswer.
 	DropsRequest
--- a/node/generation_status.go
+++ b/node/generation_status.go
@@ -20,14 +20,14 @@
 // this node knows.
 type ZoneSpread struct {
 	Zone string `json:"zone"`
-	// InForce lists the nodes that have activated the generation or a higher one.
+	// Active lists the nodes that have activated the generation or a higher one.
 	Active []string `json:"in_force"`
 	// Behind lists the nodes that recently had a lower generation.
 	Behind []string `json:"behind"`
-	// Unheard lists the nodes of the machine list without a recent heartbeat; they
+	// Unreported lists the nodes of the machine list without a recent heartbeat; they
 	// may have ended, or this node has not exchanged heartbeats with them yet.
 	Unreported []string `json:"unheard"`
-	// CutOff reports whether no recent heartbeat came from the zone.
+	// Unreachable reports whether no recent heartbeat came from the zone.
 	Unreachable bool `json:"cut_off"`
 }
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -45,7 +45,7 @@
 	return get[*entry.Status](ctx, c, entry.PathStatus)
 }
 
-// Lift unblocks a poison request at an entry daemon, by its fingerprint.
+// Unblock unblocks a poison request at an entry daemon, by its fingerprint.
 func (c *Client) Unblock(ctx context.Context, fingerprint string) error {
 	return c.do(ctx, http.MethodPost, entry.PathUnblock+url.PathEscape(fingerprint), nil, nil)
 }
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -12,7 +12,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Gone reports that the entry of a replica was removed, at the store position Revision.
+// RemovedReplica reports that the entry of a replica was removed, at the store position Revision.
 type RemovedReplica struct {
 	ID       string
 	Position structs.StorePosition
@@ -20,7 +20,7 @@
 
 // Update is a snapshot or a set of changes of the directory.
 type Update struct {
-	// Revision is the store position up to which the update covers the directory's history.
+	// Position is the store position up to which the update covers the directory's history.
 	Position structs.StorePosition
 	// Complete is true if Replicas lists all replicas. FullSnapshot is true if Orders, Records and
 	// Evacuations are complete as well.
@@ -35,10 +35,10 @@
 	// Evacuations are orders to evacuate a zone, or to lift that. A full snapshot lists every
 	// evacuated zone.
 	Evacuations []evacuations.Order
-	// Orders are the operators' roll-out orders, Records the stored progress of roll-outs.
+	// RolloutOrders are the operators' roll-out orders, Records the stored progress of roll-outs.
 	RolloutOrders  []rollouts.Order
 	RolloutRecords []rollouts.Record
-	// Contents are the poison records as stored at ContentsRevision. If that is zero, the update
+	// PoisonRecords are the poison records as stored at ContentsRevision. If that is zero, the update
 	// says nothing about them.
 	PoisonRecords         []poisonrecords.Record
 	PoisonRecordsPosition structs.StorePosition
@@ -98,13 +98,13 @@
 	ReadRollout(ctx context.Context, service string) (rollouts.Record, error)
 }
 
-// Contents stores the poison records: the requests that are blocked because replicas crashed under
+// PoisonRecordStore stores the poison records: the requests that are blocked because replicas crashed under
 // them.
 type PoisonRecordStore interface {
-	// WriteContents replaces the stored records if they are at the given position, where zero means
+	// WritePoisonRecords replaces the stored records if they are at the given position, where zero means
 	// that there are none, and returns the new position. Errors are those of Rollouts.WriteRollout.
 	WritePoisonRecords(ctx context.Context, records []poisonrecords.Record, revision structs.StorePosition) (structs.StorePosition, error)
-	// ReadContents returns the records and their position, which is zero if there are none. The
+	// ReadPoisonRecords returns the records and their position, which is zero if there are none. The
 	// error is of kind StoreUnavailable.
 	ReadPoisonRecords(ctx context.Context) ([]poisonrecords.Record, structs.StorePosition, error)
 }
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -40,7 +40,7 @@
 	Incarnations []Incarnation `msgpack:"l" json:"lives,omitempty"`
 	// Trials is the number of times the request was sent while it was blocked, in this generation.
 	Trials int `msgpack:"t" json:"trials,omitempty"`
-	// Persistent is true if the request was blocked in this generation or an earlier one. Nodes and
+	// IsPersistent is true if the request was blocked in this generation or an earlier one. Nodes and
 	// the store keep such a record, also after it was cleared.
 	IsPersistent bool `msgpack:"k" json:"kept,omitempty"`
 	// Age is the time since the last change in milliseconds, as of when the record was sent.
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -34,7 +34,7 @@
 	Phase Phase
 }
 
-// Active reports whether the policy restricts any version.
+// IsActive reports whether the policy restricts any version.
 func (p *VersionPolicy) IsActive() bool { return p.Service != "" }
 
 // AccessFor returns the access for replicas of the version.
--- a/structs/plan.go
+++ b/structs/plan.go
@@ -8,7 +8,7 @@
 const (
 	// VerdictDispatch sends the request to Plan.Replica.
 	VerdictDispatch Verdict = "dispatch"
-	// VerdictRefuse rejects the request; it ends with OutcomeNotRun.
+	// VerdictReject rejects the request; it ends with OutcomeNotRun.
 	VerdictReject Verdict = "refuse"
 )
 
--- a/transport/replicahttp/pool.go
+++ b/transport/replicahttp/pool.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// CloseRested closes the connections that have been idle for minIdle or longer, and returns how
+// CloseIdle closes the connections that have been idle for minIdle or longer, and returns how
 // many.
 func (p *Pool) CloseIdle(minIdle time.Duration) int {
 	return p.closeIdleIf(func(conn *Conn) bool { return time.Since(conn.idleSince) >= minIdle })
