--- a/coordination/admission/assignments.go
+++ b/coordination/admission/assignments.go
@@ -37,47 +37,47 @@
 
 // Finish removes the assignment of a request and learns the replica's health and speed from its end.
 // It returns false if the request has no assignment here.
-func (s *Scheduler) Finish(now structs.Instant, id string, seen Observation) (Completion, bool) {
+func (s *Scheduler) Finish(now structs.Instant, id string, observed Observation) (Completion, bool) {
 	assignment, found := s.assignments[id]
 	if !found {
 		return Completion{}, false
 	}
 	ended := Completion{Fingerprint: assignment.fingerprint, Service: assignment.service, Route: assignment.route, Replica: assignment.replicaID, Version: assignment.version, Prompt: assignment.promptTokens, AssignedAt: assignment.assignedAt}
 	s.removeAssignment(id)
-	if !seen.CallerLeft && !assignment.late {
-		s.recordOutcome(now, assignment.service, assignment.replicaID, seen.Failed)
+	if !observed.CallerLeft && !assignment.late {
+		s.recordOutcome(now, assignment.service, assignment.replicaID, observed.Failed)
 	}
-	if seen.Failed || seen.CallerLeft || seen.Duration <= 0 {
+	if observed.Failed || observed.CallerLeft || observed.Duration <= 0 {
 		return ended, true
 	}
 	pool := s.pool(assignment.service)
-	pool.meanDuration = smooth(pool.meanDuration, seen.Duration)
-	s.learnSpeed(assignment, seen)
+	pool.meanDuration = smooth(pool.meanDuration, observed.Duration)
+	s.learnSpeed(assignment, observed)
 	return ended, true
 }
 
-// ObserveExternal learns the replica's speed from a request that another scheduler assigned, so that this one
-// knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
-func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, seen Observation) {
-	if seen.Failed || seen.CallerLeft || seen.Duration <= 0 {
+// ObserveExternal learns the replica's speed from a request that another scheduler assigned, so that
+// this one knows it when it becomes the active scheduler. The prompt is in tokens.
+func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, observed Observation) {
+	if observed.Failed || observed.CallerLeft || observed.Duration <= 0 {
 		return
 	}
 	pool := s.pool(service)
-	pool.meanDuration = smooth(pool.meanDuration, seen.Duration)
-	s.learnSpeed(&assignment{service: service, replicaID: replica, promptTokens: prompt, isCold: s.replicaState(replica).isCold(now, pool)}, seen)
+	pool.meanDuration = smooth(pool.meanDuration, observed.Duration)
+	s.learnSpeed(&assignment{service: service, replicaID: replica, promptTokens: prompt, isCold: s.replicaState(replica).isCold(now, pool)}, observed)
 }
 
 // learnSpeed updates the replica's speed from a request that succeeded.
-func (s *Scheduler) learnSpeed(assignment *assignment, seen Observation) {
+func (s *Scheduler) learnSpeed(assignment *assignment, observed Observation) {
 	speed := s.replicaState(assignment.replicaID).speedFor(assignment.isCold)
-	if seen.Events > 0 && assignment.promptTokens > 0 && !assignment.late {
-		speed.prefill.observe(assignment.promptTokens, seen.FirstEvent)
+	if observed.Events > 0 && assignment.promptTokens > 0 && !assignment.late {
+		speed.prefill.observe(assignment.promptTokens, observed.FirstEvent)
 	}
-	step := seen.Duration
+	step := observed.Duration
 	switch {
-	case seen.Events > 1:
-		step = (seen.Duration - seen.FirstEvent) / time.Duration(seen.Events-1) / time.Duration(max(seen.TokensPerEvent, 1))
-	case seen.Events == 1:
+	case observed.Events > 1:
+		step = (observed.Duration - observed.FirstEvent) / time.Duration(observed.Events-1) / time.Duration(max(observed.TokensPerEvent, 1))
+	case observed.Events == 1:
 		return
 	}
 	speed.stepTime = smooth(speed.stepTime, step)
--- a/coordination/admission/prefill.go
+++ b/coordination/admission/prefill.go
@@ -68,18 +68,18 @@
 	return waited+firstEvent > time.Duration(float64(request.Target)*maxFirstEventShare)
 }
 
-// streamPause estimates the longest time between two events of a stream at the replica, with that many
+// maxEventGap estimates the longest time between two events of a stream at the replica, with that many
 // tokens in an event, while it prefills one more prompt beside its unread ones.
-func (r *replicaSnapshot) streamPause(promptTokens, stride int) time.Duration {
-	tokens := min(r.unreadTokens+promptTokens, stride*maxChunkTokens)
-	return time.Duration(stride)*r.stepTime + time.Duration(tokens)*r.prefillTimePerToken
+func (r *replicaSnapshot) maxEventGap(promptTokens, tokensPerEvent int) time.Duration {
+	tokens := min(r.unreadTokens+promptTokens, tokensPerEvent*maxChunkTokens)
+	return time.Duration(tokensPerEvent)*r.stepTime + time.Duration(tokens)*r.prefillTimePerToken
 }
 
 // wouldDelayStreams reports whether the request's prompt is expected to delay the streams at the
-// replica too long, judged by the request's own stride and longest allowed pause.
+// replica too long, judged by the request's own tokens per event and maximum event gap.
 func (r *replicaSnapshot) wouldDelayStreams(request *Request) bool {
 	if request.MaxEventGap <= 0 || r.inFlight == 0 {
 		return false
 	}
-	return r.streamPause(request.PromptTokens, max(request.TokensPerEvent, 1)) > time.Duration(float64(request.MaxEventGap)*maxPauseShare)
+	return r.maxEventGap(request.PromptTokens, max(request.TokensPerEvent, 1)) > time.Duration(float64(request.MaxEventGap)*maxPauseShare)
 }
--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -53,7 +53,7 @@
 	Target bool
 	Failed bool
 	// FirstEventTime is the time to the first event, divided by the size of the prompt for answers in
-	// events. Step is the time between two events, or the duration of a plain answer. Zero means
+	// events. EventInterval is the time between two events, or the duration of a plain answer. Zero means
 	// unknown.
 	FirstEventTime, EventInterval time.Duration
 }
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -62,8 +62,8 @@
 	InService bool
 	// LongAnswerTime is the duration of long answers of the service.
 	LongAnswerTime time.Duration
-	// Confirmed is true if every node that may be alive confirmed the record's phase. Busy counts
-	// the requests running at replicas that get no new ones.
+	// Confirmed is true if every node that may be alive confirmed the record's phase.
+	// InFlightElsewhere counts the requests running at replicas that get no new ones.
 	Confirmed         bool
 	InFlightElsewhere int
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -158,7 +158,8 @@
 	catalogRevision structs.StorePosition
 	// era is the known era of the store.
 	era era
-	// replicaFreshness is the freshness of the replicas, freshConfiguration that of the configuration.
+	// replicaFreshness is the freshness of the replicas, configurationFreshness that of the
+	// configuration.
 	replicaFreshness, configurationFreshness staleness.Freshness
 	unackedFinishes                          []unackedFinish
 	replicaPull                              staleness.PullTracker[structs.StorePosition]
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -42,8 +42,8 @@
 			n.handleEntryRemovedLocked(outside.RemovedReplica{ID: id, Position: n.table.RemovalPosition(id, update.Position)})
 		}
 	}
-	for _, gone := range update.Removed {
-		n.handleEntryRemovedLocked(gone)
+	for _, removed := range update.Removed {
+		n.handleEntryRemovedLocked(removed)
 	}
 	n.table.SetCompleteTo(update.Position)
 	n.updatedAt = n.now()
@@ -114,18 +114,18 @@
 // handleEntryRemovedLocked handles a removed entry. While the store is unhealthy, replicas can't renew
 // their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
-func (n *Node) handleEntryRemovedLocked(gone outside.RemovedReplica) {
-	if _, isKnown := n.table.Get(gone.ID); !isKnown {
-		n.table.Remove(n.now(), gone.ID, gone.Position)
+func (n *Node) handleEntryRemovedLocked(removed outside.RemovedReplica) {
+	if _, isKnown := n.table.Get(removed.ID); !isKnown {
+		n.table.Remove(n.now(), removed.ID, removed.Position)
 		return
 	}
 	if n.isStoreUnhealthy() {
-		n.table.MarkUnconfirmed(gone.ID)
-		n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "doubted", Revision: gone.Position.Revision(), Era: gone.Position.Era(), AgeMS: (n.now() - n.storeFailedAt).Milliseconds()})
+		n.table.MarkUnconfirmed(removed.ID)
+		n.log.Write(eventlog.Event{Kind: "replica", Replica: removed.ID, Outcome: "doubted", Revision: removed.Position.Revision(), Era: removed.Position.Era(), AgeMS: (n.now() - n.storeFailedAt).Milliseconds()})
 		return
 	}
-	n.removeReplica(gone.ID, gone.Position)
-	n.log.Write(eventlog.Event{Kind: "replica", Replica: gone.ID, Outcome: "gone", Revision: gone.Position.Revision(), Era: gone.Position.Era()})
+	n.removeReplica(removed.ID, removed.Position)
+	n.log.Write(eventlog.Event{Kind: "replica", Replica: removed.ID, Outcome: "gone", Revision: removed.Position.Revision(), Era: removed.Position.Era()})
 }
 
 // removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -80,9 +80,9 @@
 	return c.wall().UnixNano() - c.started.UnixNano() - int64(c.monotonic())
 }
 
-// CheckSuspension reads the boot-time clock. Now calls it when wall time drifted. Callers may call it at
-// regular intervals, which also detects a suspension during which the wall time was set back by the
-// same time.
+// CheckSuspension reads the boot-time clock. Now calls it when wall time drifted. Callers may call it
+// at regular intervals, which also detects a suspension during which the wall time was set back by
+// the same time.
 func (c *Clock) CheckSuspension() {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -71,8 +71,9 @@
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
-// Now can't detect a suspension if the wall time is set back by the same time; Look must.
-func TestLookFindsASuspensionHiddenByTheWallTime(t *testing.T) {
+// Now can't detect a suspension if the wall time is set back by the same time; CheckSuspension
+// must.
+func TestCheckSuspensionFindsASuspensionHiddenByTheWallTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
 	c := m.newClock(g)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -39,20 +39,20 @@
 	Version  int64 `json:"version,omitempty"`
 	Revision int64 `json:"revision,omitempty"`
 	Era      int64 `json:"era,omitempty"`
-	// WaitedMS is the time in the queue, Took the time since the request was received and Age that
+	// WaitedMS is the time in the queue, TookMS the time since the request was received and AgeMS that
 	// of the state on which the decision is based, all in milliseconds.
 	WaitedMS int64 `json:"waited_ms,omitempty"`
 	TookMS   int64 `json:"took_ms,omitempty"`
 	AgeMS    int64 `json:"age_ms,omitempty"`
-	// FirstEventMS is the time from the last send to the first event of a stream, Pause the longest time
-	// between two events, both in milliseconds.
+	// FirstEventMS is the time from the last send to the first event of a stream, MaxPauseMS the longest
+	// time between two events, both in milliseconds.
 	FirstEventMS int64 `json:"first_ms,omitempty"`
 	MaxPauseMS   int64 `json:"pause_ms,omitempty"`
-	// RemainingMS is the time until the deadline of the caller or the route, Expected the predicted
+	// RemainingMS is the time until the deadline of the caller or the route, ExpectedWaitMS the predicted
 	// wait, both in milliseconds.
 	RemainingMS    int64 `json:"left_ms,omitempty"`
 	ExpectedWaitMS int64 `json:"expected_ms,omitempty"`
-	// Priority is the rank that was used, Waiting the number of requests queued ahead, Free the
+	// Priority is the rank that was used, QueuedAhead the number of requests queued ahead, FreeSlots the
 	// number of free slots at the time of the decision.
 	Priority    int `json:"priority,omitempty"`
 	QueuedAhead int `json:"waiting,omitempty"`
@@ -61,8 +61,8 @@
 	Prompt int `json:"prompt,omitempty"`
 	Answer int `json:"answer,omitempty"`
 	Count  int `json:"count,omitempty"`
-	// IsRetry is true for an assignment of a request that was sent to a replica before. Asked is the
-	// number of calls to scheduling nodes until a decision, if that was more than one.
+	// IsRetry is true for an assignment of a request that was sent to a replica before. SchedulerCalls
+	// is the number of calls to scheduling nodes until a decision, if that was more than one.
 	IsRetry        bool   `json:"repeat,omitempty"`
 	SchedulerCalls int    `json:"asked,omitempty"`
 	Detail         string `json:"detail,omitempty"`
--- a/lab/entrylab/keeper.go
+++ b/lab/entrylab/restarter.go
@@ -35,90 +35,90 @@
 	ends         []time.Time
 }
 
-// Keep starts the keeper's replica on the host. It restarts until the deployment stops.
-func (d *Deployment) Keep(host string, keeper *Restarter) error {
-	keeper.deployment, keeper.host = d, host
-	return keeper.start()
+// Keep starts the restarter's replica on the host. It restarts until the deployment stops.
+func (d *Deployment) Keep(host string, restarter *Restarter) error {
+	restarter.deployment, restarter.host = d, host
+	return restarter.start()
 }
 
-func (k *Restarter) start() error {
-	k.mutex.Lock()
-	id := k.ID
-	if !k.SameID {
-		id = fmt.Sprintf("%s.%d", k.ID, len(k.incarnations))
+func (r *Restarter) start() error {
+	r.mutex.Lock()
+	id := r.ID
+	if !r.SameID {
+		id = fmt.Sprintf("%s.%d", r.ID, len(r.incarnations))
 	}
 	replica := &platformsim.Replica{
-		ID: id, Service: k.Service, Zone: k.Zone, Version: k.Version, Slots: k.Slots, Events: k.Events, Step: k.Step,
+		ID: id, Service: r.Service, Zone: r.Zone, Version: r.Version, Slots: r.Slots, Events: r.Events, Step: r.Step,
 		StartedAt: time.Now().UnixMilli(),
 	}
-	replica.OnCrash = func() { k.handleEnd(replica) }
-	replica.SetBehavior(k.Behave)
-	k.incarnations = append(k.incarnations, replica)
-	k.mutex.Unlock()
-	return k.deployment.AddReplica(k.host, replica)
+	replica.OnCrash = func() { r.handleEnd(replica) }
+	replica.SetBehavior(r.Behave)
+	r.incarnations = append(r.incarnations, replica)
+	r.mutex.Unlock()
+	return r.deployment.AddReplica(r.host, replica)
 }
 
 // handleEnd records the end and schedules the restart, and the removal of the store entry unless
 // later incarnations use the same id.
-func (k *Restarter) handleEnd(replica *platformsim.Replica) {
-	k.mutex.Lock()
-	k.ends = append(k.ends, time.Now())
-	k.mutex.Unlock()
+func (r *Restarter) handleEnd(replica *platformsim.Replica) {
+	r.mutex.Lock()
+	r.ends = append(r.ends, time.Now())
+	r.mutex.Unlock()
 	time.AfterFunc(restartDelay, func() {
-		if k.deployment.isStopping.Load() {
+		if r.deployment.isStopping.Load() {
 			return
 		}
-		if err := k.start(); err != nil {
+		if err := r.start(); err != nil {
 			panic(err) // the host's address is in use, an error of the test
 		}
 	})
-	if !k.SameID {
-		time.AfterFunc(entryLifetime, func() { k.deployment.Store.Delete("servers/" + replica.ID) })
+	if !r.SameID {
+		time.AfterFunc(entryLifetime, func() { r.deployment.Store.Delete("servers/" + replica.ID) })
 	}
 }
 
 // End crashes the replica; it restarts after restartDelay.
-func (k *Restarter) End() {
-	k.mutex.Lock()
-	latest := k.incarnations[len(k.incarnations)-1]
-	k.mutex.Unlock()
+func (r *Restarter) End() {
+	r.mutex.Lock()
+	latest := r.incarnations[len(r.incarnations)-1]
+	r.mutex.Unlock()
 	if latest.Crash() {
-		k.handleEnd(latest)
+		r.handleEnd(latest)
 	}
 }
 
 // StopCrashing makes the current incarnation and all later ones answer every request.
-func (k *Restarter) StopCrashing() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.Behave = nil
-	k.incarnations[len(k.incarnations)-1].SetBehavior(nil)
+func (r *Restarter) StopCrashing() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.Behave = nil
+	r.incarnations[len(r.incarnations)-1].SetBehavior(nil)
 }
 
 // Ends returns the times at which the replica ended.
-func (k *Restarter) Ends() []time.Time {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return append([]time.Time{}, k.ends...)
+func (r *Restarter) Ends() []time.Time {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return append([]time.Time{}, r.ends...)
 }
 
 // Arrivals returns the number of requests that reached the replica in all incarnations, run or not.
-func (k *Restarter) Arrivals() int {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (r *Restarter) Arrivals() int {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	count := 0
-	for _, incarnation := range k.incarnations {
+	for _, incarnation := range r.incarnations {
 		count += incarnation.Arrivals()
 	}
 	return count
 }
 
 // Runs returns the requests that the replica ran in all incarnations.
-func (k *Restarter) Runs() []platformsim.Run {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (r *Restarter) Runs() []platformsim.Run {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var runs []platformsim.Run
-	for _, incarnation := range k.incarnations {
+	for _, incarnation := range r.incarnations {
 		runs = append(runs, incarnation.Runs()...)
 	}
 	return runs
--- a/lab/memnet/datagrams.go
+++ b/lab/memnet/datagrams.go
@@ -13,7 +13,7 @@
 const socketBacklog = 1024
 
 // Datagrams returns the datagram network as seen from the named host. Datagrams across a
-// cut, or to an address without a socket, are lost without an error.
+// blocked link, or to an address without a socket, are lost without an error.
 func (f *Fabric) Datagrams(name string) network.Datagrams { return host{fabric: f, name: name} }
 
 // socket is an open datagram socket.
@@ -60,7 +60,7 @@
 	defer f.mutex.Unlock()
 	receiver := f.sockets[address]
 	sendDelay, sent := f.sendDatagram(from, to, bytes)
-	if !sent || receiver == nil || f.cuts[hostPair{from, to}] {
+	if !sent || receiver == nil || f.blockedLinks[hostPair{from, to}] {
 		return nil, 0
 	}
 	receiveDelay, received := f.receiveDatagram(from, to, bytes)
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -1,5 +1,5 @@
 // Package memnet implements a network in memory, on which nodes run under virtual time.
-// Traffic between hosts can be cut in one or both directions, hosts can be paused, and the
+// Traffic between hosts can be blocked in one or both directions, hosts can be paused, and the
 // link of a host can have a limited bandwidth. It does not model latency.
 package memnet
 
@@ -18,14 +18,14 @@
 
 // Fabric is a network of named hosts. It is safe for concurrent use.
 type Fabric struct {
-	mutex       sync.Mutex
-	listeners   map[string]*listener
-	cuts        map[hostPair]bool
-	paused      map[string]chan struct{}
-	connections map[*connection]bool
-	nextPort    int
-	sockets     map[string]*socket
-	hostLinks   hostLinks
+	mutex        sync.Mutex
+	listeners    map[string]*listener
+	blockedLinks map[hostPair]bool
+	paused       map[string]chan struct{}
+	connections  map[*connection]bool
+	nextPort     int
+	sockets      map[string]*socket
+	hostLinks    hostLinks
 }
 
 // hostPair is a sending and a receiving host.
@@ -45,7 +45,7 @@
 // New returns a fabric without hosts.
 func New() *Fabric {
 	return &Fabric{
-		listeners: map[string]*listener{}, cuts: map[hostPair]bool{}, paused: map[string]chan struct{}{},
+		listeners: map[string]*listener{}, blockedLinks: map[hostPair]bool{}, paused: map[string]chan struct{}{},
 		connections: map[*connection]bool{}, nextPort: 1000, sockets: map[string]*socket{}, hostLinks: newHostLinks(),
 	}
 }
@@ -58,10 +58,10 @@
 func (f *Fabric) BlockLink(from, to string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.cuts[hostPair{from, to}] = true
+	f.blockedLinks[hostPair{from, to}] = true
 }
 
-// Partition cuts the traffic between the two groups of hosts in both directions.
+// Partition blocks the traffic between the two groups of hosts in both directions.
 func (f *Fabric) Partition(left, right []string) {
 	for _, a := range left {
 		for _, b := range right {
@@ -71,10 +71,10 @@
 	}
 }
 
-// Heal ends all cuts. Connections that lost data are closed.
+// Heal unblocks all links. Connections that lost data are closed.
 func (f *Fabric) Heal() {
 	f.mutex.Lock()
-	clear(f.cuts)
+	clear(f.blockedLinks)
 	var broken []*connection
 	for c := range f.connections {
 		if c.broken {
@@ -163,15 +163,15 @@
 // errRefused is the error of dialing an address without a listener.
 var errRefused error = syscall.ECONNREFUSED
 
-// Dial implements network.Network. Across a cut it blocks until the context ends.
+// Dial implements network.Network. Over a blocked link it blocks until the context ends.
 func (h host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	h.fabric.WaitResumed(h.name)
 	target, _, _ := strings.Cut(address, ":")
 	h.fabric.mutex.Lock()
-	cut := h.fabric.cuts[hostPair{h.name, target}] || h.fabric.cuts[hostPair{target, h.name}]
+	blocked := h.fabric.blockedLinks[hostPair{h.name, target}] || h.fabric.blockedLinks[hostPair{target, h.name}]
 	found := h.fabric.listeners[address]
 	h.fabric.mutex.Unlock()
-	if cut {
+	if blocked {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -220,8 +220,8 @@
 	return count, err
 }
 
-// Write implements net.Conn. Content written across a cut is lost without an error. Over a
-// limited link, Write returns when the content has been transmitted and read.
+// Write implements net.Conn. Content written over a blocked link is lost without an error. Over
+// a limited link, Write returns when the content has been transmitted and read.
 func (e *endpoint) Write(content []byte) (int, error) {
 	if e.fabric.isLimited(e.local, e.remote) {
 		return e.writeChunks(content)
@@ -231,11 +231,11 @@
 }
 
 // deliver writes content to the peer's pipe, or drops it if the connection is broken or
-// the direction is cut.
+// the direction is blocked.
 func (e *endpoint) deliver(content []byte) (int, error) {
 	e.fabric.WaitResumed(e.local)
 	e.fabric.mutex.Lock()
-	lost := e.connection.broken || e.fabric.cuts[hostPair{e.local, e.remote}]
+	lost := e.connection.broken || e.fabric.blockedLinks[hostPair{e.local, e.remote}]
 	if lost {
 		e.connection.broken = true
 	}
@@ -246,11 +246,11 @@
 	return e.Conn.Write(content)
 }
 
-// Close implements net.Conn. Across a cut, or on a broken connection, the peer is not
+// Close implements net.Conn. Over a blocked link, or on a broken connection, the peer is not
 // notified.
 func (e *endpoint) Close() error {
 	e.fabric.mutex.Lock()
-	isLost := e.connection.broken || e.fabric.cuts[hostPair{e.local, e.remote}]
+	isLost := e.connection.broken || e.fabric.blockedLinks[hostPair{e.local, e.remote}]
 	if isLost {
 		e.connection.broken = true
 	} else {
@@ -259,7 +259,7 @@
 	e.fabric.mutex.Unlock()
 	if isLost {
 		// Closing a pipe wakes both ends. A deadline on this half only leaves the peer
-		// blocked in its read until the cut heals.
+		// blocked in its read until the link is unblocked.
 		return e.SetDeadline(pastTime)
 	}
 	e.connection.signalClosed()
--- a/lab/platformsim/copy.go
+++ b/lab/platformsim/backup.go
@@ -26,8 +26,8 @@
 	return &StoreBackup{items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision, revision: s.revision}
 }
 
-// Restore resets the store to the copy and increments the era. Later changes and all leases with their
-// keys are lost, revisions since the copy are assigned again, and pending watches are aborted.
+// Restore resets the store to the backup and increments the era. Later changes and all leases with their
+// keys are lost, revisions since the backup are assigned again, and pending watches are aborted.
 func (s *Store) Restore(from *StoreBackup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/platformsim/replica.go
+++ b/lab/platformsim/replica.go
@@ -91,8 +91,8 @@
 type Arrival struct {
 	ID string
 	At time.Time
-	// Pushback is the pushback of the answer, whose head was written at HeadAt; both are zero without an
-	// answer. Refused is true if the answer states that the request was not run.
+	// Pushback is the pushback of the answer, whose head was written at HeadAt; both are zero without
+	// an answer. Rejected is true if the answer states that the request was not run.
 	Pushback Pushback
 	HeadAt   time.Time
 	Rejected bool
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -178,11 +178,11 @@
 // entries are written again.
 func (i *injector) restoreStore() (heal func()) {
 	store := i.deployment.store
-	copied := store.Backup()
+	backup := store.Backup()
 	time.Sleep(time.Second) // acknowledge changes that the copy lacks
 	store.SetDown(true)
 	return func() {
-		store.Restore(copied)
+		store.Restore(backup)
 		store.SetDown(false)
 		time.Sleep(rewriteDelay)
 		i.deployment.rewriteStore()
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -17,7 +17,7 @@
 
 // Faults of engines and services.
 const (
-	NoMisbehavior Fault = iota
+	NoFault Fault = iota
 	// DiesBeforeAnswer closes the connection after the request was read. The request
 	// continues to run.
 	DiesBeforeAnswer
@@ -87,7 +87,7 @@
 	leaving      bool
 	fence        int64
 	orders       []OrderRecord
-	misbehave    func(requestID string) Fault
+	selectFault  func(requestID string) Fault
 	reports      []timedReport
 	events       []structs.CacheEvent
 	eventBatches int
@@ -128,12 +128,12 @@
 	e.stopped.Wait()
 }
 
-// SetMisbehavior sets the function that selects the fault of each request. Nil means no
+// SetFault sets the function that selects the fault of each request. Nil means no
 // faults.
-func (e *Engine) SetMisbehavior(misbehave func(requestID string) Fault) {
+func (e *Engine) SetFault(selectFault func(requestID string) Fault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.misbehave = misbehave
+	e.selectFault = selectFault
 }
 
 // SetSlowdown sets the factor by which the duration of each step is multiplied.
--- a/lab/standin/enginehttp.go
+++ b/lab/standin/enginehttp.go
@@ -45,8 +45,8 @@
 		return
 	}
 	id := request.Header.Get(backendhttp.HeaderRequestID)
-	misbehavior := e.misbehavior(id)
-	if misbehavior == DropsRequest {
+	fault := e.faultFor(id)
+	if fault == DropsRequest {
 		e.mutex.Lock()
 		e.recordSubmission(id, string(content))
 		e.mutex.Unlock()
@@ -64,22 +64,22 @@
 		OutputTokens: outputTokens(id, extra.LabOutputTokens, extra.MaxTokens),
 		Chain:        prefix.Chain(parsed.Model, parsed.Prompt),
 	}, chat, string(content))
-	switch misbehavior {
+	switch fault {
 	case DiesBeforeAnswer:
 		panic(http.ErrAbortHandler)
 	case AnswersLate:
 		time.Sleep(LateAnswerDelay)
 	}
-	e.streamEvents(writer, request, job, 0, misbehavior)
+	e.streamEvents(writer, request, job, 0, fault)
 }
 
-func (e *Engine) misbehavior(id string) Fault {
+func (e *Engine) faultFor(id string) Fault {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.misbehave == nil {
-		return NoMisbehavior
+	if e.selectFault == nil {
+		return NoFault
 	}
-	return e.misbehave(id)
+	return e.selectFault(id)
 }
 
 func (e *Engine) serveEvents(writer http.ResponseWriter, request *http.Request) {
@@ -91,18 +91,18 @@
 		http.Error(writer, "unknown request", http.StatusNotFound)
 		return
 	}
-	e.streamEvents(writer, request, job, after, NoMisbehavior)
+	e.streamEvents(writer, request, job, after, NoFault)
 }
 
 // eventsBeforeDisconnect is the number of events that DiesMidAnswer sends.
 const eventsBeforeDisconnect = 3
 
 // streamEvents writes the events of the job after the given number until the last one.
-func (e *Engine) streamEvents(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, misbehavior Fault) {
+func (e *Engine) streamEvents(writer http.ResponseWriter, request *http.Request, job *engineJob, after int, fault Fault) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	sent := after
-	output := eventWriter{writer: writer, job: job, misbehavior: misbehavior}
+	output := eventWriter{writer: writer, job: job, fault: fault}
 	for {
 		e.mutex.Lock()
 		events := job.events[min(sent, len(job.events)):]
@@ -111,7 +111,7 @@
 		e.mutex.Unlock()
 		for _, event := range events {
 			sent++
-			if misbehavior == DiesMidAnswer && sent > eventsBeforeDisconnect {
+			if fault == DiesMidAnswer && sent > eventsBeforeDisconnect {
 				panic(http.ErrAbortHandler)
 			}
 			output.write(sent, event)
@@ -133,16 +133,16 @@
 	}
 }
 
-// eventWriter writes the events of an answer and applies the misbehavior.
+// eventWriter writes the events of an answer and applies the fault.
 type eventWriter struct {
-	writer      io.Writer
-	job         *engineJob
-	misbehavior Fault
-	delayed     []byte
+	writer  io.Writer
+	job     *engineJob
+	fault   Fault
+	delayed []byte
 }
 
 func (w *eventWriter) write(number int, event []byte) {
-	switch w.misbehavior {
+	switch w.fault {
 	case AnswersTwice:
 		w.writeEvent(number, event)
 	case AnswersOutOfOrder:
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -21,15 +21,15 @@
 	// Slots is the maximum number of concurrent calls. Further calls are queued.
 	Slots int
 
-	mutex      sync.Mutex
-	executions map[string]*Execution
-	requestIDs []string
-	running    int
-	waiting    int
-	leaving    bool
-	sequence   uint64
-	misbehave  func(requestID string) Fault
-	slots      chan struct{}
+	mutex       sync.Mutex
+	executions  map[string]*Execution
+	requestIDs  []string
+	running     int
+	waiting     int
+	leaving     bool
+	sequence    uint64
+	selectFault func(requestID string) Fault
+	slots       chan struct{}
 }
 
 // NewService returns a service.
@@ -37,12 +37,12 @@
 	return &Service{ID: id, CallTime: callTime, Slots: slots, executions: map[string]*Execution{}, slots: make(chan struct{}, slots)}
 }
 
-// SetMisbehavior sets the function that selects the fault of each call. Nil means no
+// SetFault sets the function that selects the fault of each call. Nil means no
 // faults.
-func (s *Service) SetMisbehavior(misbehave func(requestID string) Fault) {
+func (s *Service) SetFault(selectFault func(requestID string) Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.misbehave = misbehave
+	s.selectFault = selectFault
 }
 
 // SetLeaving makes the service report that it is leaving.
@@ -97,7 +97,7 @@
 		return
 	}
 	id := request.Header.Get(backendhttp.HeaderRequestID)
-	execution, misbehavior := s.recordCall(id, request.Header.Get("Idempotency-Key"), string(content))
+	execution, fault := s.recordCall(id, request.Header.Get("Idempotency-Key"), string(content))
 	s.slots <- struct{}{}
 	s.adjustCounts(1, -1)
 	time.Sleep(s.CallTime)
@@ -107,7 +107,7 @@
 	execution.Done = true
 	count := execution.Count
 	s.mutex.Unlock()
-	switch misbehavior {
+	switch fault {
 	case DiesBeforeAnswer, DropsRequest:
 		panic(http.ErrAbortHandler)
 	case AnswersLate:
@@ -132,10 +132,10 @@
 	}
 	execution.Count++
 	s.waiting++
-	if s.misbehave == nil {
-		return execution, NoMisbehavior
+	if s.selectFault == nil {
+		return execution, NoFault
 	}
-	return execution, s.misbehave(id)
+	return execution, s.selectFault(id)
 }
 
 func (s *Service) adjustCounts(running, waiting int) {
--- a/outside/directory.go
+++ b/outside/directory.go
@@ -12,7 +12,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// RemovedReplica reports that the entry of a replica was removed, at the store position Revision.
+// RemovedReplica reports that the entry of a replica was removed, at the store position Position.
 type RemovedReplica struct {
 	ID       string
 	Position structs.StorePosition
@@ -22,12 +22,12 @@
 type Update struct {
 	// Position is the store position up to which the update covers the directory's history.
 	Position structs.StorePosition
-	// Complete is true if Replicas lists all replicas. FullSnapshot is true if Orders, Records and
-	// Evacuations are complete as well.
+	// Complete is true if Replicas lists all replicas. FullSnapshot is true if RolloutOrders,
+	// RolloutRecords and Evacuations are complete as well.
 	Complete, FullSnapshot bool
 	// Calls is the number of store calls that the update took.
 	Calls int
-	// Catalog is the configuration at CatalogRevision; nil if it did not change.
+	// Catalog is the configuration at CatalogPosition; nil if it did not change.
 	Catalog         *catalog.Document
 	CatalogPosition structs.StorePosition
 	Replicas        []replicas.Replica
@@ -35,11 +35,11 @@
 	// Evacuations are orders to evacuate a zone, or to lift that. A full snapshot lists every
 	// evacuated zone.
 	Evacuations []evacuations.Order
-	// RolloutOrders are the operators' roll-out orders, Records the stored progress of roll-outs.
+	// RolloutOrders are the operators' roll-out orders, RolloutRecords the stored progress of roll-outs.
 	RolloutOrders  []rollouts.Order
 	RolloutRecords []rollouts.Record
-	// PoisonRecords are the poison records as stored at ContentsRevision. If that is zero, the update
-	// says nothing about them.
+	// PoisonRecords are the poison records as stored at PoisonRecordsPosition. If that is zero,
+	// the update says nothing about them.
 	PoisonRecords         []poisonrecords.Record
 	PoisonRecordsPosition structs.StorePosition
 	// Problems has an error for each entry, or field of an entry, that was invalid and ignored.
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -17,7 +17,7 @@
 	return mix(xxhash.Sum64String(member) ^ xxhash.Sum64(buffer[:]))
 }
 
-// WeightOfHash returns the weight of a member that is given by its Key. Its weights
+// WeightOfHash returns the weight of a member that is given by its Hash. Its weights
 // differ from those of Weight.
 func WeightOfHash(member, key uint64) uint64 { return mix(member ^ mix(key)) }
 
--- a/structs/plan.go
+++ b/structs/plan.go
@@ -57,7 +57,7 @@
 type Plan struct {
 	Request *Request `json:"-"`
 	Verdict Verdict  `json:"verdict"`
-	// Reason is ReasonNone unless the verdict is VerdictRefuse.
+	// Reason is ReasonNone unless the verdict is VerdictReject.
 	Reason Reason `json:"reason,omitempty"`
 	// Replica is the replica to send the request to; the zero value for rejections.
 	Replica Replica `json:"replica"`
--- a/test/entry/poison_test.go
+++ b/test/entry/poison_test.go
@@ -35,9 +35,9 @@
 // crashScenario is a scenario whose replicas crash under requests of one path and restart.
 type crashScenario struct {
 	*scenario
-	keepers []*entrylab.Restarter
-	group   sync.WaitGroup
-	mutex   sync.Mutex
+	restarters []*entrylab.Restarter
+	group      sync.WaitGroup
+	mutex      sync.Mutex
 	// poisonReplies and otherReplies count the replies to the poison request and to all other
 	// requests, by status.
 	poisonReplies, otherReplies map[int]int
@@ -65,12 +65,12 @@
 			service, events = "registry", 0
 		}
 		for i := range 8 {
-			keeper := &entrylab.Restarter{
+			restarter := &entrylab.Restarter{
 				ID: fmt.Sprint("i-k", i), Service: service, Zone: []string{"east", "west"}[i%2], Slots: 4, Events: events, Step: 30 * time.Millisecond,
 				SameID: testCase.sameID, Behave: crashOnPoison,
 			}
-			s.Expect(s.deployment.Keep(fmt.Sprint("k", i), keeper)).To(gomega.Succeed())
-			s.keepers = append(s.keepers, keeper)
+			s.Expect(s.deployment.Keep(fmt.Sprint("k", i), restarter)).To(gomega.Succeed())
+			s.restarters = append(s.restarters, restarter)
 		}
 		for _, replica := range append(append([]*platformsim.Replica{}, s.engines...), s.plainReplicas...) {
 			replica.Crash() // only replicas that restart are used
@@ -136,8 +136,8 @@
 // crashTimes returns the times of all crashes in ascending order.
 func (s *crashScenario) crashTimes() []time.Time {
 	var all []time.Time
-	for _, keeper := range s.keepers {
-		all = append(all, keeper.Ends()...)
+	for _, restarter := range s.restarters {
+		all = append(all, restarter.Ends()...)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Before(all[j]) })
 	return all
@@ -146,8 +146,8 @@
 // poisonRuns returns the times at which the poison request started to run.
 func (s *crashScenario) poisonRuns() []time.Time {
 	var all []time.Time
-	for _, keeper := range s.keepers {
-		for _, run := range keeper.Runs() {
+	for _, restarter := range s.restarters {
+		for _, run := range restarter.Runs() {
 			if strings.Contains(run.Target, poisonPath) {
 				all = append(all, run.At)
 			}
@@ -253,7 +253,7 @@
 			s.sendInBackground(hosts[i%3], "safe", "popular")
 			time.Sleep(100 * time.Millisecond)
 			if i%12 == 6 {
-				s.keepers[i%8].End()
+				s.restarters[i%8].End()
 			}
 		}
 		s.group.Wait()
@@ -271,8 +271,8 @@
 				s.sendInBackground(hosts[i%3], "safe", "popular")
 			}
 			time.Sleep(10 * time.Millisecond)
-			for _, keeper := range s.keepers {
-				keeper.End()
+			for _, restarter := range s.restarters {
+				restarter.End()
 			}
 			s.group.Wait()
 			time.Sleep(5 * time.Second)
@@ -342,8 +342,8 @@
 		for _, host := range hosts {
 			s.Expect(s.deployment.Node(host).Status().Blocked).To(gomega.BeEmpty(), host)
 		}
-		for _, keeper := range s.keepers {
-			keeper.StopCrashing()
+		for _, restarter := range s.restarters {
+			restarter.StopCrashing()
 		}
 		time.Sleep(3 * time.Second)
 		s.Expect(s.sendContent("n3", "stream", poisonPath).status).To(gomega.Equal(http.StatusOK))
@@ -357,8 +357,8 @@
 	for _, route := range []string{"once", "safe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			runCrashes(t, crashCase{route: route}, func(s *crashScenario) {
-				for _, keeper := range s.keepers[:6] {
-					keeper.End()
+				for _, restarter := range s.restarters[:6] {
+					restarter.End()
 				}
 				const count = 12
 				for i := range count { // before any node has detected which ones are down
@@ -377,12 +377,12 @@
 func TestPoisonRequestDoesNotRollBackAGoodVersion(t *testing.T) {
 	runCrashes(t, crashCase{route: "safe"}, func(s *crashScenario) {
 		s.deployment.Store.Order(platformsim.RolloutOrder{Service: "registry", Target: "v2", Duration: rolloutDuration.Seconds()})
-		for i := range len(s.keepers) {
-			keeper := &entrylab.Restarter{
+		for i := range len(s.restarters) {
+			restarter := &entrylab.Restarter{
 				ID: fmt.Sprint("i-new", i), Service: "registry", Zone: "east", Version: "v2", Slots: 4, Step: 30 * time.Millisecond, Behave: crashOnPoison,
 			}
-			s.Expect(s.deployment.Keep(fmt.Sprint("new", i), keeper)).To(gomega.Succeed())
-			s.keepers = append(s.keepers, keeper)
+			s.Expect(s.deployment.Keep(fmt.Sprint("new", i), restarter)).To(gomega.Succeed())
+			s.restarters = append(s.restarters, restarter)
 		}
 		for i := range 800 { // until the deadline
 			s.sendInBackground(hosts[i%3], "safe", fmt.Sprint("other", i))
@@ -422,8 +422,8 @@
 	for _, route := range []string{"once", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			runCrashes(t, crashCase{route: route}, func(s *crashScenario) {
-				for _, keeper := range s.keepers[:6] {
-					keeper.End()
+				for _, restarter := range s.restarters[:6] {
+					restarter.End()
 				}
 				time.Sleep(2200 * time.Millisecond) // all have restarted, and the old entries still exist
 				const count = 60
@@ -433,9 +433,9 @@
 				}
 				s.group.Wait()
 				arrivals, runs := 0, 0
-				for _, keeper := range s.keepers {
-					arrivals += keeper.Arrivals()
-					runs += len(keeper.Runs())
+				for _, restarter := range s.restarters {
+					arrivals += restarter.Arrivals()
+					runs += len(restarter.Runs())
 				}
 				t.Logf("%d arrivals, %d runs, replies %v", arrivals, runs, s.otherReplies)
 				s.Expect(arrivals - runs).To(gomega.BeNumerically("<=", 2))
--- a/test/faultmatrix/faults_test.go
+++ b/test/faultmatrix/faults_test.go
@@ -89,10 +89,10 @@
 		run.mutex.Unlock()
 		always := func(string) standin.Fault { return kind }
 		for _, engine := range run.cluster.Engines {
-			engine.SetMisbehavior(always)
+			engine.SetFault(always)
 		}
 		for _, service := range run.cluster.Services {
-			service.SetMisbehavior(always)
+			service.SetFault(always)
 		}
 	}
 }
--- a/test/faultmatrix/harness_test.go
+++ b/test/faultmatrix/harness_test.go
@@ -216,11 +216,11 @@
 	run.cluster.Store.SetFault(nil)
 	run.cluster.Machines.SetDown(false)
 	for _, engine := range run.cluster.Engines {
-		engine.SetMisbehavior(nil)
+		engine.SetFault(nil)
 		engine.SetSlowdown(1)
 	}
 	for _, service := range run.cluster.Services {
-		service.SetMisbehavior(nil)
+		service.SetFault(nil)
 	}
 	if run.down[run.victim] {
 		if err := run.cluster.StartNode(run.victim, victimZone); err != nil {
