--- a/coordination/admission/prefill.go
+++ b/coordination/admission/prefill.go
@@ -61,25 +61,25 @@
 // expected too late if the replica has that many unread tokens before it. It returns false if the
 // prefill time is unknown.
 func (r *replicaSnapshot) wouldMissTarget(request *Request, waited time.Duration, unreadTokens int) bool {
-	if request.Prompt == 0 || r.prefillTimePerToken == 0 {
+	if request.PromptTokens == 0 || r.prefillTimePerToken == 0 {
 		return false
 	}
-	firstEvent := r.prefillFixedTime + time.Duration(unreadTokens+request.Prompt)*r.prefillTimePerToken
+	firstEvent := r.prefillFixedTime + time.Duration(unreadTokens+request.PromptTokens)*r.prefillTimePerToken
 	return waited+firstEvent > time.Duration(float64(request.Target)*maxFirstEventShare)
 }
 
-// streamPause estimates the longest time between two events of a stream at the replica, with that many
+// maxEventGap estimates the longest time between two events of a stream at the replica, with that many
 // tokens in an event, while it prefills one more prompt beside its unread ones.
-func (r *replicaSnapshot) streamPause(promptTokens, stride int) time.Duration {
-	tokens := min(r.unreadTokens+promptTokens, stride*maxChunkTokens)
-	return time.Duration(stride)*r.stepTime + time.Duration(tokens)*r.prefillTimePerToken
+func (r *replicaSnapshot) maxEventGap(promptTokens, tokensPerEvent int) time.Duration {
+	tokens := min(r.unreadTokens+promptTokens, tokensPerEvent*maxChunkTokens)
+	return time.Duration(tokensPerEvent)*r.stepTime + time.Duration(tokens)*r.prefillTimePerToken
 }
 
 // wouldDelayStreams reports whether the request's prompt is expected to delay the streams at the
-// replica too long, judged by the request's own stride and longest allowed pause.
+// replica too long, judged by the request's own tokens per event and maximum event gap.
 func (r *replicaSnapshot) wouldDelayStreams(request *Request) bool {
-	if request.Pause <= 0 || r.inFlight == 0 {
+	if request.MaxEventGap <= 0 || r.inFlight == 0 {
 		return false
 	}
-	return r.streamPause(request.Prompt, max(request.Stride, 1)) > time.Duration(float64(request.Pause)*maxPauseShare)
+	return r.maxEventGap(request.PromptTokens, max(request.TokensPerEvent, 1)) > time.Duration(float64(request.MaxEventGap)*maxPauseShare)
 }
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -145,8 +145,8 @@
 	// applies.
 	OrderPosition structs.StorePosition `msgpack:"o"`
 	Phase         uint8                 `msgpack:"p"`
-	// Busy counts the node's requests at replicas that get no new requests.
-	Busy int `msgpack:"b"`
+	// InFlightAtOldReplicas counts the node's requests at replicas that get no new requests.
+	InFlightAtOldReplicas int `msgpack:"b"`
 }
 
 // Peer is a node's name and address.
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -7,8 +7,8 @@
 )
 
 // CanaryBudget is the number of requests that this scheduler may still send to a target in the canary
-// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but Fair and Spend need
-// one. It is not safe for concurrent use.
+// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but AllowsRoute and
+// Consume need one. It is not safe for concurrent use.
 type CanaryBudget struct {
 	remaining int
 	// expiresAt is when the remaining budget is void: a scheduler without contact to the store may
@@ -64,9 +64,9 @@
 	return b.remaining
 }
 
-// Open reports whether the next request may go to the target. A burst begins once the budget suffices
-// for burstSize requests and ends when it is used up.
-func (b *CanaryBudget) Open(now structs.Instant) bool {
+// InBurst reports whether the next request may go to the target. A burst begins once the budget
+// suffices for burstSize requests and ends when it is used up.
+func (b *CanaryBudget) InBurst(now structs.Instant) bool {
 	if b == nil {
 		return false
 	}
@@ -78,30 +78,31 @@
 	return b.inBurst
 }
 
-// Spent reports whether the budget is used up, regardless of its expiry.
-func (b *CanaryBudget) Spent() bool { return b == nil || b.remaining <= 0 }
+// IsExhausted reports whether the budget is used up, regardless of its expiry.
+func (b *CanaryBudget) IsExhausted() bool { return b == nil || b.remaining <= 0 }
 
-// Ask counts a request of the route that could go to the target.
-func (b *CanaryBudget) Ask(route string) {
+// RecordEligible counts a request of the route that could go to the target.
+func (b *CanaryBudget) RecordEligible(route string) {
 	if b != nil {
 		b.eligible.add(route)
 	}
 }
 
-// Fair reports whether the route has not used more than its share of the budget. Otherwise the most
-// urgent route could use all of it under load, and faults on other routes would stay undetected.
-func (b *CanaryBudget) Fair(route string) bool {
+// AllowsRoute reports whether the route has not used more than its share of the budget. Otherwise the
+// most urgent route could use all of it under load, and faults on other routes would stay undetected.
+func (b *CanaryBudget) AllowsRoute(route string) bool {
 	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
 
-// Spend counts a request of the route that is sent to the target.
-func (b *CanaryBudget) Spend(route string) {
+// Consume counts a request of the route that is sent to the target.
+func (b *CanaryBudget) Consume(route string) {
 	b.remaining--
 	b.consumed.add(route)
 }
 
-// Turn returns the number of bursts so far. Callers use it to start each burst at another replica.
-func (b *CanaryBudget) Turn() int {
+// BurstCount returns the number of bursts so far. Callers use it to start each burst at another
+// replica.
+func (b *CanaryBudget) BurstCount() int {
 	if b == nil {
 		return 0
 	}
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -17,7 +17,7 @@
 // applyPushback applies the pushback signals in the response to a request that was sent at the
 // given time. It returns the signals if the scheduling node needs them, and nil otherwise.
 func (n *Node) applyPushback(answer *replicahttp.Answer, replica replicas.Replica, sentAt structs.Instant) *pushback.Signals {
-	signals, err := n.deps.ParsePushback(answer.StatusCode, answer.Header)
+	signals, err := n.dependencies.ParsePushback(answer.StatusCode, answer.Header)
 	if err != nil {
 		n.recordUnreadablePushback(replica, err)
 	}
@@ -89,7 +89,7 @@
 func (n *Node) pushbackStatus(now structs.Instant) []PushbackStatus {
 	var statuses []PushbackStatus
 	for _, report := range n.pushback.Reports(now, func(pushback.Incarnation) bool { return true }) {
-		status := PushbackStatus{Replica: report.Life.Replica, Leaving: report.Leaving, Pause: report.Pause.Milliseconds()}
+		status := PushbackStatus{Replica: report.Incarnation.Replica, Leaving: report.Leaving, Pause: report.Pause.Milliseconds()}
 		if report.Limit.State == pushback.LimitSet {
 			status.Limit = &report.Limit.PerSecond
 		}
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -13,8 +13,8 @@
 	s.decide()
 }
 
-// setWarmings sets the limits of cold replicas by service.
-func (s *schedulingService) setWarmings(slowStarts map[string]admission.SlowStart) {
+// setSlowStarts sets the limits of cold replicas by service.
+func (s *schedulingService) setSlowStarts(slowStarts map[string]admission.SlowStart) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.slowStarts = slowStarts
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -71,15 +71,16 @@
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
-// Now can't detect a suspension if the wall time is set back by the same time; Look must.
-func TestLookFindsASuspensionHiddenByTheWallTime(t *testing.T) {
+// Now can't detect a suspension if the wall time is set back by the same time; CheckSuspension
+// must.
+func TestCheckSuspensionFindsASuspensionHiddenByTheWallTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := &machine{wall: time.Unix(1000, 0)}
 	c := m.newClock(g)
 	m.suspend(2 * time.Second)
 	m.wall = m.wall.Add(-2 * time.Second)
 	g.Expect(c.Now()).To(gomega.BeZero())
-	c.Look()
+	c.CheckSuspension()
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
 
@@ -103,7 +104,7 @@
 	m := &machine{wall: time.Unix(1000, 0)}
 	c := m.newClock(g)
 	m.stalledReadsLeft, m.stallAfterBootRead = 2, time.Second
-	c.Look()
+	c.CheckSuspension()
 	g.Expect(c.Suspended()).To(gomega.BeZero())
 	g.Expect(c.Now()).To(gomega.Equal(2 * time.Second))
 }
@@ -119,7 +120,7 @@
 	start := c.Now()
 	afterFirst := time.Now()
 	time.Sleep(20 * time.Millisecond)
-	c.Look()
+	c.CheckSuspension()
 	beforeSecond := time.Now()
 	passed := c.Now() - start
 	g.Expect(passed).To(gomega.BeNumerically(">=", beforeSecond.Sub(afterFirst)-readTolerance))
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -12,19 +12,19 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Misbehavior is a fault of an engine or service in the handling of a request.
-type Misbehavior int
+// Fault is a fault of an engine or service in the handling of a request.
+type Fault int
 
 // Faults of engines and services.
 const (
-	NoMisbehavior Misbehavior = iota
+	NoFault Fault = iota
 	// DiesBeforeAnswer closes the connection after the request was read. The request
 	// continues to run.
 	DiesBeforeAnswer
-	// ForgetsRequest closes the connection after the request was read. The engine does
+	// DropsRequest closes the connection after the request was read. The engine does
 	// not run the request and does not know its id afterwards. Services handle it as
 	// DiesBeforeAnswer.
-	ForgetsRequest
+	DropsRequest
 	// DiesMidAnswer closes the connection after a part of the answer.
 	DiesMidAnswer
 	// AnswersTwice sends each event twice. Engines only.
@@ -87,7 +87,7 @@
 	leaving      bool
 	fence        int64
 	orders       []OrderRecord
-	misbehave    func(requestID string) Misbehavior
+	selectFault  func(requestID string) Fault
 	reports      []timedReport
 	events       []structs.CacheEvent
 	eventBatches int
@@ -128,12 +128,12 @@
 	e.stopped.Wait()
 }
 
-// SetMisbehavior sets the function that selects the fault of each request. Nil means no
+// SetFault sets the function that selects the fault of each request. Nil means no
 // faults.
-func (e *Engine) SetMisbehavior(misbehave func(requestID string) Misbehavior) {
+func (e *Engine) SetFault(selectFault func(requestID string) Fault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.misbehave = misbehave
+	e.selectFault = selectFault
 }
 
 // SetSlowdown sets the factor by which the duration of each step is multiplied.
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -24,10 +24,10 @@
 	CachedTokens(replica structs.ReplicaID, chain []uint64) int
 	// Holders returns replicas that probably hold the longest indexed prefix.
 	Holders(chain []uint64) []structs.ReplicaID
-	// Sent records that a prompt with the chain was sent to the replica.
-	Sent(replica structs.ReplicaID, chain []uint64)
-	// Event applies a cache event of the replica.
-	Event(replica structs.ReplicaID, event structs.CacheEvent)
+	// RecordSent records that a prompt with the chain was sent to the replica.
+	RecordSent(replica structs.ReplicaID, chain []uint64)
+	// ApplyCacheEvent applies a cache event of the replica.
+	ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent)
 }
 
 // LRUIndex is an Index that evicts the least recently used blocks. It is not safe for
@@ -48,20 +48,20 @@
 // Len returns the number of indexed blocks.
 func (l *LRUIndex) Len() int { return l.blocks.Len() }
 
-// Sent records that a prompt with the chain was sent to the replica.
-func (l *LRUIndex) Sent(replica structs.ReplicaID, chain []uint64) {
+// RecordSent records that a prompt with the chain was sent to the replica.
+func (l *LRUIndex) RecordSent(replica structs.ReplicaID, chain []uint64) {
 	for _, block := range chain {
 		l.add(replica, block)
 	}
 }
 
-// Event applies a cache event of the replica.
-func (l *LRUIndex) Event(replica structs.ReplicaID, event structs.CacheEvent) {
+// ApplyCacheEvent applies a cache event of the replica.
+func (l *LRUIndex) ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent) {
 	if event.Stored {
-		l.add(replica, event.Block)
+		l.add(replica, event.BlockHash)
 		return
 	}
-	l.remove(replica, event.Block)
+	l.remove(replica, event.BlockHash)
 }
 
 // RemoveReplica removes the replica from all blocks, for instance after a restart.
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -34,13 +34,13 @@
 	Phase Phase
 }
 
-// Active reports whether the policy restricts any version.
-func (p *VersionPolicy) Active() bool { return p.Service != "" }
+// IsActive reports whether the policy restricts any version.
+func (p *VersionPolicy) IsActive() bool { return p.Service != "" }
 
 // AccessFor returns the access for replicas of the version.
 func (p *VersionPolicy) AccessFor(version string) Access {
 	switch {
-	case !p.Active():
+	case !p.IsActive():
 		return AccessUnrestricted
 	case p.Phase != 0 && version == p.Target:
 		return p.targetAccess()
