--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -20,7 +20,7 @@
 	id        string
 	scheduler string
 	address   string
-	// asked is the number of nodes that were asked until there was a decision.
+	// attempts is the number of scheduling services that were asked, with repeated calls to one.
 	attempts int
 }
 
@@ -148,7 +148,7 @@
 	maxUnackedFinishes = 2000
 )
 
-// finish ends a granted assignment, here and at its scheduling node.
+// reportFinish ends a granted assignment, here and at its scheduling node.
 func (n *Node) reportFinish(granted *grant, message *finishRequest) {
 	n.mutex.Lock()
 	delete(n.assignments, granted.id)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -134,14 +134,14 @@
 	return 1
 }
 
-// firstSendShare is the share of the remaining time that the first send of a repeatable
-// plain request may take.
-const firstSendShare = 0.45
+// retryableSendShare is the share of the remaining time that a send of a repeatable plain request
+// may take while a retry is allowed.
+const retryableSendShare = 0.45
 
 // sendContext returns a context that leaves time for a retry if one is allowed.
 func (c *call) sendContext() (context.Context, context.CancelFunc) {
 	if c.route.Kind == kindSafe && c.sends+1 < c.route.MaxAttempts {
-		return context.WithTimeout(c.ctx, time.Duration(float64(c.remaining())*firstSendShare))
+		return context.WithTimeout(c.ctx, time.Duration(float64(c.remaining())*retryableSendShare))
 	}
 	return context.WithCancel(c.ctx)
 }
--- a/entry/disconnects.go
+++ b/entry/disconnects.go
@@ -9,9 +9,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// A replica that closed a connection under a request may have crashed even if that can't be proven
-// at once, as when the probe of its address is lost, or the replica fell silent like a machine
-// without power. Later its removed entry, a restart or a refused connection proves it.
+// A replica that broke off a request may have crashed even if its probe proves nothing, for example
+// because its machine lost power. A removed entry, a restart or a refused connection proves the
+// crash later.
 
 const (
 	// disconnectRetention is how long such a request is kept. A replica's store entry expires about
--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -19,9 +19,8 @@
 	// as a newcomer.
 	newcomerPercent = 50
 	// discoveryDelay is the time for which peers named in a large fleet are gathered, and
-	// maxDiscoveredPeers how many of them are contacted then. informedPercent is the share of the
-	// best informed peer's fleet size, in percent, that other peers have to know for their lists to
-	// be used.
+	// maxDiscoveredPeers how many of them are contacted then. Lists of
+	// peers that knew less than informedPercent of the fleet size in a later list are dropped.
 	discoveryDelay     = 50 * time.Millisecond
 	maxDiscoveredPeers = 64
 	informedPercent    = 90
--- a/entry/era.go
+++ b/entry/era.go
@@ -21,7 +21,7 @@
 
 // era holds the known era of the store and the restore window.
 type era struct {
-	// isKnown is true once the store or a peer reported an era; present is the newest one.
+	// isKnown is true once the store or a peer reported an era; current is the newest one.
 	isKnown bool
 	current int64
 	// restoreWindow describes the latest restore, which this node counts from restoredAt.
@@ -67,7 +67,7 @@
 }
 
 // baseEra returns the era before the current restore window, which may cover several restores, or
-// the present era outside of one. The caller holds the mutex.
+// the current era outside of one. The caller holds the mutex.
 func (n *Node) baseEra() int64 {
 	if n.era.isInRestoreWindow(n.now()) {
 		return n.era.restoreWindow.Base
--- a/entry/freshness_test.go
+++ b/entry/freshness_test.go
@@ -97,7 +97,7 @@
 	g.Expect(dueScope(n, start+configurationReadFactor*time.Second, start, time.Second)).To(gomega.Equal("all"))
 }
 
-// Guards against a silent watch going unnoticed because the reading node takes its state for fresh.
+// Guards against a silent watch going unnoticed because the reading node's state counts as fresh.
 func TestFirstRankedNodesReadEvenWhenFresh(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(0)
@@ -106,7 +106,7 @@
 }
 
 // Guards against merging the freshness of a previous-version peer that sends no era: its positions
-// are lower than all of the present era, so this node would never see its own state as stale.
+// are lower than all of the current era, so this node would never see its own state as stale.
 func TestFreshnessOfPeerWithoutEraIsNotMerged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := newFreshnessNode(5)
--- a/entry/heartbeats.go
+++ b/entry/heartbeats.go
@@ -31,8 +31,8 @@
 	maxLargeFleetCandidates = 3
 	delegateInterval        = 500 * time.Millisecond
 	nonDelegateInterval     = time.Second
-	// suspensionThreshold is the suspension of this process after which other nodes will have
-	// replaced it.
+	// suspensionThreshold is how much later than planned a loop's round is after a suspension. Other
+	// nodes may have selected another scheduling node by then.
 	suspensionThreshold = time.Second
 	// peerSampleSize is the number of other nodes that a heartbeat names.
 	peerSampleSize   = 2
@@ -102,12 +102,12 @@
 }
 
 // handleResume handles the end of a suspension of the process or machine: it drops all assignments
-// of the scheduling service, cancels requests past their deadline and closes idle connections to
-// replicas, which may be broken without notice.
-func (n *Node) handleResume(pause time.Duration) {
+// of the scheduling service, cancels requests past their deadline, closes idle connections to
+// replicas, which may be broken without notice, and regards the store as having just failed.
+func (n *Node) handleResume(suspended time.Duration) {
 	cancelled := n.calls.cancelExpired(n.now())
 	n.pool.CloseIdle(0)
-	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", AgeMS: pause.Milliseconds(), Count: cancelled})
+	n.log.Write(eventlog.Event{Kind: "process.paused", Outcome: "schedule forgotten", AgeMS: suspended.Milliseconds(), Count: cancelled})
 	n.mutex.Lock()
 	all, policies := n.table.All(), n.policies
 	n.mutex.Unlock()
@@ -219,12 +219,12 @@
 	}
 }
 
-// maxHeartbeatBytes is the length of a datagram that networks carry without fragmentation.
+// maxHeartbeatBytes bounds heartbeats to what networks carry without fragmentation.
 const maxHeartbeatBytes = 1200
 
 // encodeHeartbeat encodes the heartbeat within maxHeartbeatBytes. To that end it leaves out, in
-// this order, the counts of requests that the scheduling node itself assigned, the bucket levels,
-// the failing replicas and the other counts of requests.
+// this order, the counts of requests that the scheduling node itself assigned, the bucket levels
+// and quota usage, the failing replicas and the other counts of requests.
 func encodeHeartbeat(heartbeat liveness.Heartbeat) ([]byte, error) {
 	content, err := msgpack.Marshal(heartbeat)
 	if err != nil || len(content) <= maxHeartbeatBytes {
@@ -293,7 +293,7 @@
 	}
 	heartbeat.NonDelegate, heartbeat.FleetSize = n.isNonDelegate, n.size.Known
 	if n.isLarge {
-		heartbeat.ZoneLive, heartbeat.ZoneKnown = n.zone.Live, n.zone.Known
+		heartbeat.ZoneLive, heartbeat.ZoneKnown = n.zoneSize.Live, n.zoneSize.Known
 		return heartbeat
 	}
 	heartbeat.Peers = n.members.PeerSample(int(n.sequence.Add(1)%math.MaxInt32), peerSampleSize)
--- a/entry/idle_connections.go
+++ b/entry/idle_connections.go
@@ -11,7 +11,7 @@
 // pingTimeout bounds the check of a peer on a new connection after the old one fell silent.
 const pingTimeout = 500 * time.Millisecond
 
-// handleSilentLink checks a peer whose connection was closed as silent. If it answers on a new
+// handleSilentConnection checks a peer whose connection was closed as silent. If it answers on a new
 // connection, something on the path drops connections without notice, and idle ones to replicas may
 // be broken as well. These are closed, as a request written to one would be lost.
 func (n *Node) handleSilentConnection(address string) {
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -18,8 +18,8 @@
 	releasedMetric = "/memory/classes/heap/released:bytes"
 )
 
-// minLoggedSendingBytes is the number of update and configuration bytes being sent from which
-// it is logged.
+// minLoggedSendingBytes is the minimum number of update and configuration bytes being sent for
+// which the memory in use is logged.
 const minLoggedSendingBytes = maxReplyPartsBytes / 2
 
 // heapBytes returns the bytes of heap objects, including those not yet collected.
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -83,7 +83,7 @@
 	ID string
 	// Load is the number of requests that the replica reported, or -1.
 	Load int
-	// Said are the pushback signals of the response, nil if they change nothing.
+	// Said are the pushback signals of the response, nil if the scheduling node doesn't need them.
 	Said *pushback.Signals `msgpack:",omitempty"`
 }
 
--- a/entry/node.go
+++ b/entry/node.go
@@ -133,13 +133,16 @@
 	isSelectionPending bool
 	// slowness detects whether this node is too slow to schedule.
 	slowness liveness.SlowNodeDetector
-	// readCalls is the number of calls of the latest complete read.
+	// readCalls is the number of calls to the store in the latest complete read.
 	readCalls int
 	// storeCalledAt is when this node last called the store, and peersRequestedAt when it last
 	// requested a peer list.
 	storeCalledAt, peersRequestedAt structs.Instant
-	// lastContactAt is when a heartbeat of any other node was last received.
+	// lastContactAt is when a heartbeat of any other node was last received, or a read of the store
+	// ended.
 	lastContactAt structs.Instant
+	// storeFailedAt is when a call to the store last failed, the store recovered, the process resumed
+	// or a new era began. isStoreDown is true from a failed call to the next that succeeds.
 	storeFailedAt structs.Instant
 	// watchHealthy is true while this node watches the store without failures, and
 	// watchHealthySince is when that began.
@@ -155,10 +158,10 @@
 	// updatedAt is when an update of the store was last applied.
 	updatedAt structs.Instant
 	// catalogRevision is the store position of the latest decoded configuration.
-	catalogRevision structs.StorePosition
+	catalogPosition structs.StorePosition
 	// era is the known era of the store.
 	era era
-	// fresh is the freshness of the replicas, freshConfiguration that of the configuration.
+	// replicaFreshness and configurationFreshness are the ages of the replicas and configuration.
 	replicaFreshness, configurationFreshness staleness.Freshness
 	unackedFinishes                          []unackedFinish
 	replicaPull                              staleness.PullTracker[structs.StorePosition]
@@ -172,12 +175,13 @@
 	resumedAt structs.Instant
 	// poisonStored is what the store is known to hold of poison records.
 	poisonStored storedPoisonRecords
-	// bucketLevels are the tenants' bucket levels that another scheduling node last reported, at
-	// bucketLevelsAt. It may have granted from them until bucketLevelsUntil, when its next report
-	// was due. lastActiveAt is when this node was last the active scheduler.
+	// bucketLevels are the tenants' bucket levels that another scheduling node last reported.
 	bucketLevels map[string]float64
-	// peerUsage is the quota usage that present and former scheduling nodes reported, by name.
-	peerUsage                                       map[string]receivedUsage
+	// peerUsage is the quota usage that current and former scheduling nodes reported, by name.
+	peerUsage map[string]receivedUsage
+	// bucketLevelsAt is when bucketLevels were reported. The reporting node may have granted from
+	// them until bucketLevelsUntil, when its next report was due. lastActiveAt is when this node was
+	// last the active scheduler.
 	bucketLevelsAt, bucketLevelsUntil, lastActiveAt structs.Instant
 }
 
--- a/entry/poison_sync.go
+++ b/entry/poison_sync.go
@@ -220,13 +220,13 @@
 
 // Unblock lets the suspect or blocked request with this fingerprint be sent again, on all nodes. It
 // returns an error if the text is no fingerprint or this node has no such record.
-func (n *Node) Unblock(content string) error {
+func (n *Node) Unblock(text string) error {
 	var record poisonrecords.Record
-	if err := record.Fingerprint.UnmarshalText([]byte(content)); err != nil {
+	if err := record.Fingerprint.UnmarshalText([]byte(text)); err != nil {
 		return err
 	}
 	if !n.scheduling.unblock(record.Fingerprint) {
-		return fmt.Errorf("unblock %s: request is neither suspect nor blocked on this node", content)
+		return fmt.Errorf("unblock %s: request is neither suspect nor blocked on this node", text)
 	}
 	n.sendHeartbeats()
 	return nil
--- a/entry/request_log.go
+++ b/entry/request_log.go
@@ -99,7 +99,7 @@
 	outcomeUnknown  = "unknown"
 )
 
-// logCallerLeft logs the end of a request that has not ended otherwise because its caller left.
+// logCallerLeft logs that the caller left, unless the request's end is already logged.
 func (c *call) logCallerLeft() {
 	if c.ended {
 		return
--- a/entry/rollout.go
+++ b/entry/rollout.go
@@ -124,8 +124,8 @@
 }
 
 // applyPolicies computes which versions get new requests and applies that to the scheduling
-// service. Replicas are read and policies replaced under one lock, so that policies for older
-// replicas can't replace newer ones.
+// service. Replicas are read and n.policies is replaced under one lock, so that policies for older
+// replicas can't replace newer ones there.
 func (n *Node) applyPolicies() {
 	n.mutex.Lock()
 	pools := groupByService(n.table.All())
@@ -140,10 +140,10 @@
 			policies[service] = policy
 		}
 	}
-	lifted := n.policies
+	previous := n.policies
 	n.policies = policies
 	n.mutex.Unlock()
-	for service := range lifted {
+	for service := range previous {
 		if _, still := policies[service]; !still {
 			n.scheduling.setVersions(service, rollouts.VersionPolicy{})
 		}
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -13,7 +13,7 @@
 type RolloutStatus struct {
 	rollouts.Record
 	Step string `json:"step"`
-	// Left is the time to the deadline in milliseconds; negative once it has passed.
+	// RemainingMS is the time to the deadline in milliseconds; negative once it has passed.
 	RemainingMS int64 `json:"left_ms"`
 	// RegressionScore is the evidence against the target at the scheduling node; the target is
 	// rolled back from 1 on. RegressionRoute is the route with the highest score.
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -12,7 +12,7 @@
 )
 
 // startupFullShareTime is the age of the process up to which it counts as connected to all nodes,
-// whose heartbeats arrive within that time. The share of nodes received from so far would
+// whose heartbeats arrive within that time. Until then too few nodes count as live: their share would
 // shrink restored buckets, and tenants below their quotas would be rejected.
 const startupFullShareTime = heartbeatInterval
 
@@ -26,11 +26,10 @@
 	scheduler string
 	// isLarge is true in a large fleet, and isNonDelegate if this node is not one of its delegates.
 	isLarge, isNonDelegate bool
-	// size is the fleet's size as this node and the delegates observe it, fleet the maximum of that
-	// and the size that other nodes report, and zone the size of this node's zone as observed by
-	// this node.
-	size, zone liveness.Size
-	fleetSize  int
+	// size is the fleet's size as this node and the delegates observe it, zoneSize that of this
+	// node's zone, and fleetSize the maximum of the known nodes and the size that other nodes report.
+	size, zoneSize liveness.Size
+	fleetSize      int
 	// watchRank is this node's rank among the live nodes that reach the store, and isCandidate is
 	// true if it is a candidate for scheduling.
 	watchRank   int
@@ -166,7 +165,7 @@
 // updateFleetSize computes the fleet's size and whether it is large. The caller holds the mutex.
 func (n *Node) updateFleetSize(now structs.Instant, live []*liveness.Member) {
 	settings := n.settings.Load()
-	n.size, n.zone = n.members.Size(now, settings.Zone)
+	n.size, n.zoneSize = n.members.Size(now, settings.Zone)
 	n.fleetSize = max(n.size.Known, liveness.ReportedFleetSize(live))
 	if n.isLarge = liveness.IsLarge(n.fleetSize, n.isLarge); n.isLarge {
 		return
@@ -236,8 +235,7 @@
 // delegateKnownTime is the time after which all nodes know a delegate.
 const delegateKnownTime = 2 * nonDelegateInterval
 
-// logRetryBudget logs what this node's retry budget granted while it scheduled. The lines of
-// several nodes show whether their retries add up.
+// logRetryBudget logs, by service, what this node's retry budget granted while it scheduled.
 func (n *Node) logRetryBudget() {
 	for service, stats := range n.scheduling.retryStats() {
 		n.log.Write(eventlog.Event{Kind: "retry-budget", Outcome: "ends", Service: service, Count: stats.Retries, Detail: fmt.Sprintf("%d requests, %d retries rejected", stats.Requests, stats.Rejected)})
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -51,7 +51,7 @@
 	quotas      *quota.Buckets
 	retryBudget *retrybudget.Budget
 	term        uint64
-	// quotaShare is the share of the quotas that this side of a partition grants, and isActive is
+	// quotaShare is the share of the quotas that this node may grant, and isActive is
 	// true while this node is the active scheduler.
 	quotaShare float64
 	isActive   bool
@@ -65,22 +65,24 @@
 	evacuatedZones map[string]bool
 	slowStarts     map[string]admission.SlowStart
 	// isFirst is true if no other process can have granted quotas before.
-	isFirst          bool
+	isFirst bool
+	// pending has, by ID, the channels on which the decisions on queued requests are sent.
 	pending          map[string]chan admission.Decision
 	charges          map[string]requestCharge
 	recentRejections *rejections.Recent
-	// controllers step the roll-outs of services while this node is active; maxResponseTimes has a
-	// decaying maximum of each service's response times.
-	rolloutPolicy rollout.Policy
+	rolloutPolicy    rollout.Policy
 	// poisonTracker holds the poison records. Reset keeps it: a crash stays true whichever node
 	// schedules.
 	poisonTracker *poison.Tracker
 	// onPoisonTransition is called, with the mutex held, at each change of a request's poison
 	// state.
 	onPoisonTransition func(outcome string, record poisonrecords.Record)
-	controllers        map[string]*rollout.Controller
-	maxResponseTimes   map[string]time.Duration
-	timer              *time.Timer
+	// controllers step the roll-outs of services while this node is active, and maxResponseTimes has
+	// a decaying maximum of each service's response times.
+	controllers      map[string]*rollout.Controller
+	maxResponseTimes map[string]time.Duration
+	// timer starts the next round of decisions.
+	timer *time.Timer
 	// decidedAt is the time of the last round of decisions.
 	decidedAt structs.Instant
 }
@@ -188,8 +190,8 @@
 // when the scheduling node changes. The caller holds the mutex.
 func (s *schedulingService) releaseQueuedRetries() {
 	for id, charge := range s.charges {
-		decided, waits := s.pending[id]
-		if !waits || charge.retryPermit == (retrybudget.Permit{}) {
+		decided, isPending := s.pending[id]
+		if !isPending || charge.retryPermit == (retrybudget.Permit{}) {
 			continue
 		}
 		s.scheduler.Cancel(id)
--- a/entry/scheduling_slow_start.go
+++ b/entry/scheduling_slow_start.go
@@ -13,7 +13,7 @@
 	s.decide()
 }
 
-// setWarmings sets the limits of cold replicas by service.
+// setSlowStarts sets the limits of cold replicas by service.
 func (s *schedulingService) setSlowStarts(slowStarts map[string]admission.SlowStart) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -28,9 +28,8 @@
 	}
 }
 
-// updateColdTraffic lets the scheduler send to cold replicas while this node is active with a
-// majority of the nodes; at most two nodes regard themselves as that at a time. The caller holds
-// the mutex.
+// updateColdTraffic lets the scheduler send to cold replicas only while this node is active and its
+// share of the quotas is a majority, so that few nodes do so at a time. The caller holds the mutex.
 func (s *schedulingService) updateColdTraffic() {
 	if allowed := s.isActive && s.quotaShare > majorityShare; allowed != s.scheduler.ColdTrafficAllowed() {
 		s.scheduler.SetColdTrafficAllowed(s.clock(), allowed)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -75,7 +75,7 @@
 }
 
 // checkReplicaCrash determines whether the replica that failed the request has crashed. It enters
-// the crash into the message, or defers the request if the replica's state is unknown.
+// the crash into the message, or defers the finding if the replica's state is unknown.
 func (c *call) checkReplicaCrash(granted *grant, message *finishRequest) {
 	crashed := &crashedIncarnation{Life: poisonrecords.IncarnationOf(granted.Replica.ID, granted.Replica.StartedAt), Service: c.service, Route: c.route.Name}
 	state := incarnationUnknown // also after a timeout
@@ -126,7 +126,7 @@
 	return isCounted || !n.pushback.IsLimited(incarnation)
 }
 
-// newAssignRequest returns the request for an assignment. Tried are the replicas of earlier ones.
+// newAssignRequest returns the request for an assignment; tried are the replicas of earlier ones.
 func (c *call) newAssignRequest(tried []string, isRetry bool) *assignRequest {
 	node := c.node
 	node.mutex.Lock()
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -27,7 +27,7 @@
 		isCandidate := n.isCandidate
 		n.mutex.Unlock()
 		if !isCandidate {
-			// Other nodes schedule as long as any candidate lives.
+			// Only candidates schedule while any of them is live.
 			n.sleep(nonCandidateCheckInterval)
 			continue
 		}
@@ -43,10 +43,10 @@
 }
 
 // sleepLateness sleeps and returns how late the sleep ended.
-func sleepLateness(pause time.Duration) time.Duration {
+func sleepLateness(duration time.Duration) time.Duration {
 	start := time.Now()
-	time.Sleep(pause)
-	return time.Since(start) - pause
+	time.Sleep(duration)
+	return time.Since(start) - duration
 }
 
 // workProbeBytes is the length of the input of the fixed work, a few microseconds on a healthy
--- a/entry/store.go
+++ b/entry/store.go
@@ -43,11 +43,11 @@
 	// maxNarrowLinkReadTime is how long a response of the store may occupy a narrow link at the
 	// start of a process. Shorter ones are read at once, since peers may have them no sooner.
 	maxNarrowLinkReadTime = 100 * time.Millisecond
-	// A starting node waits for its peers until this process age: watchingNodePeerWait, which is
-	// less than readinessDelay, if it is a watching node, and followerPeerWait, in which a watching
-	// node with a narrow link can read the configuration, if not.
+	// A starting node with a narrow link waits for its peers to send a large configuration up to
+	// this process age. watchingNodePeerWait, for watching nodes, is less than readinessDelay;
+	// otherNodePeerWait gives a watching node with a narrow link time to read the configuration.
 	watchingNodePeerWait = 300 * time.Millisecond
-	followerPeerWait     = 2500 * time.Millisecond
+	otherNodePeerWait    = 2500 * time.Millisecond
 	startPollInterval    = 20 * time.Millisecond
 )
 
@@ -64,7 +64,7 @@
 			continue
 		}
 		scope := n.readScope()
-		revision, err := n.read(scope)
+		position, err := n.read(scope)
 		if errors.Is(err, errkind.TooLarge) {
 			n.isConfigurationLarge.Store(true)
 			continue
@@ -89,16 +89,16 @@
 		}
 		hasRead = true
 		if scope == outside.ScopeAll {
-			n.watch(revision)
+			n.watch(position)
 			continue
 		}
 		n.sleep(minBackoff)
 	}
 }
 
-// readScope returns what the watch loop reads. Only watching nodes and, at the start of a process,
-// nodes with wide links read a large configuration. All others get it from these faster than over
-// their own links, and read only the replicas.
+// readScope returns what the watch loop reads. A node that has a configuration and does not watch
+// the store gets newer ones from its peers, and a starting node with a narrow link first waits for
+// them to send a large one; these read only the replicas.
 func (n *Node) readScope() outside.Scope {
 	n.mutex.Lock()
 	isWatching := n.watchesStore(n.now())
@@ -140,7 +140,7 @@
 	if n.watchRank < watchingNodes {
 		return watchingNodePeerWait
 	}
-	return followerPeerWait
+	return otherNodePeerWait
 }
 
 // awaitConfiguration blocks at the start of a process until a peer has sent the configuration. It
@@ -161,7 +161,7 @@
 	defer cancel()
 	startedAt := n.now()
 	n.mutex.Lock()
-	decoded := n.catalogRevision
+	decoded := n.catalogPosition
 	n.storeCalledAt = startedAt
 	n.mutex.Unlock()
 	update, err := n.dependencies.Directory.Read(ctx, scope, decoded, n.maxReadBytes(scope))
@@ -243,21 +243,21 @@
 	n.mutex.Unlock()
 }
 
-// watch watches the store from the revision until a watch fails or a complete read is due.
-func (n *Node) watch(revision structs.StorePosition) {
+// watch watches the store from the position until a watch fails or a complete read is due.
+func (n *Node) watch(position structs.StorePosition) {
 	startedAt := n.now()
 	for n.ctx.Err() == nil && n.shouldCallStore() && n.now()-startedAt < fullReadInterval {
 		// An update contains the whole configuration if it changed.
 		margin := max(watchMargin, transferTimeFactor*n.configurationTransferTime())
 		ctx, cancel := context.WithTimeout(n.ctx, watchDuration+margin)
 		n.setCancelWatch(cancel)
-		update, err := n.dependencies.Directory.Watch(ctx, revision, watchDuration)
+		update, err := n.dependencies.Directory.Watch(ctx, position, watchDuration)
 		cancel()
 		switch {
 		case errors.Is(err, errkind.StaleFence), errors.Is(err, errkind.OtherEra):
 			// Replicas could renew their entries, so the store counts as healthy. A new era
 			// is detected by the complete read that follows.
-			n.log.Write(eventlog.Event{Kind: "store.history", Outcome: "gone", Revision: revision.Revision(), Era: revision.Era()})
+			n.log.Write(eventlog.Event{Kind: "store.history", Outcome: "gone", Revision: position.Revision(), Era: position.Era()})
 			return
 		case err != nil && n.rereadRequested():
 			return
@@ -270,8 +270,8 @@
 		if !n.apply(update) {
 			return
 		}
-		if update.Position > revision {
-			revision = update.Position
+		if update.Position > position {
+			position = update.Position
 			n.sleep(watchBatchTime)
 		}
 	}
--- a/entry/store_watchers.go
+++ b/entry/store_watchers.go
@@ -119,8 +119,8 @@
 	return 2*failing >= probingNodes
 }
 
-// recordStoreReached records that another node recently reached the store. A node that does not
-// probe the store learns only so that it has recovered. The caller holds the mutex.
+// recordStoreReached records that another node recently reached the store. A node that is not a
+// probing node then regards the store as recovered. The caller holds the mutex.
 func (n *Node) recordStoreReached(now structs.Instant) {
 	if n.isStoreDown && n.storeCallRank >= probingNodes {
 		n.isStoreDown, n.storeFailedAt = false, now
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -39,7 +39,7 @@
 	return 0
 }
 
-// latest returns the position of the latest known update of replicas and roll-outs. It does not
+// latestPosition returns the position of the latest known update of replicas and roll-outs. It does not
 // advance with replicas alone, as a node must not know the replicas of a new version without the
 // order that brings it. The caller holds the mutex.
 func (n *Node) latestPosition() structs.StorePosition {
@@ -111,8 +111,8 @@
 	for _, replica := range reply.Replicas {
 		n.applyReplicaLocked(replica)
 	}
-	for id, revision := range reply.Removed {
-		n.removeReplica(id, revision)
+	for id, position := range reply.Removed {
+		n.removeReplica(id, position)
 	}
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -32,7 +32,7 @@
 	n.applyRollouts(update.RolloutOrders, update.RolloutRecords, known)
 	n.applyPoisonRecords(update.PoisonRecords, update.PoisonRecordsPosition)
 	n.mutex.Lock()
-	n.catalogRevision = max(n.catalogRevision, update.CatalogPosition)
+	n.catalogPosition = max(n.catalogPosition, update.CatalogPosition)
 	before := n.table.ChangeCount()
 	for _, replica := range update.Replicas {
 		n.applyReplicaLocked(replica)
@@ -85,7 +85,7 @@
 	return !known
 }
 
-// applyReplica applies an update of a replica and logs a change. The caller holds the mutex.
+// applyReplicaLocked applies an update of a replica and logs a change. The caller holds the mutex.
 func (n *Node) applyReplicaLocked(replica replicas.Replica) {
 	known, found := n.table.Get(replica.ID)
 	if !n.table.Put(replica) {
@@ -111,7 +111,7 @@
 // it again, about two of its heartbeats. Entries still missing then are removed.
 const entryRewriteTime = 2300 * time.Millisecond
 
-// handleEntryRemoved handles a removed entry. While the store is unhealthy, replicas can't renew
+// handleEntryRemovedLocked handles a removed entry. While the store is unhealthy, replicas can't renew
 // their entries; the replica then becomes unconfirmed and is kept until the store is healthy again.
 // The caller holds the mutex.
 func (n *Node) handleEntryRemovedLocked(gone outside.RemovedReplica) {
@@ -130,9 +130,9 @@
 
 // removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
 // deferred disconnects are resolved. The caller holds the mutex.
-func (n *Node) removeReplica(id string, revision structs.StorePosition) {
+func (n *Node) removeReplica(id string, position structs.StorePosition) {
 	known, found := n.table.Get(id)
-	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
+	if n.table.Remove(n.now(), id, position) && found && !known.Draining {
 		n.resolveDisconnects(known)
 	}
 }
--- a/entry/zones.go
+++ b/entry/zones.go
@@ -52,7 +52,7 @@
 	n.recordZoneContact(zone, err == nil)
 }
 
-// noteZone records whether a replica of the zone was reached, logs a change and selects the
+// recordZoneContact records whether a replica of the zone was reached, logs a change and selects the
 // scheduling node again after one.
 func (n *Node) recordZoneContact(zone string, reached bool) {
 	n.mutex.Lock()
