--- a/entry/assignment.go
+++ b/entry/assignment.go
@@ -20,8 +20,8 @@
 	id        string
 	scheduler string
 	address   string
-	// attempts is the number of scheduling services that were asked, with repeated calls to one.
-	attempts int
+	// schedulerCalls is the number of calls to scheduling services until there was a decision.
+	schedulerCalls int
 }
 
 // maxSchedulerAttempts bounds the nodes that are asked for one assignment; the last one is this
@@ -42,13 +42,13 @@
 		scheduler, address := n.currentScheduler()
 		if address == "" || attemptsLeft == 1 {
 			granted := n.assignLocally(ctx, request)
-			granted.attempts = attempt + 1
+			granted.schedulerCalls = attempt + 1
 			return granted
 		}
 		reply := &assignReply{}
 		err := n.callScheduler(ctx, scheduler, address, request, reply)
 		if err == nil && reply.Reason != reasonUnreachable {
-			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, attempts: attempt + 1})
+			return n.recordGrant(&grant{assignReply: reply, id: request.Request.ID, scheduler: scheduler, address: address, schedulerCalls: attempt + 1})
 		}
 		n.sendFinish(unackedFinish{address: address, message: &finishRequest{ID: request.Request.ID, NotRun: true}, since: n.now()})
 		if ctx.Err() != nil {
--- a/entry/bucket_levels.go
+++ b/entry/bucket_levels.go
@@ -8,9 +8,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Levels of the tenants' token buckets pass from one scheduling node to the next in heartbeats: the
-// active scheduler reports them, all other nodes restore theirs from them, and a node that
-// schedules at the same time as another merges them.
+// The levels of the tenants' token buckets reach the next scheduling node by heartbeats: the active
+// scheduler reports them, all other nodes restore their buckets from them, and a node that schedules
+// at the same time as another merges them.
 
 const (
 	// bucketLevelsRetention is the age up to which another scheduling node's bucket levels are
--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -9,11 +9,11 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Peer discovery. The interval of heartbeats grows with the fleet and each names only a few nodes,
-// so that many nodes that start at once would need seconds to agree on a scheduling node. Therefore
+// Peer discovery. As the interval of heartbeats grows with the fleet and each names only a few
+// nodes, many nodes that start at once would need seconds to agree on a scheduling node. Therefore
 // a node answers the first heartbeat of a new peer or process at once, and sends a newcomer the
-// list of known peers. In a large fleet that list has the delegates, and each node requests it now
-// and then to find delegates that changed.
+// list of known peers. In a large fleet that list has the delegates, and each node requests it
+// periodically to find new ones.
 const (
 	// newcomerPercent is the share of the nodes known here, in percent, below which a sender counts
 	// as a newcomer.
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -56,8 +56,8 @@
 	return len(changed) > 0
 }
 
-// evacuationsStatus returns the orders as shown to operators. The caller holds the mutex.
-func (n *Node) evacuationsStatus() []EvacuationStatus {
+// evacuationStatus returns the orders as shown to operators. The caller holds the mutex.
+func (n *Node) evacuationStatus() []EvacuationStatus {
 	var statuses []EvacuationStatus
 	for _, order := range n.evacuations.All() {
 		status := EvacuationStatus{Zone: order.Zone, Evacuated: !order.Lifted, Position: order.Position}
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -56,7 +56,7 @@
 	// maxEventGap the longest time between two events.
 	firstEventDelay, maxEventGap time.Duration
 	// answeredStatus and answeredBy are the status of the complete response and the
-	// replica that sent it.
+	// ID of the replica that sent it.
 	answeredStatus int
 	answeredBy     string
 	// alwaysLogged is true if the request's events are logged at once; otherwise
@@ -226,7 +226,7 @@
 func (c *call) endOutcomeUnknown(status int, reason string) { c.end(status, outcomeUnknown, reason) }
 
 // end logs the end of the request and sends the status. If a part of a response was sent already,
-// it aborts the connection instead, so that the caller can't take the response for complete.
+// it aborts the connection instead, so that the caller detects the truncation.
 func (c *call) end(status int, outcome, reason string) {
 	if c.ended {
 		return
--- a/entry/node.go
+++ b/entry/node.go
@@ -38,8 +38,8 @@
 	Network   network.Network
 	Datagrams network.Datagrams
 	Directory outside.Directory
-	// Revisions reads the directory's latest revision in one cheap call; nil means that only
-	// Directory does.
+	// Revisions reads the directory's latest revision in one cheap call; nil if that is not
+	// possible.
 	Revisions outside.Revisions
 	// Rollouts stores the progress of roll-outs; nil means that it is not stored.
 	Rollouts outside.Rollouts
@@ -157,11 +157,11 @@
 	isRereadRequested bool
 	// updatedAt is when an update of the store was last applied.
 	updatedAt structs.Instant
-	// catalogRevision is the store position of the latest decoded configuration.
+	// catalogPosition is the store position of the latest decoded configuration.
 	catalogPosition structs.StorePosition
 	// era is the known era of the store.
 	era era
-	// replicaFreshness and configurationFreshness are the ages of the replicas and configuration.
+	// replicaFreshness and configurationFreshness track the age of the replicas and configuration.
 	replicaFreshness, configurationFreshness staleness.Freshness
 	unackedFinishes                          []unackedFinish
 	replicaPull                              staleness.PullTracker[structs.StorePosition]
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -64,7 +64,7 @@
 	status.Scheduler, status.Failing, status.Replicas = n.scheduler, n.health.Failing(now), n.table.All()
 	status.NonDelegate, status.Fleet = n.isNonDelegate, n.fleetSize
 	status.Pushback = n.pushbackStatus(now)
-	status.Rollouts, status.Evacuations = n.rolloutStatus(now), n.evacuationsStatus()
+	status.Rollouts, status.Evacuations = n.rolloutStatus(now), n.evacuationStatus()
 	for _, member := range n.members.All(now) {
 		if member.SinceHeartbeat(now) < member.FailureTimeout() {
 			status.Live = append(status.Live, member.Name)
--- a/entry/request_log.go
+++ b/entry/request_log.go
@@ -51,8 +51,8 @@
 func (c *call) logAssignment(granted *grant) {
 	event := c.newEvent("request.placed")
 	event.Peer, event.Priority, event.IsRetry = granted.scheduler, c.priority(), c.sends > 0
-	if granted.attempts > 1 {
-		event.SchedulerCalls = granted.attempts
+	if granted.schedulerCalls > 1 {
+		event.SchedulerCalls = granted.schedulerCalls
 	}
 	event.QueuedAhead, event.FreeSlots, event.ExpectedWaitMS = granted.Waiting, granted.Free, granted.Expected.Milliseconds()
 	if granted.Reason != "" {
--- a/entry/scheduler_selection.go
+++ b/entry/scheduler_selection.go
@@ -65,13 +65,13 @@
 	if !n.isLarge {
 		wait = 0
 	}
-	isDue, isAwaited := wait <= 0, n.isSelectionPending
-	n.isSelectionPending = isAwaited || !isDue
+	isDue, isPending := wait <= 0, n.isSelectionPending
+	n.isSelectionPending = isPending || !isDue
 	n.mutex.Unlock()
 	switch {
 	case isDue:
 		n.selectScheduler()
-	case !isAwaited:
+	case !isPending:
 		time.AfterFunc(wait, func() {
 			if n.ctx.Err() == nil {
 				n.selectScheduler()
@@ -213,8 +213,8 @@
 }
 
 // announceRole logs that this node became a delegate or ceased to be one. A former delegate that
-// all nodes may know, as it held that role for delegateKnownTime, also sends them a heartbeat, so
-// that they stop sending theirs to it. Other changes are announced with the next heartbeat.
+// was one for delegateKnownTime, so that all nodes may know it, also sends them a heartbeat to make
+// them stop sending theirs to it. Other changes are announced with the next heartbeat.
 func (n *Node) announceRole(current role, roleTime time.Duration) {
 	outcome := "taken-up"
 	if current.isNonDelegate {
@@ -242,7 +242,7 @@
 	}
 }
 
-// minFailureReports is the number of nodes that must find a replica failing for its ejection.
+// minFailureReports is the minimum number of nodes that find a replica failing for its ejection.
 const minFailureReports = 2
 
 // ejectedReplicas returns the replicas that several nodes find failing, or none if these are more
--- a/entry/scheduling_rollout.go
+++ b/entry/scheduling_rollout.go
@@ -14,8 +14,8 @@
 // Roll-outs at the scheduling service: it holds the controllers, applies the version policies to
 // the scheduler and records how requests ended.
 
-// regressionScore returns the score of the evidence against the target of the service's roll-out,
-// and the route with the highest one; zero at a node that does not step it.
+// regressionScore returns the regression score of the service's roll-out and the route that has it;
+// zero at a node that does not step the roll-out.
 func (s *schedulingService) regressionScore(service string) (float64, string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/entry/scheduling_service.go
+++ b/entry/scheduling_service.go
@@ -51,8 +51,8 @@
 	quotas      *quota.Buckets
 	retryBudget *retrybudget.Budget
 	term        uint64
-	// quotaShare is the share of the quotas that this node may grant, and isActive is
-	// true while this node is the active scheduler.
+	// quotaShare is the share of the quotas that this node may grant, and isActive is true while
+	// this node is the active scheduler.
 	quotaShare float64
 	isActive   bool
 	// epoch counts the times that this node became active, last at activeSince.
--- a/entry/slow_node.go
+++ b/entry/slow_node.go
@@ -27,7 +27,7 @@
 		isCandidate := n.isCandidate
 		n.mutex.Unlock()
 		if !isCandidate {
-			// Only candidates schedule while any of them is live.
+			// Other nodes schedule only if all candidates are slow or gone.
 			n.sleep(nonCandidateCheckInterval)
 			continue
 		}
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	n.logProblems(update)
-	evacuationsChanged := n.applyEvacuations(update) // first: no node may learn the rest without the evacuations
+	evacuationsChanged := n.applyEvacuations(update) // first: no node may apply the rest without the evacuations
 	if update.Catalog != nil {
 		n.applyCatalog(update.Catalog, "store")
 	}
@@ -107,8 +107,8 @@
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Position.Revision(), Era: replica.Position.Era(), Detail: replica.Address})
 }
 
-// entryRewriteTime is how long after a store outage a replica whose entry expired may take to write
-// it again, about two of its heartbeats. Entries still missing then are removed.
+// entryRewriteTime is how long after a store outage a replica may rewrite its expired entry, about
+// two of its heartbeats. Entries still missing then are removed.
 const entryRewriteTime = 2300 * time.Millisecond
 
 // handleEntryRemovedLocked handles a removed entry. While the store is unhealthy, replicas can't renew
