--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -9,19 +9,18 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Peer discovery. The interval of heartbeats grows with the fleet and each names only a few nodes,
-// so that many nodes that start at once would need seconds to agree on a scheduling node. Therefore
+// Peer discovery. As the interval of heartbeats grows with the fleet and each names only a few
+// nodes, many nodes that start at once would need seconds to agree on a scheduling node. Therefore
 // a node answers the first heartbeat of a new peer or process at once, and sends a newcomer the
-// list of known peers. In a large fleet that list has the delegates, and each node requests it now
-// and then to find delegates that changed.
+// list of known peers. In a large fleet that list has the delegates, and each node requests it
+// periodically to find new ones.
 const (
 	// newcomerPercent is the share of the nodes known here, in percent, below which a sender counts
 	// as a newcomer.
 	newcomerPercent = 50
 	// discoveryDelay is the time for which peers named in a large fleet are gathered, and
-	// maxDiscoveredPeers how many of them are contacted then. informedPercent is the share of the
-	// best informed peer's fleet size, in percent, that other peers have to know for their lists to
-	// be used.
+	// maxDiscoveredPeers how many of them are contacted then. Lists of
+	// peers that knew less than informedPercent of the fleet size in a later list are dropped.
 	discoveryDelay     = 50 * time.Millisecond
 	maxDiscoveredPeers = 64
 	informedPercent    = 90
--- a/entry/messages.go
+++ b/entry/messages.go
@@ -82,7 +82,7 @@
 	ID string
 	// Load is the number of requests that the replica reported, or -1.
 	Load int
-	// Pushback holds the signals of the response, nil if they change nothing.
+	// Pushback holds the pushback signals of the response, nil if the scheduling node doesn't need them.
 	Pushback *pushback.Signals `msgpack:"Said,omitempty"`
 }
 
--- a/entry/update_pull.go
+++ b/entry/update_pull.go
@@ -111,8 +111,8 @@
 	for _, replica := range reply.Replicas {
 		n.applyReplicaLocked(replica)
 	}
-	for id, revision := range reply.Removed {
-		n.removeReplica(id, revision)
+	for id, position := range reply.Removed {
+		n.removeReplica(id, position)
 	}
 	changed := n.table.ChangeCount() != before
 	n.mutex.Unlock()
--- a/entry/updates.go
+++ b/entry/updates.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	n.logProblems(update)
-	evacuationsChanged := n.applyEvacuations(update) // first: no node may learn the rest without the evacuations
+	evacuationsChanged := n.applyEvacuations(update) // first: no node may apply the rest without the evacuations
 	if update.Catalog != nil {
 		n.applyCatalog(update.Catalog, "store")
 	}
@@ -32,7 +32,7 @@
 	n.applyRollouts(update.RolloutOrders, update.RolloutRecords, known)
 	n.applyPoisonRecords(update.PoisonRecords, update.PoisonRecordsPosition)
 	n.mutex.Lock()
-	n.catalogRevision = max(n.catalogRevision, update.CatalogPosition)
+	n.catalogPosition = max(n.catalogPosition, update.CatalogPosition)
 	before := n.table.ChangeCount()
 	for _, replica := range update.Replicas {
 		n.applyReplicaLocked(replica)
@@ -107,8 +107,8 @@
 	n.log.Write(eventlog.Event{Kind: "replica", Replica: replica.ID, Service: replica.Service, Outcome: outcome, Revision: replica.Position.Revision(), Era: replica.Position.Era(), Detail: replica.Address})
 }
 
-// entryRewriteTime is how long after a store outage a replica whose entry expired may take to write
-// it again, about two of its heartbeats. Entries still missing then are removed.
+// entryRewriteTime is how long after a store outage a replica may rewrite its expired entry, about
+// two of its heartbeats. Entries still missing then are removed.
 const entryRewriteTime = 2300 * time.Millisecond
 
 // handleEntryRemovedLocked handles a removed entry. While the store is unhealthy, replicas can't renew
@@ -130,9 +130,9 @@
 
 // removeReplica removes the replica from the table. If it was not draining, it has crashed, and its
 // deferred disconnects are resolved. The caller holds the mutex.
-func (n *Node) removeReplica(id string, revision structs.StorePosition) {
+func (n *Node) removeReplica(id string, position structs.StorePosition) {
 	known, found := n.table.Get(id)
-	if n.table.Remove(n.now(), id, revision) && found && !known.Draining {
+	if n.table.Remove(n.now(), id, position) && found && !known.Draining {
 		n.resolveDisconnects(known)
 	}
 }
