--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// SetEjected replaces the set of ejected replicas. They get requests only if no replica of their
-// service is healthy.
+// SetEjected replaces the set of ejected replicas. They get requests only if no healthy replica of their
+// service can be used.
 func (s *Scheduler) SetEjected(ids map[string]bool) {
 	for id, state := range s.replicaStates {
 		state.ejected = ids[id]
@@ -253,7 +253,7 @@
 	return pool
 }
 
-// Count is the state of one service as operators see it.
+// ServiceStatus is the state of one service as operators see it.
 type ServiceStatus struct {
 	Queued int `json:"waiting"`
 	// InFlight counts the reported requests by replica.
--- a/coordination/admission/assignments.go
+++ b/coordination/admission/assignments.go
@@ -31,7 +31,7 @@
 	Version string
 	// Prompt is the number of prompt tokens.
 	Prompt int
-	// Placed is the time of the assignment.
+	// AssignedAt is the time of the assignment.
 	AssignedAt structs.Instant
 }
 
@@ -56,8 +56,8 @@
 	return ended, true
 }
 
-// Observe learns the replica's speed from a request that another scheduler assigned, so that this one
-// knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
+// ObserveExternal learns the replica's speed from a request that another scheduler assigned, so that this
+// one knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
 func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, seen Observation) {
 	if seen.Failed || seen.Left || seen.Duration <= 0 {
 		return
--- a/coordination/admission/canary.go
+++ b/coordination/admission/canary.go
@@ -45,15 +45,15 @@
 	return count
 }
 
-// selectCanaries reduces the canaries to the few that take requests, in the order of this turn, and
-// limits their in-flight requests to one more than the mean of the other replicas.
-func (p *poolSnapshot) selectCanaries(turn int) {
+// selectCanaries reduces the canaries to the few that take requests, and limits their in-flight requests
+// to one more than the mean of the other replicas. Each burst starts at another canary.
+func (p *poolSnapshot) selectCanaries(burstCount int) {
 	if len(p.canaries) == 0 {
 		return
 	}
 	slices.SortFunc(p.canaries, func(a, b *replicaSnapshot) int { return strings.Compare(a.state.entry.ID, b.state.entry.ID) })
 	count := min(len(p.canaries), max(minCanaryReplicas, int(canaryReplicaShare*float64(len(p.replicas)))+1))
-	first := turn % count
+	first := burstCount % count
 	p.canaries = slices.Concat(p.canaries[first:count], p.canaries[:first])
 	mean := p.meanInFlight()
 	for _, canary := range p.canaries {
@@ -71,7 +71,7 @@
 	return (inFlight + len(p.replicas) - 1) / max(len(p.replicas), 1)
 }
 
-// chooseCanary returns the canary for the request and spends the budget, or returns nil. A request
+// chooseCanary returns the canary for the request and consumes budget for it, or returns nil. A request
 // that was tried elsewhere before gets no canary.
 func (s *Scheduler) chooseCanary(now structs.Instant, request *queuedRequest, snapshot *poolSnapshot, remaining time.Duration) *replicaSnapshot {
 	if len(snapshot.canaries) == 0 || len(request.Tried) > 0 {
--- a/coordination/admission/decide.go
+++ b/coordination/admission/decide.go
@@ -129,7 +129,7 @@
 		return decision, true
 	}
 	if replica := s.chooseReplica(now, request, snapshot, eligible, remaining); replica != nil {
-		snapshot.recordAssigned(replica)
+		snapshot.updateCounts(replica)
 		s.assign(now, request, replica, &decision)
 		return decision, true
 	}
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission decides which queued request starts next, at which replica, and which is
-// rejected, for all nodes that use one scheduling node. Engines run requests in order of arrival and
+// Package admission decides which queued requests are assigned to which replicas and which are
+// rejected, for all followers of one scheduling node. Engines run requests in order of arrival and
 // know no priorities, so requests are queued here until a replica has a free slot; a queued request
 // that is rejected has certainly not run.
 //
@@ -10,8 +10,8 @@
 // Invariants:
 //   - A queued request gets exactly one decision, and none after Cancel.
 //   - A replica is assigned a request only while its known in-flight requests are fewer than its
-//     slots plus the extra slots for requests that are still on their way to it.
-//   - A request does not start before a more urgent one of its service that could use the same slot. A
-//     request can use a slot if it meets its target there, or at no replica at all, and does not delay
-//     the streams there too long.
+//     slots plus a few extra ones that bridge the time between two requests in a slot.
+//   - A request is not assigned before a more urgent one of its service that could use the same slot: one
+//     that is expected to meet its target there, or at no replica, and whose prompt does not delay the
+//     streams there too long.
 package admission
--- a/coordination/admission/locality_test.go
+++ b/coordination/admission/locality_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against traffic to other zones and regions while the replicas of the own region have free slots.
+// Guards against traffic to other zones and regions while replicas of the request's region have free slots.
 func TestRequestsStayInTheirRegionWhileSlotsAreFree(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
--- a/coordination/admission/prefill_test.go
+++ b/coordination/admission/prefill_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// learnPrefill sets the replica's step time and lets it observe prompts with the prefill time per token.
+// learnPrefill sets the replica's step time and trains its prefill estimator with the time per token.
 func learnPrefill(s *Scheduler, replicaID string, perToken, step time.Duration) {
 	s.replicaState(replicaID).speed.stepTime = step
 	for i := range 20 {
--- a/coordination/admission/quarantine.go
+++ b/coordination/admission/quarantine.go
@@ -19,7 +19,8 @@
 	minFailingMargin = 0.3
 	maxFailingShare  = 0.95
 	// minUsualShare is the lowest usual failure share of a service, and the initial one.
-	minUsualShare      = 0.05
+	minUsualShare = 0.05
+	// failureShareWeight is the weight of a new outcome in the usual failure share.
 	failureShareWeight = 0.01
 	// minProbes is the number of requests that must end before a replica leaves probing.
 	minProbes         = 3
--- a/coordination/admission/rate_limit.go
+++ b/coordination/admission/rate_limit.go
@@ -31,7 +31,7 @@
 // rateLimit is the rate limit that a replica has announced.
 type rateLimit struct {
 	known pushback.TimedLimit
-	// setAt is when the current limit was first known. Earlier requests don't count against it.
+	// setAt is when the replica was first known to have a limit; the bucket starts empty then.
 	setAt  structs.Instant
 	bucket tokenBucket
 }
--- a/coordination/admission/replica.go
+++ b/coordination/admission/replica.go
@@ -30,7 +30,7 @@
 	leaving bool
 	health  health
 	ejected bool
-	// index is the position in the latest snapshot that has the replica, canaries excepted.
+	// index is the replica's index in poolSnapshot.replicas, in the latest snapshot that has it there.
 	index int
 }
 
--- a/coordination/admission/response_lengths.go
+++ b/coordination/admission/response_lengths.go
@@ -7,8 +7,8 @@
 // of a band that falls too far behind its route go first until it has caught up.
 
 const (
-	// longestShare and longShare are the shares of a route's requests with the longest answers from
-	// which the bands start. The long band excludes the longest one.
+	// longestShare is the share of a route's requests in bandLongest, and longShare the share in
+	// bandLong and bandLongest together.
 	longestShare = 0.1
 	longShare    = 0.3
 	// minServedRatio is the ratio of a band's served share to the route's below which the band goes
--- a/coordination/admission/snapshot.go
+++ b/coordination/admission/snapshot.go
@@ -12,9 +12,10 @@
 // with every assignment.
 type poolSnapshot struct {
 	replicas []*replicaSnapshot
-	// canaries are replicas of a version in its canary phase, while the canary budget is open.
+	// canaries are replicas of a version in its canary phase, during a burst of canary requests.
 	canaries []*replicaSnapshot
-	// freeSlots and totalSlots count the slots of healthy replicas.
+	// totalSlots is the sum of maxInFlight over the healthy replicas, and freeSlots the sum of what is
+	// left of it.
 	freeSlots, totalSlots, healthyReplicas int
 	// capacity is the number of requests that the healthy replicas serve at a time, on average, and
 	// limitedTokens counts the tokens in the buckets of the rate-limited ones.
@@ -29,7 +30,8 @@
 type replicaSnapshot struct {
 	state *replicaState
 	// index is the position in poolSnapshot.replicas.
-	index        int
+	index int
+	// maxInFlight bounds inFlight by the replica's slots, extra slots and current limits.
 	maxInFlight  int
 	inFlight     int
 	unreadTokens int
@@ -39,8 +41,8 @@
 	// prefillTimePerToken and prefillFixedTime add up to the time to the first event: a part for each
 	// prompt token, and a fixed part. Zero if unknown.
 	prefillTimePerToken, prefillFixedTime time.Duration
-	// isUnhealthy is true if the replica is quarantined or ejected. It is used only if all replicas
-	// are unhealthy.
+	// isUnhealthy is true if the replica is quarantined or ejected. It is used only if no healthy replica
+	// has a slot, or no eligible one is both healthy and unsuspected.
 	isUnhealthy bool
 	// isLimited is true if the replica has announced a rate limit.
 	isCold, isLimited bool
@@ -58,7 +60,7 @@
 	pool := s.pools[service]
 	snapshot := &poolSnapshot{meanDuration: pool.meanDuration, suspectViews: map[*suspectList]*suspectView{}, replicas: make([]*replicaSnapshot, 0, len(pool.replicas))}
 	fastest := pool.fastestStep()
-	isCanaryOpen := pool.canaryBudget.InBurst(now)
+	inBurst := pool.canaryBudget.InBurst(now)
 	if cap(s.snapshotBuffer) < len(pool.replicas) {
 		s.snapshotBuffer = make([]replicaSnapshot, len(pool.replicas))
 	}
@@ -68,7 +70,7 @@
 			snapshot.evacuatedReplicas++
 			continue
 		}
-		if state.superseded || state.leaving || state.entry.Draining || access == rollouts.AccessDenied || access == rollouts.AccessBudgeted && !isCanaryOpen {
+		if state.superseded || state.leaving || state.entry.Draining || access == rollouts.AccessDenied || access == rollouts.AccessBudgeted && !inBurst {
 			continue
 		}
 		isCold := state.isCold(now, pool)
@@ -100,7 +102,7 @@
 			snapshot.addHealthy(replica, s.followerShare)
 		}
 	}
-	snapshot.useUnhealthyIfAllAre(s.followerShare)
+	snapshot.useUnhealthyIfNoHealthySlots(s.followerShare)
 	snapshot.selectCanaries(pool.canaryBudget.BurstCount())
 	return snapshot
 }
@@ -112,9 +114,9 @@
 	return int(float64(slots) * float64(slotHandoverTime) / float64(max(p.meanDuration, slotHandoverTime)))
 }
 
-// useUnhealthyIfAllAre treats all replicas as healthy if none is or none has a slot: an unhealthy
-// replica is better than none.
-func (p *poolSnapshot) useUnhealthyIfAllAre(followerShare float64) {
+// useUnhealthyIfNoHealthySlots treats all replicas as healthy if no healthy one has a slot, free or not: an
+// unhealthy replica is better than none.
+func (p *poolSnapshot) useUnhealthyIfNoHealthySlots(followerShare float64) {
 	if p.totalSlots > 0 {
 		return
 	}
--- a/coordination/admission/suspects.go
+++ b/coordination/admission/suspects.go
@@ -10,7 +10,7 @@
 type suspectList struct {
 	// ids is sorted and has no duplicates.
 	ids []string
-	// states are those of the listed replicas that were known at replicaSetVersion.
+	// states holds the states of the replicas in ids that were known at replicaSetVersion.
 	states            []*replicaState
 	replicaSetVersion int
 }
@@ -104,8 +104,9 @@
 	return !view.isSuspected[replica.index]
 }
 
-// recordAssigned updates the counts after a request was assigned to the replica.
-func (p *poolSnapshot) recordAssigned(replica *replicaSnapshot) {
+// updateCounts updates the counts of the snapshot and its views after a request was assigned to the
+// replica.
+func (p *poolSnapshot) updateCounts(replica *replicaSnapshot) {
 	if replica.isUnhealthy {
 		return
 	}
--- a/coordination/admission/suspects_test.go
+++ b/coordination/admission/suspects_test.go
@@ -34,7 +34,7 @@
 				replica := snapshot.replicas[rapid.IntRange(0, len(snapshot.replicas)-1).Draw(t, "assigned")]
 				if replica.inFlight < replica.maxInFlight {
 					replica.inFlight++
-					snapshot.recordAssigned(replica)
+					snapshot.updateCounts(replica)
 				}
 			}
 			for _, queued := range s.pool("s").queue {
--- a/coordination/poison/simulation_test.go
+++ b/coordination/poison/simulation_test.go
@@ -88,8 +88,8 @@
 	}
 	now structs.Instant
 	// poisonCrashes counts executions of the poison request that ended in a crash, rejected the
-	// rejections of innocent requests, and asked the arrivals of popular requests.
-	poisonCrashes, rejected, asked int
+	// rejections of innocent requests, and arrivals those of popular requests.
+	poisonCrashes, rejected, arrivals int
 	// blockedInnocents are the innocent requests that were rejected.
 	blockedInnocents map[fingerprint.Fingerprint]bool
 }
@@ -120,8 +120,8 @@
 	return false
 }
 
-// ask sends the request to a random replica if the detector allows it and the replica is up.
-func (s *simulation) ask(request poisonrecords.Record, isPoison bool) {
+// submit sends the request to a random replica if the detector allows it and the replica is up.
+func (s *simulation) submit(request poisonrecords.Record, isPoison bool) {
 	state := s.detector.state(s.now, request)
 	running := 0
 	for i := range s.replicas {
@@ -139,7 +139,7 @@
 		return
 	}
 	if state == Suspect && running > 0 {
-		return // stays queued; the caller asks again
+		return // stays queued; the caller submits it again
 	}
 	replica := &s.replicas[s.random.IntN(len(s.replicas))]
 	if s.now < replica.upAt {
@@ -171,15 +171,15 @@
 	s.now += stepTime
 	for i := range popularRequests {
 		if s.random.Float64() < 0.2 {
-			s.asked++
-			s.ask(requestNamed(fmt.Sprint("popular", i)), false)
+			s.arrivals++
+			s.submit(requestNamed(fmt.Sprint("popular", i)), false)
 		}
 	}
 	if s.random.Float64() < 0.3 {
-		s.ask(requestNamed(fmt.Sprint("once", s.now)), false)
+		s.submit(requestNamed(fmt.Sprint("once", s.now)), false)
 	}
 	if withPoison && s.random.Float64() < 0.05 {
-		s.ask(requestNamed("poison"), true)
+		s.submit(requestNamed("poison"), true)
 	}
 	injectFault(s)
 	for i := range s.replicas {
@@ -232,7 +232,7 @@
 // of innocent requests per arrival of a popular one.
 func simulate(newDetector func() detector, fault func(*simulation), withPoison bool) (poisonCrashes, missed, innocents int, rejectedShare float64) {
 	const seeds = 20
-	asked := 0
+	arrivals := 0
 	for seed := range uint64(seeds) {
 		s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), detector: newDetector(), blockedInnocents: map[fingerprint.Fingerprint]bool{}}
 		for s.now < simulatedTime {
@@ -244,9 +244,9 @@
 		}
 		innocents += len(s.blockedInnocents)
 		rejectedShare += float64(s.rejected)
-		asked += s.asked
+		arrivals += s.arrivals
 	}
-	return poisonCrashes, missed, innocents, rejectedShare / float64(asked)
+	return poisonCrashes, missed, innocents, rejectedShare / float64(arrivals)
 }
 
 // The crash count must block every poison request within the policy's bound, and reject few
--- a/coordination/poison/tracker.go
+++ b/coordination/poison/tracker.go
@@ -69,7 +69,7 @@
 	minSharedIncarnations = 2
 )
 
-// entry is a record with the state that only this node has of it.
+// entry is a record with state of this node that is not exchanged.
 type entry struct {
 	poisonrecords.Record
 	// changedAt is when the record last changed, lastCrashAt when its last crash was recorded,
@@ -120,7 +120,7 @@
 		return t.stateOf(e), false
 	}
 	e.changedAt, e.lastCrashAt = now, now
-	t.incarnationsChanged(now, e)
+	t.updateDerivedFields(now, e)
 	return t.stateOf(e), true
 }
 
@@ -213,8 +213,8 @@
 	return e
 }
 
-// incarnationsChanged updates the fields that depend on the entry's incarnations.
-func (t *Tracker) incarnationsChanged(now structs.Instant, e *entry) {
+// updateDerivedFields updates the fields that depend on the entry's incarnations.
+func (t *Tracker) updateDerivedFields(now structs.Instant, e *entry) {
 	t.summaryStale = true
 	e.shared = e.shared || e.IsPersistent || len(e.Incarnations) >= minSharedIncarnations
 	switch {
@@ -243,7 +243,7 @@
 		}
 		e.changedAt = now - min(time.Duration(records[i].Age)*time.Millisecond, recordRetention)
 		e.lastCrashAt, e.shared = now, true
-		t.incarnationsChanged(now, e)
+		t.updateDerivedFields(now, e)
 		if before != Blocked && t.stateOf(e) == Blocked {
 			blocked = append(blocked, e.copy())
 		}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -12,8 +12,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Limit is a tenant's quota: Rate in units per second, Burst in units, and Debt in units that one
-// request may leave.
+// Limit is a tenant's quota: Rate in units per second, Burst in units, and Debt, the units by which a
+// request may overdraw the bucket. A request that costs more than Burst needs the level of one that costs
+// Burst.
 type Limit struct {
 	Rate  float64
 	Burst float64
@@ -22,7 +23,7 @@
 	Share float64
 }
 
-// Scaled returns the part of the limit that the given share of the nodes may grant.
+// Scaled returns the share of the limit that the given share of the nodes may grant.
 func (l Limit) Scaled(share float64) Limit {
 	return Limit{Rate: l.Rate * share, Burst: l.Burst * share, Debt: l.Debt * share, Share: l.share() * share}
 }
@@ -190,7 +191,7 @@
 	return levels
 }
 
-// SetAuthoritativeAfter sets the time until which other nodes may report usage from before the
+// SetAuthoritativeAt sets the time until which other nodes may report usage from before the
 // buckets were created. It is for a process that starts or resumes after a suspension.
 func (b *Buckets) SetAuthoritativeAt(at structs.Instant) { b.authoritativeAt = at }
 
@@ -229,8 +230,8 @@
 	}
 }
 
-// Taken returns the usage of the buckets that are not nearly full since they were created, by
-// tenant, for at most maxCount of them.
+// Usage returns, by tenant, the usage since the bucket was created, for at most maxCount of the buckets
+// that are not nearly full.
 func (b *Buckets) Usage(now structs.Instant, maxCount int) map[string]float64 {
 	usage := map[string]float64{}
 	for tenant, bucket := range b.buckets {
@@ -254,8 +255,8 @@
 // ChargeRemote charges the buckets for usage counted by another scheduler, as after a partition;
 // otherwise a network that is partitioned again and again would let each side grant the whole quota.
 // Tokens reserved in the meantime are used first; the rest comes from the bucket, which may go into
-// debt. If the bucket was idle after the remote scheduler started, its level only falls to the
-// remote level, less the usage since.
+// debt. If the remote level is known and the bucket's last busy period began after remote.Since, its
+// level is then at least the remote level less the usage of that period.
 func (b *Buckets) ChargeRemote(remote RemoteUsage) {
 	for tenant, amount := range remote.Amounts {
 		bucket, found := b.buckets[tenant]
--- a/coordination/rejections/rejections.go
+++ b/coordination/rejections/rejections.go
@@ -11,7 +11,8 @@
 
 const (
 	// A set in steady use remembers a rejection for retention at most, and for half of it at least
-	// unless maxPerGeneration is exceeded before.
+	// unless maxPerGeneration is exceeded before. Generations rotate only when the set is
+	// used: after a long idle time the first use still finds earlier rejections.
 	retention        = 12 * time.Second
 	maxPerGeneration = 20000
 )
--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -47,14 +47,14 @@
 type Sample struct {
 	Route   string
 	Replica string
-	// Begun is when the request was assigned.
+	// AssignedAt is when the request was assigned.
 	AssignedAt structs.Instant
 	// Target is true if the replica has the target version.
 	Target bool
 	Failed bool
-	// First is the time to the first event, divided by the size of the prompt for answers in
-	// events. Step is the time between two events, or the duration of a plain answer. Zero means
-	// unknown.
+	// FirstEventTime is the time to the first event, divided by the size of the prompt for answers in
+	// events. EventInterval is the time between two events, or the duration of a plain answer. Zero
+	// means unknown.
 	FirstEventTime, EventInterval time.Duration
 }
 
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -7,16 +7,16 @@
 )
 
 // CanaryBudget is the number of requests that this scheduler may still send to a target in the canary
-// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but Fair and Spend need
-// one. It is not safe for concurrent use.
+// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but AllowsRoute and Consume
+// must not be called on it. It is not safe for concurrent use.
 type CanaryBudget struct {
 	remaining int
 	// expiresAt is when the remaining budget is void: a scheduler without contact to the store may
 	// not know that the target was found bad.
 	expiresAt structs.Instant
-	// inBurst is true during a burst; burst is the number of bursts so far.
-	inBurst bool
-	burst   int
+	// inBurst is true during a burst; burstCount is the number of bursts so far.
+	inBurst    bool
+	burstCount int
 	// eligible counts the requests that could go to the target, consumed those that did.
 	eligible, consumed routeCounts
 }
@@ -64,46 +64,46 @@
 	return b.remaining
 }
 
-// Open reports whether the next request may go to the target. A burst begins once the budget suffices
-// for burstSize requests and ends when it is used up.
+// InBurst reports whether the next request may go to the target. It begins a burst once the budget
+// suffices for burstSize requests; the burst ends when the budget is used up or expires.
 func (b *CanaryBudget) InBurst(now structs.Instant) bool {
 	if b == nil {
 		return false
 	}
 	remaining := b.Remaining(now)
 	if !b.inBurst && remaining >= burstSize {
-		b.burst++
+		b.burstCount++
 	}
 	b.inBurst = remaining >= burstSize || b.inBurst && remaining > 0
 	return b.inBurst
 }
 
-// Spent reports whether the budget is used up, regardless of its expiry.
+// IsExhausted reports whether the budget is used up, regardless of its expiry.
 func (b *CanaryBudget) IsExhausted() bool { return b == nil || b.remaining <= 0 }
 
-// Ask counts a request of the route that could go to the target.
+// RecordEligible counts a request of the route that could go to the target.
 func (b *CanaryBudget) RecordEligible(route string) {
 	if b != nil {
 		b.eligible.add(route)
 	}
 }
 
-// Fair reports whether the route has not used more than its share of the budget. Otherwise the most
+// AllowsRoute reports whether the route has not used more than its share of the budget. Otherwise the most
 // urgent route could use all of it under load, and faults on other routes would stay undetected.
 func (b *CanaryBudget) AllowsRoute(route string) bool {
 	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
 
-// Spend counts a request of the route that is sent to the target.
+// Consume counts a request of the route that is sent to the target.
 func (b *CanaryBudget) Consume(route string) {
 	b.remaining--
 	b.consumed.add(route)
 }
 
-// Turn returns the number of bursts so far. Callers use it to start each burst at another replica.
+// BurstCount returns the number of bursts so far. Callers use it to start each burst at another replica.
 func (b *CanaryBudget) BurstCount() int {
 	if b == nil {
 		return 0
 	}
-	return b.burst
+	return b.burstCount
 }
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Policy limits the requests that a target gets until it is judged.
+// Policy limits the requests that a target gets in the canary phase.
 type Policy struct {
 	// Share is the share of the service's requests, and Slack the number of requests in addition.
 	Share, Slack float64
@@ -60,10 +60,10 @@
 	TargetSlots, OtherSlots int
 	// InService is true if the target had replicas before the order and there is no other version.
 	InService bool
-	// Longest is the duration of long answers of the service.
+	// LongAnswerTime is the duration of long answers of the service.
 	LongAnswerTime time.Duration
-	// Confirmed is true if every node that may be alive confirmed the record's phase. Busy counts
-	// the requests running at replicas that get no new ones.
+	// Confirmed is true if every node that may be alive confirmed the record's phase.
+	// InFlightElsewhere counts the requests running at replicas that get no new ones.
 	Confirmed         bool
 	InFlightElsewhere int
 }
@@ -126,7 +126,7 @@
 // The target is bad from a score of 1 on.
 func (c *Controller) RegressionScore() (float64, string) { return c.analyzer.RegressionScore() }
 
-// Adopt replaces the current record if the store position differs.
+// ApplyRecord replaces the current record if the store position differs.
 func (c *Controller) ApplyRecord(record rollouts.Record) {
 	if record.Position != c.record.Position {
 		c.applyRecord(record)
--- a/coordination/rollout/controller_test.go
+++ b/coordination/rollout/controller_test.go
@@ -50,9 +50,9 @@
 	g.Expect(due).To(gomega.BeTrue())
 	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseSwitching))
 	c.WriteCommitted(17*time.Second, next, 9)
-	busy := inputsAt(18 * time.Second)
-	busy.InFlightElsewhere = 1
-	_, due = c.Propose(18*time.Second, busy)
+	running := inputsAt(18 * time.Second)
+	running.InFlightElsewhere = 1
+	_, due = c.Propose(18*time.Second, running)
 	g.Expect(due).To(gomega.BeFalse(), "a request is running at a replica that would be stopped")
 	unconfirmed := inputsAt(18 * time.Second)
 	unconfirmed.Confirmed = false
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -38,8 +38,8 @@
 // defects are faults of the package or its caller that the model check must find.
 type defects struct {
 	// spendUnacknowledged uses budget that the store did not acknowledge, skipConfirmed does not
-	// wait for the other node, and skipBusy does not wait for running requests.
-	spendUnacknowledged, skipConfirmed, skipBusy bool
+	// wait for the other node, and skipInFlight does not wait for running requests.
+	spendUnacknowledged, skipConfirmed, skipInFlight bool
 }
 
 // modelPolicy permits three requests to the target: 0.85 of four, rounded down.
@@ -102,19 +102,19 @@
 func (m *model) inputs(i int) Inputs {
 	own, other := m.nodes[i], m.nodes[1-i]
 	record := own.controller.Record()
-	inputs := Inputs{Order: testOrder(), Elapsed: m.now, TargetSlots: 4, OtherSlots: 4, InFlightElsewhere: m.busy(own)}
+	inputs := Inputs{Order: testOrder(), Elapsed: m.now, TargetSlots: 4, OtherSlots: 4, InFlightElsewhere: m.inFlightElsewhere(own)}
 	inputs.Confirmed = m.defects.skipConfirmed || other.policy.OrderPosition == record.OrderPosition && other.policy.Phase == record.Phase
 	if inputs.Confirmed && !m.defects.skipConfirmed {
-		inputs.InFlightElsewhere += m.busy(other)
+		inputs.InFlightElsewhere += m.inFlightElsewhere(other)
 	}
-	if m.defects.skipBusy {
+	if m.defects.skipInFlight {
 		inputs.InFlightElsewhere = 0
 	}
 	return inputs
 }
 
-// busy returns the number of the node's requests running at replicas that get no new ones.
-func (m *model) busy(node *modelNode) int {
+// inFlightElsewhere returns the number of the node's requests running at replicas that get no new ones.
+func (m *model) inFlightElsewhere(node *modelNode) int {
 	if node.policy.AccessFor("v1") == rollouts.AccessDenied {
 		return node.running
 	}
@@ -323,7 +323,7 @@
 	for name, defect := range map[string]defects{
 		"unacknowledged budget is used": {spendUnacknowledged: true},
 		"unconfirmed nodes are ignored": {skipConfirmed: true},
-		"running requests are ignored":  {skipBusy: true},
+		"running requests are ignored":  {skipInFlight: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const depth = 6
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -40,7 +40,7 @@
 	Incarnations []Incarnation `msgpack:"l" json:"lives,omitempty"`
 	// Trials is the number of times the request was sent while it was blocked, in this generation.
 	Trials int `msgpack:"t" json:"trials,omitempty"`
-	// Persistent is true if the request was blocked in this generation or an earlier one. Nodes and
+	// IsPersistent is true if the request was blocked in this generation or an earlier one. Nodes and
 	// the store keep such a record, also after it was cleared.
 	IsPersistent bool `msgpack:"k" json:"kept,omitempty"`
 	// Age is the time since the last change in milliseconds, as of when the record was sent.
@@ -84,8 +84,8 @@
 	r.Incarnations, r.Trials = nil, 0
 }
 
-// ChangeCount never falls. It rises with each change, except when Add replaces an incarnation of a full
-// record; Digest differs then.
+// ChangeCount returns a count that rises with each change and never falls. It stays the same only
+// when Add replaces an incarnation of a full record; Digest differs then.
 func (r *Record) ChangeCount() int64 {
 	count := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
 	if r.IsPersistent {
--- a/state/pushback/pushback.go
+++ b/state/pushback/pushback.go
@@ -255,7 +255,7 @@
 // may have expired during a store outage and be written again.
 const retention = 10 * time.Minute
 
-// Forget removes the incarnations for which isKnown is false, once their last update is older than the
+// Sweep removes the incarnations for which isKnown is false, once their last update is older than the
 // retention.
 func (t *Tracker) Sweep(now structs.Instant, isKnown func(incarnation Incarnation) bool) {
 	for incarnation, state := range t.states {
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -68,7 +68,7 @@
 	// change that was applied; earlier ones may be missing.
 	completeTo structs.StorePosition
 	latest     structs.StorePosition
-	// changeCount is local to this process and no store position.
+	// changeCount counts the changes in this process; it is not a store position.
 	changeCount uint64
 	// restoreWindow is the zero value unless the store was restored recently.
 	restoreWindow structs.RestoreWindow
@@ -187,7 +187,7 @@
 // earlier changes may be missing.
 func (t *Table) LatestPosition() structs.StorePosition { return t.latest }
 
-// RemovedSince returns the positions of removals by replica ID: those after the given position, and
+// RemovalsSince returns the positions of removals by replica ID: those after the given position, and
 // those applied within tombstoneReportPeriod, which may have a lower one.
 func (t *Table) RemovalsSince(now structs.Instant, position structs.StorePosition) map[string]structs.StorePosition {
 	removed := map[string]structs.StorePosition{}
@@ -199,7 +199,7 @@
 	return removed
 }
 
-// Forget drops tombstones older than tombstoneRetention.
+// SweepTombstones drops tombstones older than tombstoneRetention.
 func (t *Table) SweepTombstones(now structs.Instant) {
 	for id, removal := range t.tombstones {
 		if now-removal.removedAt > tombstoneRetention {
--- a/state/rollouts/policy.go
+++ b/state/rollouts/policy.go
@@ -26,15 +26,15 @@
 	// OrderPosition is the store position of the order from which the policy follows; zero if there is
 	// none.
 	OrderPosition structs.StorePosition
-	// Target and Stable are those of the roll-out's record.
+	// Target and Stable are those of the rollout's record.
 	Target, Stable string
 	// Excluded lists versions that get no new requests, except as the target.
 	Excluded []string
-	// Phase is that of the roll-out; zero if there is none, in which case only Excluded applies.
+	// Phase is that of the rollout; zero if there is none, in which case only Excluded applies.
 	Phase Phase
 }
 
-// Active reports whether the policy restricts any version.
+// IsActive reports whether the policy restricts any version.
 func (p *VersionPolicy) IsActive() bool { return p.Service != "" }
 
 // AccessFor returns the access for replicas of the version.
@@ -50,7 +50,7 @@
 	return AccessUnrestricted
 }
 
-// targetAccess returns the access for replicas of the target in a roll-out's phase.
+// targetAccess returns the access for replicas of the target in a rollout's phase.
 func (p *VersionPolicy) targetAccess() Access {
 	switch p.Phase {
 	case PhaseSwitching, PhaseCompleted:
@@ -61,8 +61,8 @@
 	return AccessDenied
 }
 
-// Policy returns the policy of the service; the zero value if no roll-out is known. An order without a
-// record counts as a roll-out that starts, see NewRecord.
+// Policy returns the policy of the service; the zero value if no rollout is known. An order without a
+// record counts as a rollout that starts, see NewRecord.
 func (t *Table) Policy(service string, isTargetInService bool) VersionPolicy {
 	order, ordered := t.Order(service)
 	record, recorded := t.Record(service)
--- a/state/rollouts/rollouts.go
+++ b/state/rollouts/rollouts.go
@@ -1,6 +1,6 @@
-// Package rollouts is a node's table of roll-outs: the operators' orders to move a service to a version,
+// Package rollouts is a node's table of rollouts: the operators' orders to move a service to a version,
 // and the records of their progress. It has no I/O and no clock; callers apply updates from the platform's
-// store and from peers. It does not step roll-outs: coordination/rollout does.
+// store and from peers. It does not advance rollouts: coordination/rollout does.
 //
 // Guarantee: of two orders for a service, or two records, the one with the later store position is
 // kept, in whichever sequence they arrive.
@@ -17,16 +17,16 @@
 type Order struct {
 	Service string `msgpack:"s" json:"service"`
 	Target  string `msgpack:"t" json:"target_version"`
-	// Duration is the time from the order within which the roll-out is to complete.
+	// Duration is the time from the order within which the rollout is to complete.
 	Duration time.Duration `msgpack:"d" json:"duration"`
 	// Position is the store position of the order; zero means that there is no order.
 	Position structs.StorePosition `msgpack:"r" json:"revision"`
 }
 
-// Phase is the phase of a roll-out. The zero value means that there is no roll-out.
+// Phase is the phase of a rollout. The zero value means that there is no rollout.
 type Phase uint8
 
-// The phases in their order. A roll-out starts in PhaseCanary, or in PhaseSwitching if it needs no canary
+// The phases in their order. A rollout starts in PhaseCanary, or in PhaseSwitching if it needs no canary
 // (NewRecord), and ends in PhaseCompleted or PhaseRolledBack.
 const (
 	// PhaseCanary sends the target a bounded share of the requests.
@@ -51,7 +51,7 @@
 	return "unknown"
 }
 
-// IsTerminal reports whether the roll-out has ended.
+// IsTerminal reports whether the rollout has ended.
 func (p Phase) IsTerminal() bool { return p == PhaseCompleted || p == PhaseRolledBack }
 
 // Evidence counts the answers on one route during the canary phase.
@@ -68,7 +68,7 @@
 	return Evidence{Good: e.Good + other.Good, Bad: e.Bad + other.Bad, BaselineGood: e.BaselineGood + other.BaselineGood, BaselineBad: e.BaselineBad + other.BaselineBad}
 }
 
-// Record is the progress of a roll-out as the store holds it. It is written only if it has not changed
+// Record is the progress of a rollout as the store holds it. It is written only if it has not changed
 // since it was read.
 type Record struct {
 	Service string `msgpack:"s" json:"service"`
@@ -77,7 +77,7 @@
 	Target        string                `msgpack:"t" json:"target"`
 	// Stable is the version that a rollback returns to; empty if unknown.
 	Stable string `msgpack:"v" json:"stable"`
-	// Excluded lists versions that get no new requests: targets of roll-outs that were not completed, and
+	// Excluded lists versions that get no new requests: targets of rollouts that were not completed, and
 	// stable versions that were replaced. The latest comes last.
 	Excluded []string `msgpack:"x" json:"barred,omitempty"`
 	Phase    Phase    `msgpack:"p" json:"phase"`
@@ -157,7 +157,7 @@
 }
 
 // isRecreated reports whether the order is the current one, written again after a restore lost it. It
-// must not start another roll-out.
+// must not start another rollout.
 func (t *Table) isRecreated(current, order Order) bool {
 	return t.restoreWindow.Era > t.restoreWindow.Base && current.Position > 0 && current.Position.Era() < order.Position.Era() &&
 		current.Target == order.Target && current.Duration == order.Duration
