--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -230,8 +230,8 @@
 	}
 }
 
-// Usage returns, by tenant, the usage since the bucket was created, for at most maxCount of the buckets
-// that are not nearly full.
+// Usage returns the usage of the buckets that are not nearly full since they were created, by
+// tenant, for at most maxCount of them.
 func (b *Buckets) Usage(now structs.Instant, maxCount int) map[string]float64 {
 	usage := map[string]float64{}
 	for tenant, bucket := range b.buckets {
--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -53,8 +53,8 @@
 	Target bool
 	Failed bool
 	// FirstEventTime is the time to the first event, divided by the size of the prompt for answers in
-	// events. EventInterval is the time between two events, or the duration of a plain answer. Zero
-	// means unknown.
+	// events. EventInterval is the time between two events, or the duration of a plain answer. Zero means
+	// unknown.
 	FirstEventTime, EventInterval time.Duration
 }
 
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -7,8 +7,8 @@
 )
 
 // CanaryBudget is the number of requests that this scheduler may still send to a target in the canary
-// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but AllowsRoute and Consume
-// must not be called on it. It is not safe for concurrent use.
+// phase. All of it was acknowledged by the store. A nil CanaryBudget is empty, but AllowsRoute and
+// Consume need one. It is not safe for concurrent use.
 type CanaryBudget struct {
 	remaining int
 	// expiresAt is when the remaining budget is void: a scheduler without contact to the store may
@@ -64,8 +64,8 @@
 	return b.remaining
 }
 
-// InBurst reports whether the next request may go to the target. It begins a burst once the budget
-// suffices for burstSize requests; the burst ends when the budget is used up or expires.
+// InBurst reports whether the next request may go to the target. A burst begins once the budget
+// suffices for burstSize requests and ends when it is used up.
 func (b *CanaryBudget) InBurst(now structs.Instant) bool {
 	if b == nil {
 		return false
@@ -88,8 +88,8 @@
 	}
 }
 
-// AllowsRoute reports whether the route has not used more than its share of the budget. Otherwise the most
-// urgent route could use all of it under load, and faults on other routes would stay undetected.
+// AllowsRoute reports whether the route has not used more than its share of the budget. Otherwise the
+// most urgent route could use all of it under load, and faults on other routes would stay undetected.
 func (b *CanaryBudget) AllowsRoute(route string) bool {
 	return b.consumed.byRoute[route]*b.eligible.total <= b.eligible.byRoute[route]*(b.consumed.total+burstSize)
 }
@@ -100,7 +100,8 @@
 	b.consumed.add(route)
 }
 
-// BurstCount returns the number of bursts so far. Callers use it to start each burst at another replica.
+// BurstCount returns the number of bursts so far. Callers use it to start each burst at another
+// replica.
 func (b *CanaryBudget) BurstCount() int {
 	if b == nil {
 		return 0
