--- a/coordination/admission/assignments.go
+++ b/coordination/admission/assignments.go
@@ -56,8 +56,8 @@
 	return ended, true
 }
 
-// ObserveExternal learns the replica's speed from a request that another scheduler assigned, so that
-// this one knows it when it becomes the active scheduler. The prompt is in tokens.
+// Observe learns the replica's speed from a request that another scheduler assigned, so that this one
+// knows it when it becomes the active scheduler. Prompt is the number of prompt tokens.
 func (s *Scheduler) ObserveExternal(now structs.Instant, service, replica string, prompt int, seen Observation) {
 	if seen.Failed || seen.Left || seen.Duration <= 0 {
 		return
--- a/coordination/poison/tracker.go
+++ b/coordination/poison/tracker.go
@@ -69,7 +69,7 @@
 	minSharedIncarnations = 2
 )
 
-// entry is a record with state of this node that is not exchanged.
+// entry is a record with this node's own state of it, which is not exchanged.
 type entry struct {
 	poisonrecords.Record
 	// changedAt is when the record last changed, lastCrashAt when its last crash was recorded,
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -23,7 +23,7 @@
 	Share float64
 }
 
-// Scaled returns the share of the limit that the given share of the nodes may grant.
+// Scaled returns the limit for nodes that together may grant the given share of it.
 func (l Limit) Scaled(share float64) Limit {
 	return Limit{Rate: l.Rate * share, Burst: l.Burst * share, Debt: l.Debt * share, Share: l.share() * share}
 }
--- a/coordination/rollout/controller_test.go
+++ b/coordination/rollout/controller_test.go
@@ -131,7 +131,7 @@
 	g.Expect(due).To(gomega.BeFalse())
 }
 
-// A version whose rollout was replaced has not been judged and must get no more requests.
+// A version whose rollout was replaced was not accepted and must get no more requests.
 func TestReplacedOrderExcludesItsVersion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startCanary(g)
--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -5,7 +5,7 @@
 // The progress is one record in the platform's store, written only if it has not changed since it was
 // read, so that schedulers on both sides of a partition continue from the same record. Guarantees,
 // whatever crashes, is partitioned or lost:
-//   - Canary budget: until the target is judged good, it gets at most Policy.Share of the requests that
+//   - Canary budget: until the target is accepted, it gets at most Policy.Share of the requests that
 //     reached the service since the order, plus Policy.Slack. Only budget that the store has
 //     acknowledged is used; unused budget of a failed scheduler is lost.
 //   - The target gets every request only after a record says so. The other versions are stopped only
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -237,7 +237,7 @@
 // check records a broken guarantee; before is the phase in the store before the step.
 func (m *model) check(before rollouts.Phase) {
 	if m.targetRequests > modelSlack {
-		m.violation = fmt.Errorf("%d requests were sent to a target that was not judged yet", m.targetRequests)
+		m.violation = fmt.Errorf("%d requests were sent to a target that was not accepted yet", m.targetRequests)
 	}
 	if before != rollouts.PhaseCompleted && m.record.Phase == rollouts.PhaseCompleted && m.nodes[0].running+m.nodes[1].running > 0 {
 		m.violation = errors.New("the rollout completed while a request was running at a replica of the old version")
