--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// SetEjected replaces the set of ejected replicas. They get requests only if no replica of their
-// service is healthy.
+// SetEjected replaces the set of ejected replicas. They get requests only if no healthy replica of their
+// service can be used.
 func (s *Scheduler) SetEjected(ids map[string]bool) {
 	for id, state := range s.replicaStates {
 		state.ejected = ids[id]
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -12,8 +12,9 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Limit is a tenant's quota: Rate in units per second, Burst in units, and Debt in units that one
-// request may leave.
+// Limit is a tenant's quota: Rate in units per second, Burst in units, and Debt, the units by which a
+// request may overdraw the bucket. A request that costs more than Burst needs the level of one that costs
+// Burst.
 type Limit struct {
 	Rate  float64
 	Burst float64
@@ -22,7 +23,7 @@
 	Share float64
 }
 
-// Scaled returns the part of the limit that the given share of the nodes may grant.
+// Scaled returns the limit for nodes that together may grant the given share of it.
 func (l Limit) Scaled(share float64) Limit {
 	return Limit{Rate: l.Rate * share, Burst: l.Burst * share, Debt: l.Debt * share, Share: l.share() * share}
 }
@@ -254,8 +255,8 @@
 // ChargeRemote charges the buckets for usage counted by another scheduler, as after a partition;
 // otherwise a network that is partitioned again and again would let each side grant the whole quota.
 // Tokens reserved in the meantime are used first; the rest comes from the bucket, which may go into
-// debt. If the bucket was idle after the remote scheduler started, its level only falls to the
-// remote level, less the usage since.
+// debt. If the remote level is known and the bucket's last busy period began after remote.Since, its
+// level is then at least the remote level less the usage of that period.
 func (b *Buckets) ChargeRemote(remote RemoteUsage) {
 	for tenant, amount := range remote.Amounts {
 		bucket, found := b.buckets[tenant]
--- a/coordination/rollout/canary_budget.go
+++ b/coordination/rollout/canary_budget.go
@@ -14,9 +14,9 @@
 	// expiresAt is when the remaining budget is void: a scheduler without contact to the store may
 	// not know that the target was found bad.
 	expiresAt structs.Instant
-	// inBurst is true during a burst; burst is the number of bursts so far.
-	inBurst bool
-	burst   int
+	// inBurst is true during a burst; burstCount is the number of bursts so far.
+	inBurst    bool
+	burstCount int
 	// eligible counts the requests that could go to the target, consumed those that did.
 	eligible, consumed routeCounts
 }
@@ -72,7 +72,7 @@
 	}
 	remaining := b.Remaining(now)
 	if !b.inBurst && remaining >= burstSize {
-		b.burst++
+		b.burstCount++
 	}
 	b.inBurst = remaining >= burstSize || b.inBurst && remaining > 0
 	return b.inBurst
@@ -106,5 +106,5 @@
 	if b == nil {
 		return 0
 	}
-	return b.burst
+	return b.burstCount
 }
--- a/coordination/rollout/controller.go
+++ b/coordination/rollout/controller.go
@@ -9,7 +9,7 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Policy limits the requests that a target gets until it is judged.
+// Policy limits the requests that a target gets in the canary phase.
 type Policy struct {
 	// Share is the share of the service's requests, and Slack the number of requests in addition.
 	Share, Slack float64
--- a/coordination/rollout/controller_test.go
+++ b/coordination/rollout/controller_test.go
@@ -50,9 +50,9 @@
 	g.Expect(due).To(gomega.BeTrue())
 	g.Expect(next.Phase).To(gomega.Equal(rollouts.PhaseSwitching))
 	c.WriteCommitted(17*time.Second, next, 9)
-	busy := inputsAt(18 * time.Second)
-	busy.InFlightElsewhere = 1
-	_, due = c.Propose(18*time.Second, busy)
+	running := inputsAt(18 * time.Second)
+	running.InFlightElsewhere = 1
+	_, due = c.Propose(18*time.Second, running)
 	g.Expect(due).To(gomega.BeFalse(), "a request is running at a replica that would be stopped")
 	unconfirmed := inputsAt(18 * time.Second)
 	unconfirmed.Confirmed = false
@@ -131,7 +131,7 @@
 	g.Expect(due).To(gomega.BeFalse())
 }
 
-// A version whose rollout was replaced has not been judged and must get no more requests.
+// A version whose rollout was replaced was not accepted and must get no more requests.
 func TestReplacedOrderExcludesItsVersion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startCanary(g)
--- a/state/poisonrecords/record.go
+++ b/state/poisonrecords/record.go
@@ -84,8 +84,8 @@
 	r.Incarnations, r.Trials = nil, 0
 }
 
-// ChangeCount never falls. It rises with each change, except when Add replaces an incarnation of a full
-// record; Digest differs then.
+// ChangeCount returns a count that rises with each change and never falls. It stays the same only
+// when Add replaces an incarnation of a full record; Digest differs then.
 func (r *Record) ChangeCount() int64 {
 	count := int64(r.Generation)*(2*MaxIncarnations+MaxTrials+1) + int64(len(r.Incarnations)) + int64(r.Trials)
 	if r.IsPersistent {
--- a/state/replicas/replicas.go
+++ b/state/replicas/replicas.go
@@ -68,7 +68,7 @@
 	// change that was applied; earlier ones may be missing.
 	completeTo structs.StorePosition
 	latest     structs.StorePosition
-	// changeCount is local to this process and no store position.
+	// changeCount counts the changes in this process; it is not a store position.
 	changeCount uint64
 	// restoreWindow is the zero value unless the store was restored recently.
 	restoreWindow structs.RestoreWindow
