--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -67,12 +67,15 @@
 	wallTime func() time.Time
 	ctx      context.Context
 
-	mutex      sync.Mutex
-	pending    map[Page][]*operation
-	running    map[Page]bool
-	pages      *simplelru.LRU[Page, outside.Value]
-	leases     *simplelru.LRU[int64, outside.LeaseID]
-	committers sync.WaitGroup
+	mutex   sync.Mutex
+	pending map[Page][]*operation
+	// running has the pages for which a commitPage goroutine runs.
+	running map[Page]bool
+	// pages caches the pages last written, and leases the leases by period of
+	// bucketsPerLease buckets.
+	pages   *simplelru.LRU[Page, outside.Value]
+	leases  *simplelru.LRU[int64, outside.LeaseID]
+	commits sync.WaitGroup
 }
 
 // NewCommitter returns a committer that runs until the context ends.
@@ -131,7 +134,7 @@
 	c.pending[page] = append(c.pending[page], op)
 	if !c.running[page] {
 		c.running[page] = true
-		c.committers.Go(func() { c.commitPage(page) })
+		c.commits.Go(func() { c.commitPage(page) })
 	}
 	c.mutex.Unlock()
 	select {
@@ -146,7 +149,7 @@
 
 // Wait blocks until no batch is being committed. The committer's context must
 // have ended.
-func (c *Committer) Wait() { c.committers.Wait() }
+func (c *Committer) Wait() { c.commits.Wait() }
 
 // commitPage commits batches until no operation is pending for the page.
 func (c *Committer) commitPage(page Page) {
--- a/coordination/limits/limits.go
+++ b/coordination/limits/limits.go
@@ -132,7 +132,8 @@
 	return own.allocation
 }
 
-// demandFraction returns part of total, or an equal share if total is zero.
+// demandFraction returns part divided by total, or an equal share of one if total is
+// zero.
 func demandFraction(part, total, nodes float64) float64 {
 	if total <= 0 {
 		return 1 / nodes
@@ -142,13 +143,13 @@
 
 // Member enforces this node's allocations. It is not safe for concurrent use.
 type Member struct {
-	buckets map[string]*bucket
+	tenants map[string]*tenantState
 	// liveNodes is the number of equal shares while there is no grant.
 	liveNodes int
 }
 
-// bucket is the state of one tenant at this node.
-type bucket struct {
+// tenantState is the allocation and use of one tenant at this node.
+type tenantState struct {
 	limiter  *rate.Limiter
 	inFlight int
 	// arrivals counts the requests since the last report.
@@ -162,7 +163,7 @@
 }
 
 // NewMember returns a member without allocations.
-func NewMember() *Member { return &Member{buckets: map[string]*bucket{}, liveNodes: 1} }
+func NewMember() *Member { return &Member{tenants: map[string]*tenantState{}, liveNodes: 1} }
 
 // SetLiveNodes sets the number of nodes that the equal share is computed for.
 func (m *Member) SetLiveNodes(count int) { m.liveNodes = max(1, count) }
@@ -173,7 +174,7 @@
 	if limit.Rate <= 0 && limit.Concurrency <= 0 {
 		return structs.ReasonNone
 	}
-	entry := m.bucketFor(now, tenant, limit)
+	entry := m.stateFor(now, tenant, limit)
 	entry.arrivals++
 	entry.usedAt = now
 	allowed := m.activeAllocation(now, entry, limit)
@@ -193,17 +194,17 @@
 
 // Release ends an admitted request.
 func (m *Member) Release(tenant string) {
-	if entry, found := m.buckets[tenant]; found && entry.inFlight > 0 {
+	if entry, found := m.tenants[tenant]; found && entry.inFlight > 0 {
 		entry.inFlight--
 	}
 }
 
-func (m *Member) bucketFor(now structs.Instant, tenant string, limit Limit) *bucket {
-	entry, found := m.buckets[tenant]
+func (m *Member) stateFor(now structs.Instant, tenant string, limit Limit) *tenantState {
+	entry, found := m.tenants[tenant]
 	if !found {
-		entry = &bucket{limiter: rate.NewLimiter(rate.Limit(limit.Rate/float64(m.liveNodes)), max(1, int(limit.Burst/float64(m.liveNodes))))}
+		entry = &tenantState{limiter: rate.NewLimiter(rate.Limit(limit.Rate/float64(m.liveNodes)), max(1, int(limit.Burst/float64(m.liveNodes))))}
 		entry.limiter.AllowN(toTime(now), 0)
-		m.buckets[tenant] = entry
+		m.tenants[tenant] = entry
 	}
 	return entry
 }
@@ -211,7 +212,7 @@
 // activeAllocation returns the granted allocation until its lease expires, then
 // the equal share. The concurrency of the equal share is rounded up, so that each
 // node may run at least one request.
-func (m *Member) activeAllocation(now structs.Instant, entry *bucket, limit Limit) Allocation {
+func (m *Member) activeAllocation(now structs.Instant, entry *tenantState, limit Limit) Allocation {
 	if entry.granted && now-entry.grantedAt <= grantLease {
 		return entry.allocation
 	}
@@ -221,10 +222,10 @@
 // Reports returns the reports to send, by owner. It is to be called once per
 // ReportInterval and removes the state of tenants without recent requests.
 func (m *Member) Reports(now structs.Instant, self string, owner func(tenant string) string) map[string]Report {
-	names := make([]string, 0, len(m.buckets))
-	for name, entry := range m.buckets {
+	names := make([]string, 0, len(m.tenants))
+	for name, entry := range m.tenants {
 		if entry.inFlight == 0 && now-entry.usedAt > ownerLease {
-			delete(m.buckets, name)
+			delete(m.tenants, name)
 			continue
 		}
 		names = append(names, name)
@@ -232,7 +233,7 @@
 	sort.Strings(names)
 	reports := map[string]Report{}
 	for _, name := range names {
-		entry := m.buckets[name]
+		entry := m.tenants[name]
 		entry.demandRate += demandGain * (entry.arrivals/ReportInterval.Seconds() - entry.demandRate)
 		entry.arrivals = 0
 		recipient := owner(name)
@@ -247,7 +248,7 @@
 // Apply activates the granted allocations; their leases start now.
 func (m *Member) Apply(now structs.Instant, grant Grant) {
 	for _, allocation := range grant.Allocations {
-		if entry, found := m.buckets[allocation.Tenant]; found {
+		if entry, found := m.tenants[allocation.Tenant]; found {
 			entry.allocation, entry.granted, entry.grantedAt = allocation, true, now
 		}
 	}
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -145,7 +145,7 @@
 	// applies.
 	OrderPosition structs.StorePosition `msgpack:"o"`
 	Phase         uint8                 `msgpack:"p"`
-	// Busy counts the node's requests at replicas that get no new requests.
+	// InFlightAtOldReplicas counts the node's requests at replicas that get no new requests.
 	InFlightAtOldReplicas int `msgpack:"b"`
 }
 
--- a/coordination/liveness/relay_test.go
+++ b/coordination/liveness/relay_test.go
@@ -12,7 +12,7 @@
 )
 
 // relayTable returns a table of a node of the zone "own" with two more nodes of that zone and the
-// given number of nodes of the zone "other", the first of which have wide links.
+// given number of nodes of the zone "other", the first wideLinks of which have wide links.
 func relayTable(otherNodes, wideLinks int) *Table {
 	table := NewTable("self")
 	for i := range 2 {
@@ -34,7 +34,7 @@
 func drawLast(count int) int { return count - 1 }
 
 // Guards against sending each heartbeat to several relays although one confirms, and against
-// keeping a relay that stopped to confirm.
+// keeping a relay that stopped confirming.
 func TestHeartbeatsToALargeZoneUseAConfirmedRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := relayTable(20, 1).Live(100 * time.Millisecond)
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Rumor is an update about a member, as nodes pass it on.
+// Rumor is an update about a member that nodes send on by gossip.
 type Rumor struct {
 	Member Member `msgpack:"m" json:"member"`
 	Status Status `msgpack:"s" json:"status"`
@@ -77,7 +77,7 @@
 	lastMessageAt structs.Instant
 }
 
-// maxQueuedRumors bounds the rumors that wait to be passed on.
+// maxQueuedRumors bounds the rumors queued for sending.
 const maxQueuedRumors = 512
 
 // deadRetention is the time for which a dead member is remembered, so that old rumors don't make
@@ -120,7 +120,7 @@
 	t.refute(t.self.Incarnation)
 }
 
-// Heard records a message that came directly from the member.
+// RecordMessage records a message that came directly from the member.
 func (t *Table) RecordMessage(now structs.Instant, member Member) {
 	t.merge(now, Rumor{Member: member, Status: Alive})
 	if entry, found := t.members[member.Name]; found && entry.Status != Dead {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -113,8 +113,8 @@
 	return false
 }
 
-// Coordinator is one node's candidate for coordinating one zone and service. It
-// is not safe for concurrent use.
+// Coordinator lets one node compete for the lease of a zone and service, and sends
+// orders while it holds the lease. It is not safe for concurrent use.
 type Coordinator struct {
 	Store   outside.Store
 	Sender  Sender
--- a/coordination/replicahealth/replicahealth.go
+++ b/coordination/replicahealth/replicahealth.go
@@ -16,9 +16,9 @@
 
 // replicaHealth is one node's view of one replica.
 type replicaHealth struct {
-	// retryAt is the time until which the replica counts as failing.
 	consecutiveFailures int
-	retryAt             structs.Instant
+	// retryAt is the time until which the replica counts as failing.
+	retryAt structs.Instant
 }
 
 // Tracker is one node's view of which replicas fail. It is not safe for concurrent use.
--- a/coordination/routing/reserve/reserve.go
+++ b/coordination/routing/reserve/reserve.go
@@ -70,7 +70,7 @@
 
 // Result describes how a request in flight ended.
 type Result struct {
-	// Connected is false if no byte was sent.
+	// Sent is false if no byte was sent.
 	Sent bool
 	// Complete is true if the answer arrived completely.
 	Complete     bool
--- a/coordination/scheduler/admission.go
+++ b/coordination/scheduler/admission.go
@@ -65,14 +65,14 @@
 // estimateWork predicts the engine time that the request takes: the prefill of
 // tokens that no replica caches, and its share of the decoding steps.
 func (s *Scheduler) estimateWork(request *structs.Request) time.Duration {
-	available := s.serviceState(request.Service).capacity
-	if !available.known {
+	serviceCapacity := s.serviceState(request.Service).capacity
+	if !serviceCapacity.known {
 		return initialWorkEstimate
 	}
 	output := float64(s.lengths.Percentile(request, s.options.OutputLengthPercentile))
-	work := time.Duration(output * float64(available.meanStepTime) * available.engines / available.slots)
-	if available.meanPrefillRate > 0 {
-		work += time.Duration(float64(s.uncachedTokens(request)) / available.meanPrefillRate * float64(time.Second))
+	work := time.Duration(output * float64(serviceCapacity.meanStepTime) * serviceCapacity.engines / serviceCapacity.slots)
+	if serviceCapacity.meanPrefillRate > 0 {
+		work += time.Duration(float64(s.uncachedTokens(request)) / serviceCapacity.meanPrefillRate * float64(time.Second))
 	}
 	return max(work, time.Microsecond)
 }
@@ -87,14 +87,14 @@
 }
 
 // refreshCapacity recomputes the capacity of the service if it is stale.
-func (s *Scheduler) refreshCapacity(now structs.Instant, name string) {
-	entry := s.serviceState(name)
+func (s *Scheduler) refreshCapacity(now structs.Instant, service string) {
+	entry := s.serviceState(service)
 	if entry.capacity.known && now-entry.capacity.computedAt < capacityRefreshInterval {
 		return
 	}
 	total := capacity{computedAt: now}
 	var stepSum, prefillSum float64
-	for _, state := range s.view.Pool(name).States {
+	for _, state := range s.view.Pool(service).States {
 		if !s.isUsable(now, state) {
 			continue
 		}
--- a/coordination/scheduler/floor.go
+++ b/coordination/scheduler/floor.go
@@ -14,13 +14,13 @@
 
 // SetFloor applies the zone's floor for a service and returns the rejections
 // of queued requests that the floor no longer admits.
-func (s *Scheduler) SetFloor(name string, floor Floor) []structs.Plan {
-	entry := s.serviceState(name)
+func (s *Scheduler) SetFloor(service string, floor Floor) []structs.Plan {
+	entry := s.serviceState(service)
 	entry.floor = floor
 	entry.floorSet = true
 	var plans []structs.Plan
 	for _, p := range s.sortedPools {
-		if p.key.service != name {
+		if p.key.service != service {
 			continue
 		}
 		for _, request := range p.queue.LowerTiers(floor.RefuseFrom - 1) {
@@ -32,8 +32,8 @@
 }
 
 // Floor returns the floor that this node applies to the service.
-func (s *Scheduler) Floor(name string) Floor {
-	entry := s.serviceState(name)
+func (s *Scheduler) Floor(service string) Floor {
+	entry := s.serviceState(service)
 	if !entry.floorSet {
 		return Floor{RefuseFrom: NoRank, ShedFrom: s.options.LowestRank}
 	}
--- a/coordination/scheduler/schedule.go
+++ b/coordination/scheduler/schedule.go
@@ -56,9 +56,9 @@
 	if len(items) == 0 {
 		return plans
 	}
-	available := s.hasCapacity(now, p, items[0].Request.Rank)
+	canPlan := s.hasCapacity(now, p, items[0].Request.Rank)
 	for _, item := range items {
-		if !available {
+		if !canPlan {
 			p.backlogged = true
 			return plans
 		}
@@ -72,7 +72,7 @@
 		if plan.Verdict == structs.VerdictDispatch {
 			p.startedWork += item.Work
 			s.reservations.Add(now, item.Request, plan.Candidates[plan.Chosen])
-			available = s.hasCapacity(now, p, rank)
+			canPlan = s.hasCapacity(now, p, rank)
 		}
 		plans = append(plans, plan)
 	}
@@ -281,10 +281,10 @@
 
 // completionTimePredictor returns a function that predicts the time from start
 // to answer. It assumes the fastest engine, since a rejection is final.
-func (s *Scheduler) completionTimePredictor(name string) func(*structs.Request) time.Duration {
-	available := s.serviceState(name).capacity
+func (s *Scheduler) completionTimePredictor(service string) func(*structs.Request) time.Duration {
+	serviceCapacity := s.serviceState(service).capacity
 	return func(request *structs.Request) time.Duration {
-		return time.Duration(s.lengths.Percentile(request, s.options.OutputLengthPercentile)) * available.minStepTime
+		return time.Duration(s.lengths.Percentile(request, s.options.OutputLengthPercentile)) * serviceCapacity.minStepTime
 	}
 }
 
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -204,14 +204,14 @@
 // InFlight returns the number of dispatched requests that have not ended.
 func (s *Scheduler) InFlight() int { return s.reservations.Len() }
 
-// Waiting returns the number of queued requests.
+// QueuedCount returns the number of queued requests.
 func (s *Scheduler) QueuedCount() int { return len(s.poolByRequest) }
 
 // QueuedByRank returns the number of queued requests of the service and rank.
-func (s *Scheduler) QueuedByRank(name string, rank structs.Rank) int {
+func (s *Scheduler) QueuedByRank(service string, rank structs.Rank) int {
 	count := 0
 	for _, p := range s.sortedPools {
-		if p.key.service == name {
+		if p.key.service == service {
 			count += p.queue.TierLen(rank)
 		}
 	}
@@ -251,7 +251,7 @@
 }
 
 // Cancel removes a queued request. It returns false if the request is not
-// queued: it was planned already or never submitted.
+// queued, because it was planned already or never submitted.
 func (s *Scheduler) Cancel(id string) bool {
 	p, found := s.poolByRequest[id]
 	if !found {
--- a/coordination/settingsync/settingsync.go
+++ b/coordination/settingsync/settingsync.go
@@ -153,8 +153,9 @@
 }
 
 // tryCommit reads the document and, unless it contains the change already, swaps
-// in the changed document. The third result is false if the store failed and the
-// attempt may be repeated; written is set if a swap may have taken effect.
+// in the changed document. The third result is false if the attempt failed and may
+// be retried. It sets written to true before the swap, and back to false if the
+// store certainly did not apply the swap.
 func (c *Committer) tryCommit(ctx context.Context, change Change, written *bool) (ChangeRecord, *Document, bool, error) {
 	if err := faultpoint.Reach(ctx, c.Faults, faultpoint.ChangeRead, change.ID); err != nil {
 		return ChangeRecord{}, nil, false, err
--- a/coordination/shedding/member.go
+++ b/coordination/shedding/member.go
@@ -56,8 +56,9 @@
 	return Ack{Service: update.Service, Epoch: update.Epoch, From: m.self, Floor: m.Floor(now, update.Service)}
 }
 
-// Floor returns the strictest combination of the owners' thresholds that have
-// not expired. Without any it admits every rank and sheds only the lowest tier.
+// Floor returns the lowest RefuseFrom and the highest ShedFrom of the owners whose
+// leases have not expired. Without a lease it admits every rank and sheds only the
+// lowest tier.
 func (m *Member) Floor(now structs.Instant, service string) scheduler.Floor {
 	floor := scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: 0}
 	active := 0
@@ -76,10 +77,10 @@
 	return floor
 }
 
-// Tick removes expired floors and returns the services whose floor may have
-// changed. After a suspension of the process it renews the leases of RefuseFrom
-// but not those of ShedFrom: until an update arrives, a resumed node rejects too
-// much rather than too little.
+// Tick removes expired floors and returns all services that received a floor, since
+// each may have changed. After a suspension of the process it renews the leases of
+// RefuseFrom but not those of ShedFrom: until an update arrives, a resumed node
+// rejects too much rather than too little.
 func (m *Member) Tick(now structs.Instant) []string {
 	resumed := now-m.tickedAt > suspensionGap
 	m.tickedAt = now
--- a/coordination/shedding/owner.go
+++ b/coordination/shedding/owner.go
@@ -75,7 +75,7 @@
 	current FloorUpdate
 	// allAcknowledged is set if every member acknowledged current.
 	allAcknowledged bool
-	acked           map[string]bool
+	acknowledgedBy  map[string]bool
 	sentAt          map[string]structs.Instant
 	// demandedAt is when a demand above the lowest tier was last active.
 	demandedAt structs.Instant
@@ -107,7 +107,7 @@
 func (o *Owner) Ack(ack Ack) {
 	owned, found := o.services[ack.Service]
 	if found && ack.Epoch == owned.epoch {
-		owned.acked[ack.From] = true
+		owned.acknowledgedBy[ack.From] = true
 	}
 }
 
@@ -140,7 +140,7 @@
 		return owned
 	}
 	owned = &ownedFloor{
-		demands: map[string]demandEntry{}, acked: map[string]bool{}, sentAt: map[string]structs.Instant{},
+		demands: map[string]demandEntry{}, acknowledgedBy: map[string]bool{}, sentAt: map[string]structs.Instant{},
 		epoch:   1,
 		current: FloorUpdate{Service: name, Owner: o.self, Epoch: 1, KeepRefuseFrom: true, Floor: scheduler.Floor{RefuseFrom: scheduler.NoRank, ShedFrom: o.lowestRank}},
 	}
@@ -149,13 +149,13 @@
 }
 
 // Tick moves at most one threshold of the service's floor and returns the
-// updates to send. Members are the live nodes of the zone, including this one.
-func (o *Owner) Tick(now structs.Instant, name string, members []string) []Message {
-	owned, found := o.services[name]
+// updates to send. The members are the live nodes of the zone, including this one.
+func (o *Owner) Tick(now structs.Instant, service string, members []string) []Message {
+	owned, found := o.services[service]
 	if !found {
 		return nil
 	}
-	owned.allAcknowledged = owned.allAcked(members)
+	owned.allAcknowledged = owned.isAcknowledgedByAll(members)
 	if owned.allAcknowledged {
 		next, changed := owned.nextFloor(o.demandedRank(now, owned), o.lowestRank)
 		switch {
@@ -164,7 +164,7 @@
 		case changed:
 			owned.setFloor(now, next)
 		case o.isIdle(now, owned):
-			delete(o.services, name)
+			delete(o.services, service)
 			return nil
 		}
 	}
@@ -241,13 +241,13 @@
 	f.current.Epoch = f.epoch
 	f.current.KeepRefuseFrom = false
 	f.current.Floor = floor
-	clear(f.acked)
+	clear(f.acknowledgedBy)
 	clear(f.sentAt)
 }
 
-func (f *ownedFloor) allAcked(members []string) bool {
+func (f *ownedFloor) isAcknowledgedByAll(members []string) bool {
 	for _, member := range members {
-		if !f.acked[member] {
+		if !f.acknowledgedBy[member] {
 			return false
 		}
 	}
@@ -262,7 +262,7 @@
 	for _, member := range members {
 		sentAt, sent := f.sentAt[member]
 		interval := RenewInterval
-		if !f.acked[member] {
+		if !f.acknowledgedBy[member] {
 			interval = RetryInterval
 		}
 		if sent && now-sentAt < interval {
@@ -271,9 +271,9 @@
 		f.sentAt[member] = now
 		messages = append(messages, Message{To: member, Update: f.current})
 	}
-	for member := range f.acked {
+	for member := range f.acknowledgedBy {
 		if !slices.Contains(members, member) {
-			delete(f.acked, member)
+			delete(f.acknowledgedBy, member)
 		}
 	}
 	return messages
--- a/coordination/staleness/freshness.go
+++ b/coordination/staleness/freshness.go
@@ -27,5 +27,5 @@
 // Known reports whether there was a read.
 func (f *Freshness) Known() bool { return f.hasRead }
 
-// At returns the start of the read, or zero if there was none.
+// ReadStartedAt returns the start of the read, or zero if there was none.
 func (f *Freshness) ReadStartedAt() structs.Instant { return f.readStartedAt }
--- a/coordination/zones/zones.go
+++ b/coordination/zones/zones.go
@@ -1,5 +1,5 @@
-// Package zones detects which other zones one node can't reach, as detecting that for each
-// replica by itself would cost a connect timeout each. A zone counts as unreachable when its
+// Package zones detects which other zones a node can't reach, so that its requests don't run into
+// a connect timeout at each replica there. A zone counts as unreachable when its
 // nodes send no heartbeats, its replicas don't respond, and one connection to it fails. The
 // package does no I/O and reads no clock.
 package zones
--- a/coordination/zones/zones_test.go
+++ b/coordination/zones/zones_test.go
@@ -55,5 +55,5 @@
 	g.Expect(tracker.SilentZones(6600 * time.Millisecond)).To(gomega.Equal([]string{"west"}))
 	tracker.Observe(7*time.Second, liveness.Heartbeat{Zone: "west", IntervalMS: 250, ZoneLive: 200})
 	tracker.Observe(7100*time.Millisecond, liveness.Heartbeat{Zone: "west", IntervalMS: 500, ZoneLive: 200})
-	g.Expect(tracker.SilentZones(8*time.Second)).To(gomega.Equal([]string{"west"}), "a node with a shorter interval is missed sooner")
+	g.Expect(tracker.SilentZones(8*time.Second)).To(gomega.Equal([]string{"west"}), "the shorter of two recent intervals applies")
 }
--- a/state/answer/answer.go
+++ b/state/answer/answer.go
@@ -133,8 +133,9 @@
 }
 
 // Await blocks until the answer has a part at index firstPart or has ended. If
-// firstPart is 0 and seen is not positive, a head or a receipt is enough. If ctx
-// is done first, it returns the current snapshot and the error of ctx.
+// firstPart is 0 and seen is 0, which means that the caller has not received a head
+// or a receipt yet, one of these is enough. If ctx is done first, it returns the
+// current snapshot and the error of ctx.
 func (a *Answer) Await(ctx context.Context, firstPart, seen int) (Snapshot, error) {
 	for {
 		snapshot, changed := a.Snapshot(firstPart)
--- a/state/backend/speed.go
+++ b/state/backend/speed.go
@@ -6,8 +6,8 @@
 	"github.com/thornwalk/thornwalk/structs"
 )
 
-// Weights of a new sample in the exponential moving averages. Slowdowns are
-// adopted faster than recoveries.
+// Weights of a new sample in the exponential moving averages. A slowdown
+// takes effect faster than a recovery.
 const (
 	speedGain    = 0.2
 	slowdownGain = 0.35
--- a/state/backend/table.go
+++ b/state/backend/table.go
@@ -219,7 +219,7 @@
 	s.ownPrefillTokens += prefillTokens
 }
 
-// FirstToken records that the prefill of the request has ended. Later calls for
+// RecordFirstToken records that the prefill of the request has ended. Later calls for
 // the same request have no effect.
 func (s *ReplicaState) RecordFirstToken(now structs.Instant, id string) {
 	request, found := s.inFlight[id]
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -48,10 +48,13 @@
 	Priority int               `msgpack:"r"`
 	Backends []WeightedService `msgpack:"b"`
 	// MaxAttempts bounds how often one request is sent to a replica.
-	MaxAttempts int  `msgpack:"m"`
-	Public      bool `msgpack:"u"`
-	Sticky      bool `msgpack:"y"`
-	Resumable   bool `msgpack:"e"`
+	MaxAttempts int `msgpack:"m"`
+	// Public routes need no API key.
+	Public bool `msgpack:"u"`
+	// Sticky is part of the configuration, but no node uses it.
+	Sticky bool `msgpack:"y"`
+	// Resumable means that a streaming request may run more than once.
+	Resumable bool `msgpack:"e"`
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -65,9 +68,10 @@
 	// TokensPerEvent is the number of tokens in each event of a stream.
 	TokensPerEvent int `msgpack:"d"`
 	// TokenCapacity is the size of the KV cache in tokens.
-	TokenCapacity int  `msgpack:"k"`
-	Moves         bool `msgpack:"m"`
-	Backups       bool `msgpack:"b"`
+	TokenCapacity int `msgpack:"k"`
+	// Moves and Backups are part of the configuration, but no node uses them.
+	Moves   bool `msgpack:"m"`
+	Backups bool `msgpack:"b"`
 }
 
 // Service is a pool of replicas.
--- a/state/catalog/catalog_test.go
+++ b/state/catalog/catalog_test.go
@@ -25,7 +25,8 @@
 	return &Document{Version: 1, Routes: routes, Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}}}}
 }
 
-// Guards the choice among routes with overlapping prefixes, and the lookup of hosts and keys.
+// Guards against a match of a route with a shorter prefix or another host, and against keys of
+// another tenant.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	g := gomega.NewWithT(t)
 	compiled, err := Compile(document(
@@ -56,7 +57,8 @@
 	}
 }
 
-// Guards the shares of a route's services, also when all weights are zero.
+// Guards against services that get more or less than their share, and against a failure when all
+// weights are zero.
 func TestPickServiceFollowsTheWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	route := Route{Backends: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
@@ -68,7 +70,7 @@
 	g.Expect((&Route{Backends: []WeightedService{{Service: "only"}}}).PickService(0.5)).To(gomega.Equal("only"))
 }
 
-// Guards the route index against results that differ from a scan of all routes.
+// Guards against a route index whose results differ from a scan of all routes.
 func TestMatchAgreesWithALinearSearch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "ab", "b", "", "a b"})
 	rapid.Check(t, func(t *rapid.T) {
--- a/state/catalog/parts_test.go
+++ b/state/catalog/parts_test.go
@@ -110,7 +110,7 @@
 	g.Expect(countMissing(before, same)).To(gomega.BeZero(), "a version without changes has no new part")
 }
 
-// Guards against truncated, foreign and excessively long content from a peer.
+// Guards against accepting truncated, unrelated or excessively long content from a peer.
 func TestDecompressRejectsMalformedParts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	part := Split(largeDocument(1, 300))[2]
@@ -143,7 +143,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		compressedPart, part, err := Decompress(content)
 		if err == nil && (part == nil || compressedPart.Size > MaxPartBytes) {
-			t.Fatal("neither a part nor an error")
+			t.Fatal("decompressing without an error gave no part or one longer than MaxPartBytes")
 		}
 	})
 }
--- a/state/evacuations/evacuations.go
+++ b/state/evacuations/evacuations.go
@@ -1,9 +1,9 @@
 // Package evacuations is a node's table of the zones that operators evacuated: the replicas of such a
-// zone get no requests until the order is lifted. It has no I/O and no clock; callers apply updates
+// zone get no requests until the order is lifted. It does no I/O and reads no clock; callers apply updates
 // from the platform's store and from peers.
 //
-// Guarantee: of two orders for a zone, the one with the later store position is active, in whichever
-// sequence they arrive.
+// Guarantee: of two orders for a zone, the one with the later store position is active, whichever
+// arrives first.
 package evacuations
 
 import (
--- a/state/fingerprint/fingerprint.go
+++ b/state/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint recognises retries: requests in which the same caller asks for the same thing
-// under a new request ID. It keeps no requests.
+// Package fingerprint recognizes retries under a new request ID: requests of the same caller with the
+// same method, host, target and body. It keeps no requests.
 package fingerprint
 
 import (
@@ -14,8 +14,8 @@
 // the fingerprint of another one.
 const sizeBytes = 16
 
-// Fingerprint is equal for requests of one caller that ask for the same thing. The zero value stands
-// for an unknown request.
+// Fingerprint is equal for requests of one caller with the same method, host, target and body. The
+// zero value stands for an unknown request.
 type Fingerprint [sizeBytes]byte
 
 // Of returns the fingerprint of a request. It includes the caller, so that requests of one caller do
--- a/state/gossip/gossip.go
+++ b/state/gossip/gossip.go
@@ -17,7 +17,7 @@
 	RetransmitMinimal  = 0
 )
 
-// minTransmits is the least number of times that a node sends an item.
+// minTransmits is the minimum number of times that a node sends an item.
 const minTransmits = 2
 
 type item[Key comparable, Value any] struct {
--- a/state/prefix/prefix.go
+++ b/state/prefix/prefix.go
@@ -24,9 +24,9 @@
 	CachedTokens(replica structs.ReplicaID, chain []uint64) int
 	// Holders returns replicas that probably hold the longest indexed prefix.
 	Holders(chain []uint64) []structs.ReplicaID
-	// Sent records that a prompt with the chain was sent to the replica.
+	// RecordSent records that a prompt with the chain was sent to the replica.
 	RecordSent(replica structs.ReplicaID, chain []uint64)
-	// Event applies a cache event of the replica.
+	// ApplyCacheEvent applies a cache event of the replica.
 	ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent)
 }
 
@@ -48,14 +48,14 @@
 // Len returns the number of indexed blocks.
 func (l *LRUIndex) Len() int { return l.blocks.Len() }
 
-// Sent records that a prompt with the chain was sent to the replica.
+// RecordSent records that a prompt with the chain was sent to the replica.
 func (l *LRUIndex) RecordSent(replica structs.ReplicaID, chain []uint64) {
 	for _, block := range chain {
 		l.add(replica, block)
 	}
 }
 
-// Event applies a cache event of the replica.
+// ApplyCacheEvent applies a cache event of the replica.
 func (l *LRUIndex) ApplyCacheEvent(replica structs.ReplicaID, event structs.CacheEvent) {
 	if event.Stored {
 		l.add(replica, event.BlockHash)
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -90,8 +90,8 @@
 	q.byID[request.ID] = item
 }
 
-// Order returns up to maxItems items in the order in which they should be dispatched,
-// without removing them.
+// NextItems returns up to maxItems items in the order in which they should be
+// dispatched, without removing them.
 func (q *Queue) NextItems(now structs.Instant, agingLimit time.Duration, maxItems int) []*Item {
 	var items []*Item
 	for _, t := range q.tiers {
--- a/state/rendezvous/rendezvous.go
+++ b/state/rendezvous/rendezvous.go
@@ -17,8 +17,8 @@
 	return mix(xxhash.Sum64String(member) ^ xxhash.Sum64(buffer[:]))
 }
 
-// WeightHashed returns the weight of a member that is given by its Key. Its weights
-// differ from those of Weight.
+// WeightOfHash returns the weight of a member given by the Hash of its name. It differs
+// from that of Weight.
 func WeightOfHash(member, key uint64) uint64 { return mix(member ^ mix(key)) }
 
 // mix is the 64-bit finalizer of MurmurHash3.
@@ -30,7 +30,7 @@
 	return value ^ value>>33
 }
 
-// Key returns the hash of text for use as a key or hashed member.
+// Hash returns the hash of text, to pass as a key or as the member of WeightOfHash.
 func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
 // Top returns up to count members with the highest weights for the key, in descending
--- a/state/settings/settings_test.go
+++ b/state/settings/settings_test.go
@@ -37,7 +37,7 @@
 	return tree
 }
 
-// Guards inheritance, validation and the YAML form of trees.
+// Guards against wrongly inherited values, invalid trees that are accepted, and values lost in YAML.
 var _ = ginkgo.Describe("a tree", func() {
 	ginkgo.It("inherits values along the path unless a branch overrides", func() {
 		compiled, err := mustParse(base).Compile(7)
@@ -126,7 +126,7 @@
 	hash := fmt.Sprintf("%064x", 900)
 	for b.Loop() {
 		if _, found := compiled.TenantByKeyHash(hash); !found {
-			b.Fatal("lost")
+			b.Fatal("tenant not found")
 		}
 	}
 }
--- a/structs/plan.go
+++ b/structs/plan.go
@@ -8,11 +8,11 @@
 const (
 	// VerdictDispatch sends the request to Plan.Replica.
 	VerdictDispatch Verdict = "dispatch"
-	// VerdictRefuse rejects the request; it ends with OutcomeNotRun.
+	// VerdictReject rejects the request; it ends with OutcomeNotRun.
 	VerdictReject Verdict = "refuse"
 )
 
-// Reason is the cause of a rejection. Logs, metrics and error responses contain it as it stands.
+// Reason is the cause of a rejection. Logs, metrics and error responses contain it verbatim.
 type Reason string
 
 const (
@@ -57,7 +57,7 @@
 type Plan struct {
 	Request *Request `json:"-"`
 	Verdict Verdict  `json:"verdict"`
-	// Reason is ReasonNone unless the verdict is VerdictRefuse.
+	// Reason is ReasonNone unless the verdict is VerdictReject.
 	Reason Reason `json:"reason,omitempty"`
 	// Replica is the replica to send the request to; the zero value for rejections.
 	Replica Replica `json:"replica"`
--- a/structs/replica.go
+++ b/structs/replica.go
@@ -76,7 +76,7 @@
 type CacheEvent struct {
 	// Sequence rises with each event of one process of the engine.
 	Sequence uint64 `msgpack:"q" json:"sequence"`
-	// Block is the hash of the block, an element of a Request.Prefix.
+	// BlockHash identifies the block; it is an element of a Request.Prefix.
 	BlockHash uint64 `msgpack:"b" json:"block"`
 	// Stored is true if the block was stored, false if it was evicted.
 	Stored bool `msgpack:"s" json:"stored"`
