--- a/structs/plan.go
+++ b/structs/plan.go
@@ -12,7 +12,7 @@
 	VerdictReject Verdict = "refuse"
 )
 
-// Reason is the cause of a rejection. Logs, metrics and error responses contain it as it stands.
+// Reason is the cause of a rejection. Logs, metrics and error responses contain it verbatim.
 type Reason string
 
 const (
